--- a/apps/masticdaled/src/masticdaled/replicas/home.py
+++ b/apps/masticdaled/src/masticdaled/replicas/home.py
@@ -6,7 +6,7 @@
 from masticdale_peers import ProbeRequest, TicketRelease, TicketRequest
 from masticdale_routing import (
     BranchKey,
-    Circuit,
+    CircuitBreaker,
     EvictionRate,
     PrefixIndex,
     PrefixRequest,
@@ -52,7 +52,7 @@
     is_leaving: bool = False
     events_position: int = 0
     ticks: int = 0
-    circuit: Circuit = dataclasses.field(default_factory=Circuit)
+    circuit: CircuitBreaker = dataclasses.field(default_factory=CircuitBreaker)
     evictions: EvictionRate = dataclasses.field(default_factory=EvictionRate)
     incarnation_by_ticket: dict[str, str] = dataclasses.field(
         default_factory=dict
--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -120,14 +120,14 @@
             await self._crashes.note(home, process)
         now = time.monotonic()
         if release.crashed:
-            home.circuit.failed(now)
+            home.circuit.record_failure(now)
             if not home.circuit.allows(now) and not home.is_tripped:
                 # Granting on would send every waiting call into the same
                 # failure and spend a retry on each.
                 home.is_tripped = True
                 self._close(home, "fails its calls")
         elif release.generated_tokens:
-            home.circuit.succeeded()
+            home.circuit.record_success()
         request = home.request_by_ticket.pop(release.ticket_id, None)
         home.incarnation_by_ticket.pop(release.ticket_id, None)
         home.queue.finish(release.ticket_id, result_of(release), now)
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -98,7 +98,9 @@
             async with asyncio.timeout(within_s):
                 part = await self._connection.read_part()
         except _CUT_ERRORS as error:
-            self._state.circuit.failed(asyncio.get_running_loop().time())
+            self._state.circuit.record_failure(
+                asyncio.get_running_loop().time()
+            )
             return Failed(_reason(error))
         self._is_whole = part is None
         return Success(part)
@@ -119,7 +121,7 @@
     def close(self) -> None:
         """Ends it; a replica that is still at work sees its caller go."""
         if self._is_whole:
-            self._state.circuit.succeeded()
+            self._state.circuit.record_success()
             self._sender.pool.give_back(self._state.replica, self._connection)
         else:
             self._connection.abort()
@@ -148,7 +150,7 @@
         The caller of a successful send has to close the exchange.
         """
         loop = asyncio.get_running_loop()
-        state.circuit.begin(loop.time())
+        state.circuit.try_acquire(loop.time())
         state.in_flight += 1
         connection: UpstreamConnection | None = None
         exchange: Exchange | None = None
@@ -164,10 +166,10 @@
                 await self._refused(call, state, connection, terms, head)
             )
         except ConnectFailedError as error:
-            state.circuit.failed(loop.time())
+            state.circuit.record_failure(loop.time())
             return Failed(self._failure(call, state, Ran.NO, _reason(error)))
         except _CUT_ERRORS as error:
-            state.circuit.failed(loop.time())
+            state.circuit.record_failure(loop.time())
             return Failed(
                 self._failure(call, state, Ran.UNKNOWN, _reason(error))
             )
@@ -223,13 +225,13 @@
         head: ResponseHead,
     ) -> SendFailure:
         if not terms.is_not_run:
-            state.circuit.failed(asyncio.get_running_loop().time())
+            state.circuit.record_failure(asyncio.get_running_loop().time())
             return self._failure(
                 call, state, Ran.UNKNOWN, f"status {head.status}"
             )
         if head.status == 421:
             # Another replica has the address: the list has not said so yet.
-            state.circuit.failed(asyncio.get_running_loop().time())
+            state.circuit.record_failure(asyncio.get_running_loop().time())
         try:
             async with asyncio.timeout(_REFUSAL_BODY_S):
                 while await connection.read_part() is not None:
--- a/libs/routing/src/masticdale_routing/__init__.py
+++ b/libs/routing/src/masticdale_routing/__init__.py
@@ -52,8 +52,8 @@
         create_replica_queue,
     )
     from masticdale_routing.retries import (
-        Circuit,
-        CircuitSettings,
+        CircuitBreaker,
+        CircuitBreakerSettings,
         CircuitState,
         FailedAttempt,
         GiveUp,
@@ -127,8 +127,8 @@
         "create_replica_queue",
     ),
     "retries": (
-        "Circuit",
-        "CircuitSettings",
+        "CircuitBreaker",
+        "CircuitBreakerSettings",
         "CircuitState",
         "FailedAttempt",
         "GiveUp",
@@ -173,8 +173,8 @@
     "BranchKey",
     "CachePressure",
     "Candidate",
-    "Circuit",
-    "CircuitSettings",
+    "CircuitBreaker",
+    "CircuitBreakerSettings",
     "CircuitState",
     "CostInSeconds",
     "DroppedTickets",
--- a/libs/routing/src/masticdale_routing/fleet.py
+++ b/libs/routing/src/masticdale_routing/fleet.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from masticdale_common import hashing
-from masticdale_routing.retries import Circuit, CircuitSettings
+from masticdale_routing.retries import CircuitBreaker, CircuitBreakerSettings
 
 # A streaming replica takes programs by hash until this share of its slots is
 # busy with requests of this host; then the program's second choice is weighed.
@@ -23,7 +23,7 @@
 # A replica that failed several calls in a row is left out for half a second,
 # then tried with one call; doubles to four seconds. Short against the time in
 # which a restarted replica is back.
-_CIRCUIT = CircuitSettings(
+_CIRCUIT = CircuitBreakerSettings(
     failures_to_open=2, first_open_s=0.5, longest_open_s=4.0
 )
 
@@ -82,7 +82,7 @@
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
         self.in_flight = 0
-        self.circuit = Circuit(_CIRCUIT)
+        self.circuit = CircuitBreaker(_CIRCUIT)
         self._load: ReportedLoad | None = None
 
     def note_load(self, load: ReportedLoad) -> None:
--- a/libs/routing/src/masticdale_routing/retries.py
+++ b/libs/routing/src/masticdale_routing/retries.py
@@ -134,7 +134,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CircuitSettings:
+class CircuitBreakerSettings:
     """When a circuit opens and closes.
 
     Attributes:
@@ -148,11 +148,11 @@
     longest_open_s: float = 30.0
 
 
-class Circuit:
+class CircuitBreaker:
     """Keeps calls from a replica that fails, and probes it with one call."""
 
-    def __init__(self, settings: CircuitSettings | None = None) -> None:
-        self._settings = settings or CircuitSettings()
+    def __init__(self, settings: CircuitBreakerSettings | None = None) -> None:
+        self._settings = settings or CircuitBreakerSettings()
         self._failures = 0
         self._open_s = self._settings.first_open_s
         self._open_until: float | None = None
@@ -174,7 +174,7 @@
         probing = self._probe_until is not None and now < self._probe_until
         return state is CircuitState.HALF_OPEN and not probing
 
-    def begin(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Takes permission for a call; half open, only one has it at a time.
 
         Returns:
@@ -188,14 +188,14 @@
             self._probe_until = now + _PROBE_LEASE_S
         return True
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Notes a call that the replica served."""
         self._failures = 0
         self._open_s = self._settings.first_open_s
         self._open_until = None
         self._probe_until = None
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Notes a call that failed for the replica's sake."""
         state = self.state(now)
         self._failures += 1
--- a/libs/routing/tests/test_fleet.py
+++ b/libs/routing/tests/test_fleet.py
@@ -71,8 +71,8 @@
     def test_a_failing_replica_is_left_out_and_tried_again(self):
         fleet = fleet_of(replica("r1"), replica("r2"))
         state = {s.replica.id: s for s in fleet.states()}["r1"]
-        state.circuit.failed(0.0)
-        state.circuit.failed(0.0)
+        state.circuit.record_failure(0.0)
+        state.circuit.record_failure(0.0)
         chosen = {
             fleet.choose("engine", None, 0.1).replica.id for _ in range(20)
         }
@@ -90,7 +90,7 @@
         fleet = fleet_of(replica("r1"), replica("r2"))
         for state in fleet.states():
             for _ in range(5):
-                state.circuit.failed(0.0)
+                state.circuit.record_failure(0.0)
         self.assertIsNotNone(fleet.choose("engine", None, 0.1))
 
     def test_plain_requests_go_where_least_waits(self):
--- a/libs/routing/tests/test_retries.py
+++ b/libs/routing/tests/test_retries.py
@@ -7,8 +7,8 @@
 
 from masticdale_common import ErrorKind, Failure
 from masticdale_routing import (
-    Circuit,
-    CircuitSettings,
+    CircuitBreaker,
+    CircuitBreakerSettings,
     CircuitState,
     FailedAttempt,
     GiveUp,
@@ -60,26 +60,26 @@
         It gets no calls for a second, then one; that fails, so it is left
         alone twice as long; the next probe succeeds and it serves again.
         """
-        circuit = Circuit(CircuitSettings(3, 1.0, 30.0))
+        circuit = CircuitBreaker(CircuitBreakerSettings(3, 1.0, 30.0))
         for _ in range(3):
-            self.assertTrue(circuit.begin(0.0))
-            circuit.failed(0.0)
-        self.assertFalse(circuit.begin(0.9))
-        self.assertTrue(circuit.begin(1.1))
-        self.assertFalse(circuit.begin(1.1))
-        circuit.failed(1.2)
+            self.assertTrue(circuit.try_acquire(0.0))
+            circuit.record_failure(0.0)
+        self.assertFalse(circuit.try_acquire(0.9))
+        self.assertTrue(circuit.try_acquire(1.1))
+        self.assertFalse(circuit.try_acquire(1.1))
+        circuit.record_failure(1.2)
         self.assertIs(circuit.state(3.1), CircuitState.OPEN)
-        self.assertTrue(circuit.begin(3.3))
-        circuit.succeeded()
+        self.assertTrue(circuit.try_acquire(3.3))
+        circuit.record_success()
         self.assertIs(circuit.state(3.3), CircuitState.CLOSED)
 
     def test_probe_whose_end_is_never_told_lapses(self):
         """The host that sent the probe dies; another probe follows later."""
-        circuit = Circuit(CircuitSettings(1, 1.0, 30.0))
-        circuit.failed(0.0)
-        self.assertTrue(circuit.begin(2.0))
-        self.assertFalse(circuit.begin(31.0))
-        self.assertTrue(circuit.begin(33.0))
+        circuit = CircuitBreaker(CircuitBreakerSettings(1, 1.0, 30.0))
+        circuit.record_failure(0.0)
+        self.assertTrue(circuit.try_acquire(2.0))
+        self.assertFalse(circuit.try_acquire(31.0))
+        self.assertTrue(circuit.try_acquire(33.0))
 
 
 if __name__ == "__main__":
--- a/tools/load/src/masticdale_load/homes.py
+++ b/tools/load/src/masticdale_load/homes.py
@@ -13,7 +13,7 @@
     BranchKey,
     CachePressure,
     Candidate,
-    Circuit,
+    CircuitBreaker,
     EvictionRate,
     InFlightSettings,
     LoadObservation,
@@ -60,7 +60,7 @@
         self.domain = domain
         self.engine = engine
         self.gate = gate
-        self.circuit = Circuit()
+        self.circuit = CircuitBreaker()
         self.index = PrefixIndex(engine.spec.restore_interval)
         self.index.capacity_tokens = engine.cache.capacity_tokens
         self.evictions = EvictionRate()
@@ -118,10 +118,10 @@
     def finish(self, ticket_id: str, result: TicketResult) -> None:
         """Ends a granted call."""
         if not result.crashed:
-            self.circuit.succeeded()
+            self.circuit.record_success()
             self.gate.finish(ticket_id, result)
             return
-        self.circuit.failed(self._loop.time())
+        self.circuit.record_failure(self._loop.time())
         # Granting on would send every waiting call into the same failure and
         # spend a retry on each.
         if not self.usable:
