--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -134,7 +134,7 @@
         if request is not None and release.generated_tokens:
             tokens = release.prompt_tokens + release.generated_tokens
             branch = BranchKey(request.program_id, request.prefix.branch_id)
-            home.prefixes.finished(branch, tokens, now)
+            home.prefixes.record_finished(branch, tokens, now)
         self._flush(home)
 
     def withdraw(self, release: TicketRelease) -> None:
@@ -186,7 +186,7 @@
         """Notes that a replica holds nothing more for a program."""
         home = self._home_by_replica.get(replica)
         if home is not None:
-            home.prefixes.released(program_id)
+            home.prefixes.remove_program(program_id)
 
     def held_homes(self) -> tuple[ReplicaHome, ...]:
         """Returns the homes this host holds."""
@@ -304,7 +304,7 @@
         was_unusable = home.misses >= HEALTH_MISSES_TO_CLOSE
         home.misses = 0
         if home.incarnation and home.incarnation != report.incarnation:
-            home.prefixes.restarted()
+            home.prefixes.clear()
         if not home.incarnation:
             # Granted before the first check: at the process seen first.
             for ticket_id in home.incarnation_by_ticket:
@@ -378,7 +378,7 @@
     def _note_granted(
         self, home: ReplicaHome, request: TicketRequest, now: float
     ) -> None:
-        home.prefixes.sent(prefix_request_of(request), now)
+        home.prefixes.record_sent(prefix_request_of(request), now)
         home.incarnation_by_ticket.setdefault(
             request.ticket_id, home.incarnation
         )
--- a/apps/masticdaled/src/masticdaled/replicas/observation.py
+++ b/apps/masticdaled/src/masticdaled/replicas/observation.py
@@ -43,13 +43,13 @@
     batch = events.unwrap()
     home.events_position = batch.position
     if batch.gap:
-        home.prefixes.gap()
+        home.prefixes.record_event_gap()
     held_before = home.prefixes.held_tokens
     for event in batch.events:
         branch = BranchKey(event.program_id, event.branch_id)
         if event.kind is CacheEventKind.STORED:
-            home.prefixes.stored(branch, event.tokens, now)
+            home.prefixes.record_stored(branch, event.tokens, now)
         else:
-            home.prefixes.evicted(branch, event.tokens, now)
+            home.prefixes.record_evicted(branch, event.tokens, now)
     freed = held_before - home.prefixes.held_tokens
     home.evictions.add(max(0, freed), now)
--- a/libs/routing/src/masticdale_routing/prefixes.py
+++ b/libs/routing/src/masticdale_routing/prefixes.py
@@ -105,7 +105,7 @@
         best = min(best, max(0, request.prompt_tokens - 1))
         return best - best % self._interval
 
-    def sent(self, request: PrefixRequest, now: float) -> None:
+    def record_sent(self, request: PrefixRequest, now: float) -> None:
         """Notes a prompt sent to the replica."""
         self._hold(request.branch, request.prompt_tokens, request.template, now)
         if request.template:
@@ -114,13 +114,15 @@
             if len(self._tokens_by_template) > self._max_branches:
                 self._tokens_by_template.popitem(last=False)
 
-    def finished(self, branch: BranchKey, tokens: int, now: float) -> None:
+    def record_finished(
+        self, branch: BranchKey, tokens: int, now: float
+    ) -> None:
         """Notes the whole context, answer included, after a call's end."""
         held = self._held_by_branch.get(branch)
         template = held.template if held else ""
         self._hold(branch, tokens, template, now)
 
-    def stored(self, branch: BranchKey, tokens: int, now: float) -> None:
+    def record_stored(self, branch: BranchKey, tokens: int, now: float) -> None:
         """Applies an event: the engine holds a prefix."""
         held = self._held_by_branch.get(branch)
         if held is None:
@@ -134,7 +136,9 @@
         held.tokens = tokens
         held.gaps_when_confirmed = self._gaps
 
-    def evicted(self, branch: BranchKey, tokens: int, now: float) -> None:
+    def record_evicted(
+        self, branch: BranchKey, tokens: int, now: float
+    ) -> None:
         """Applies an event: a prefix shrank to some tokens, 0 for all."""
         held = self._held_by_branch.get(branch)
         if held is None or self._is_recent(held, now):
@@ -146,16 +150,16 @@
         held.tokens = tokens
         held.gaps_when_confirmed = self._gaps
 
-    def gap(self) -> None:
+    def record_event_gap(self) -> None:
         """Notes that cache events were lost."""
         self._gaps += 1
 
-    def released(self, program_id: str) -> None:
+    def remove_program(self, program_id: str) -> None:
         """Forgets all branches of a program."""
         for branch in list(self._branches_by_program.get(program_id, ())):
             self._forget(branch)
 
-    def restarted(self) -> None:
+    def clear(self) -> None:
         """Forgets everything: the replica lost its memory."""
         self._held_by_branch.clear()
         self._branches_by_program.clear()
--- a/libs/routing/tests/test_prefixes.py
+++ b/libs/routing/tests/test_prefixes.py
@@ -25,23 +25,25 @@
 class PrefixIndexTest(unittest.TestCase):
     def test_knows_what_was_sent_and_answered(self):
         index = PrefixIndex()
-        index.sent(request(1_000), 0.0)
-        index.finished(BRANCH, 1_200, 1.0)
+        index.record_sent(request(1_000), 0.0)
+        index.record_finished(BRANCH, 1_200, 1.0)
         self.assertEqual(index.cached_tokens(request(1_500)), 1_200)
-        index.released("p")
+        index.remove_program("p")
         self.assertEqual(index.cached_tokens(request(1_500)), 0)
         self.assertEqual(index.held_tokens, 0)
 
     def test_new_program_shares_its_template(self):
         index = PrefixIndex()
-        index.sent(request(1_000, template="t", template_tokens=800), 0.0)
+        index.record_sent(
+            request(1_000, template="t", template_tokens=800), 0.0
+        )
         other = BranchKey("q", "main")
         mine = request(900, other, template="t", template_tokens=800)
         self.assertEqual(index.cached_tokens(mine), 800)
 
     def test_sub_agent_starts_from_its_parent(self):
         index = PrefixIndex()
-        index.sent(request(1_000), 0.0)
+        index.record_sent(request(1_000), 0.0)
         child = request(
             700, BranchKey("p", "sub"), parent=BRANCH, parent_tokens=600
         )
@@ -49,7 +51,7 @@
 
     def test_restores_only_from_interval_boundaries(self):
         index = PrefixIndex(restore_interval=256)
-        index.sent(request(1_000), 0.0)
+        index.record_sent(request(1_000), 0.0)
         self.assertEqual(index.cached_tokens(request(1_100)), 768)
 
     def test_late_eviction_does_not_undo_a_later_call(self):
@@ -58,19 +60,19 @@
         Believing it would move the program away from its own prefix.
         """
         index = PrefixIndex()
-        index.sent(request(1_000), 10.0)
-        index.evicted(BRANCH, 0, 10.5)
+        index.record_sent(request(1_000), 10.0)
+        index.record_evicted(BRANCH, 0, 10.5)
         self.assertEqual(index.cached_tokens(request(1_100)), 1_000)
-        index.evicted(BRANCH, 0, 20.0)
+        index.record_evicted(BRANCH, 0, 20.0)
         self.assertEqual(index.cached_tokens(request(1_100)), 0)
 
     def test_gap_in_events_lowers_trust_until_confirmed(self):
         """Events were lost, so the prefix may have been evicted unseen."""
         index = PrefixIndex()
-        index.sent(request(1_000), 0.0)
-        index.gap()
+        index.record_sent(request(1_000), 0.0)
+        index.record_event_gap()
         self.assertLess(index.cached_tokens(request(1_100)), 1_000)
-        index.stored(BRANCH, 1_000, 9.0)
+        index.record_stored(BRANCH, 1_000, 9.0)
         self.assertEqual(index.cached_tokens(request(1_100)), 1_000)
 
     @settings(derandomize=True, max_examples=100, deadline=None)
@@ -82,11 +84,11 @@
         index.capacity_tokens = 2_000
         for i, (program, tokens) in enumerate(sends):
             branch = BranchKey(f"p{program}", "main")
-            index.sent(request(tokens, branch), float(i))
+            index.record_sent(request(tokens, branch), float(i))
             self.assertLessEqual(len(index), 6)
             self.assertLessEqual(index.held_tokens, 2_000)
         for program in range(10):
-            index.released(f"p{program}")
+            index.remove_program(f"p{program}")
         self.assertEqual((len(index), index.held_tokens), (0, 0))
 
 
--- a/tools/load/src/masticdale_load/calls.py
+++ b/tools/load/src/masticdale_load/calls.py
@@ -207,7 +207,7 @@
             return Failed(Failure(ErrorKind.UPSTREAM_FAILED))
         self._count(call, result)
         tokens = call.prompt_tokens + call.generated_tokens
-        home.index.finished(call.branch, tokens, self._loop.time())
+        home.index.record_finished(call.branch, tokens, self._loop.time())
         return Success(CallDone(home.replica, service_s))
 
     def _count(self, call: ModelCall, result: EngineResult) -> None:
--- a/tools/load/src/masticdale_load/homes.py
+++ b/tools/load/src/masticdale_load/homes.py
@@ -113,7 +113,7 @@
         """Notes a call sent to the engine."""
         program_id = request.branch.program_id
         self._template_tokens_by_program[program_id] = request.template_tokens
-        self.index.sent(request, self._loop.time())
+        self.index.record_sent(request, self._loop.time())
 
     def finish(self, ticket_id: str, result: TicketResult) -> None:
         """Ends a granted call."""
@@ -135,7 +135,7 @@
 
     def come_back(self) -> None:
         """Takes work again, from an engine that lost its memory."""
-        self.index.restarted()
+        self.index.clear()
         self.gate.queue.reopen()
         self.present = True
 
@@ -145,7 +145,7 @@
 
     def forget(self, program_id: str) -> None:
         """Forgets a program that ended."""
-        self.index.released(program_id)
+        self.index.remove_program(program_id)
         self._template_tokens_by_program.pop(program_id, None)
 
     def evicted(self, key: str, left: int) -> None:
@@ -156,7 +156,7 @@
             return
         tokens = left + template if left > 0 else 0
         branch = BranchKey(program_id, branch_id)
-        self.index.evicted(branch, tokens, self._loop.time())
+        self.index.record_evicted(branch, tokens, self._loop.time())
 
     def _import_worth(self, tokens: int) -> int:
         # Importing takes time too; the tokens count for what they save.
