--- a/apps/masticdaled/src/masticdaled/replicas/crash_suspects.py
+++ b/apps/masticdaled/src/masticdaled/replicas/crash_suspects.py
@@ -64,12 +64,12 @@
         if request.action == "admit":
             return await self._admit(request)
         if request.action == "crashed":
-            for record in self._registry.crashed(request.digests):
+            for record in self._registry.record_crash(request.digests):
                 await self._store_record(record)
             return SuspectReply()
         if request.action == "succeeded":
             self._run_by_id.pop(request.run_id, None)
-            cleared = self._registry.succeeded(
+            cleared = self._registry.record_success(
                 request.digests[0], request.run_id
             )
             if cleared is not None:
@@ -140,7 +140,7 @@
 
     def _end(self, run_id: str, digest: str) -> None:
         self._run_by_id.pop(run_id, None)
-        self._registry.ended(digest, run_id)
+        self._registry.end_run(digest, run_id)
 
     async def _store_record(self, record: SuspectRecord) -> None:
         key = PREFIX + record.digest
--- a/libs/routing/src/masticdale_routing/suspects.py
+++ b/libs/routing/src/masticdale_routing/suspects.py
@@ -104,7 +104,7 @@
         self._begin(digest, run_id, now, exclusive=False)
         return Admission.RUN
 
-    def crashed(self, digests: Iterable[str]) -> list[SuspectRecord]:
+    def record_crash(self, digests: Iterable[str]) -> list[SuspectRecord]:
         """Notes a replica's crash.
 
         Args:
@@ -115,13 +115,13 @@
         """
         return [self._count_crash(digest) for digest in set(digests)]
 
-    def succeeded(self, digest: str, run_id: str) -> SuspectRecord | None:
+    def record_success(self, digest: str, run_id: str) -> SuspectRecord | None:
         """Notes a run that ended well: its content is innocent.
 
         Returns:
             The record that changed, if there was one.
         """
-        self.ended(digest, run_id)
+        self.end_run(digest, run_id)
         self._proven[digest] = None
         self._proven.move_to_end(digest)
         if len(self._proven) > _MAX_PROVEN:
@@ -130,7 +130,7 @@
             return None
         return self._set(digest, SuspectState.CLEARED, 0)
 
-    def ended(self, digest: str, run_id: str) -> None:
+    def end_run(self, digest: str, run_id: str) -> None:
         """Notes a run that ended and proved nothing, such as a cancelled one.
 
         An unknown run is ignored.
--- a/libs/routing/tests/test_suspects.py
+++ b/libs/routing/tests/test_suspects.py
@@ -19,12 +19,12 @@
         registry = SuspectRegistry()
         answers = [registry.admit("bad", f"r{i}", 0.0) for i in range(10)]
         self.assertEqual(answers, [Admission.RUN, *[Admission.WAIT] * 9])
-        registry.crashed(["bad"])
+        registry.record_crash(["bad"])
         answers = [registry.admit("bad", f"r{i}", 1.0) for i in range(10)]
         self.assertEqual(
             answers, [Admission.RUN_EXCLUSIVE, *[Admission.WAIT] * 9]
         )
-        (record,) = registry.crashed(["bad"])
+        (record,) = registry.record_crash(["bad"])
         self.assertIs(record.state, SuspectState.REFUSED)
         self.assertIs(registry.admit("bad", "r11", 2.0), Admission.REFUSED)
 
@@ -37,12 +37,12 @@
         registry = SuspectRegistry()
         registry.admit("bad", "r1", 0.0)
         registry.admit("good", "r2", 0.0)
-        registry.crashed(["bad", "good"])
+        registry.record_crash(["bad", "good"])
         self.assertIs(
             registry.admit("good", "r2", 0.0), Admission.RUN_EXCLUSIVE
         )
         self.assertIs(registry.admit("bad", "r1", 0.0), Admission.WAIT)
-        registry.succeeded("good", "r2")
+        registry.record_success("good", "r2")
         self.assertIs(registry.admit("bad", "r1", 0.0), Admission.RUN_EXCLUSIVE)
         self.assertIs(registry.admit("good", "r3", 0.0), Admission.RUN)
         self.assertIs(registry.admit("good", "r4", 0.0), Admission.RUN)
@@ -55,11 +55,11 @@
         """
         registry = SuspectRegistry()
         registry.admit("ping", "r0", 0.0)
-        registry.succeeded("ping", "r0")
+        registry.record_success("ping", "r0")
         registry.admit("ping", "r1", 0.0)
         registry.admit("ping", "r2", 0.0)
-        registry.crashed(["ping"])
-        registry.crashed(["ping"])
+        registry.record_crash(["ping"])
+        registry.record_crash(["ping"])
         self.assertIs(
             registry.admit("ping", "r3", 0.0), Admission.RUN_EXCLUSIVE
         )
@@ -78,15 +78,15 @@
         registry = SuspectRegistry()
         for _ in range(2):
             self.assertIs(registry.admit("x", "r1", 0.0), Admission.RUN)
-        registry.ended("x", "r1")
+        registry.end_run("x", "r1")
         self.assertIs(registry.admit("x", "r2", 0.0), Admission.RUN)
 
     def test_merge_takes_the_newer_record_and_operators_release(self):
         here, there = SuspectRegistry(), SuspectRegistry()
         here.admit("bad", "r1", 0.0)
-        here.crashed(["bad"])
+        here.record_crash(["bad"])
         here.admit("bad", "r1", 0.0)
-        here.crashed(["bad"])
+        here.record_crash(["bad"])
         refused = here.records()
         there.merge(refused)
         self.assertIs(there.admit("bad", "r2", 0.0), Admission.REFUSED)
@@ -117,7 +117,7 @@
             if alone:
                 self.exclusive.add(name)
             return
-        self.registry.ended(digest, run_id)
+        self.registry.end_run(digest, run_id)
 
     def step(self, replica, bad):
         runs = self.runs_by_replica[replica]
@@ -127,11 +127,11 @@
         digest = runs.pop(run_id)
         self.exclusive.discard(replica)
         if digest not in bad:
-            self.registry.succeeded(digest, run_id)
+            self.registry.record_success(digest, run_id)
             return
         count = self.crashes_by_digest.get(digest, 0)
         self.crashes_by_digest[digest] = count + 1
-        self.registry.crashed([digest, *runs.values()])
+        self.registry.record_crash([digest, *runs.values()])
         runs.clear()
 
 
