--- a/apps/masticdaled/src/masticdaled/execution/placement.py
+++ b/apps/masticdaled/src/masticdaled/execution/placement.py
@@ -10,7 +10,7 @@
 from masticdale_peers import ProbeReply, ProbeRequest
 from masticdale_routing import (
     Candidate,
-    CostInSeconds,
+    LeastCost,
     Location,
     Placement,
     PlacementRequest,
@@ -42,7 +42,7 @@
         self._in_force = in_force
         self._directory = directory
         self._keeper = keeper
-        self._policy = CostInSeconds()
+        self._policy = LeastCost()
 
     async def place(self, run: Run) -> Result[Placement, Failure]:
         """Probes a few replicas and chooses among them.
--- a/libs/routing/src/masticdale_routing/__init__.py
+++ b/libs/routing/src/masticdale_routing/__init__.py
@@ -29,7 +29,7 @@
     from masticdale_routing.placement import (
         Affinity,
         Candidate,
-        CostInSeconds,
+        LeastCost,
         LeastInFlight,
         Location,
         Placement,
@@ -104,7 +104,7 @@
     "placement": (
         "Affinity",
         "Candidate",
-        "CostInSeconds",
+        "LeastCost",
         "LeastInFlight",
         "Location",
         "Placement",
@@ -176,7 +176,6 @@
     "CircuitBreaker",
     "CircuitBreakerSettings",
     "CircuitState",
-    "CostInSeconds",
     "DroppedTickets",
     "EngineSpeed",
     "EvictionRate",
@@ -185,6 +184,7 @@
     "Granted",
     "HostShare",
     "InFlightSettings",
+    "LeastCost",
     "LeastInFlight",
     "LoadObservation",
     "Location",
--- a/libs/routing/src/masticdale_routing/placement.py
+++ b/libs/routing/src/masticdale_routing/placement.py
@@ -99,7 +99,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CostInSeconds:
+class LeastCost:
     """Least expected wait plus prefill plus generation.
 
     Attributes:
@@ -115,7 +115,7 @@
     tie_s: float = 0.25
 
 
-Policy: TypeAlias = RoundRobin | LeastInFlight | Affinity | CostInSeconds
+Policy: TypeAlias = RoundRobin | LeastInFlight | Affinity | LeastCost
 
 
 def cost_s(request: PlacementRequest, candidate: Candidate) -> float:
@@ -198,7 +198,7 @@
 
 @_choose.register
 def _(
-    policy: CostInSeconds,
+    policy: LeastCost,
     request: PlacementRequest,
     candidates: Sequence[Candidate],
 ) -> Candidate:
@@ -214,7 +214,7 @@
 
 
 def _cheapest(
-    policy: CostInSeconds,
+    policy: LeastCost,
     request: PlacementRequest,
     candidates: Sequence[Candidate],
 ) -> Candidate:
--- a/libs/routing/tests/test_placement.py
+++ b/libs/routing/tests/test_placement.py
@@ -10,7 +10,7 @@
 from masticdale_routing import (
     Affinity,
     Candidate,
-    CostInSeconds,
+    LeastCost,
     LeastInFlight,
     Location,
     PlacementRequest,
@@ -27,7 +27,7 @@
 class PlacementTest(unittest.TestCase):
     def test_turn_returns_to_its_prefix_unless_moving_saves_the_margin(self):
         request = PlacementRequest("p", 20_000, last_replica="a")
-        policy = CostInSeconds(margin_s=1.0, margin_share=0.0)
+        policy = LeastCost(margin_s=1.0, margin_share=0.0)
 
         def place_with_wait(wait_s):
             own = Candidate("a", "d1", wait_s, cached_tokens=20_000)
@@ -40,7 +40,7 @@
         request = PlacementRequest("p", 100, expected_tokens=500)
         slow = Candidate("a", "d1", decode_tokens_per_s=10.0)
         candidates = [slow, Candidate("b", "d2", 5.0)]
-        self.assertEqual(chosen(request, candidates, CostInSeconds()), "b")
+        self.assertEqual(chosen(request, candidates, LeastCost()), "b")
 
     def test_new_programs_spread_where_costs_are_all_but_equal(self):
         # Callers see one replica slow under everything while others idle: it
@@ -48,14 +48,14 @@
         request = PlacementRequest("p", 100, expected_tokens=32)
         fast = Candidate("a", "d", decode_tokens_per_s=1000.0, in_flight=6)
         idle = Candidate("b", "d", decode_tokens_per_s=900.0)
-        self.assertEqual(chosen(request, [fast, idle], CostInSeconds()), "b")
+        self.assertEqual(chosen(request, [fast, idle], LeastCost()), "b")
 
     def test_nearly_equal_costs_are_settled_by_the_calls_in_flight(self):
         request = PlacementRequest("p", 100)
         busy = Candidate("a", "d1", 0.0, in_flight=5)
         candidates = [busy, Candidate("b", "d2", 0.2, in_flight=1)]
-        self.assertEqual(chosen(request, candidates, CostInSeconds()), "b")
-        exact = CostInSeconds(tie_s=0.0)
+        self.assertEqual(chosen(request, candidates, LeastCost()), "b")
+        exact = LeastCost(tie_s=0.0)
         self.assertEqual(chosen(request, candidates, exact), "a")
 
     def test_baselines(self):
@@ -73,7 +73,7 @@
     def test_without_a_usable_replica_the_call_is_refused(self):
         request = PlacementRequest("p", 100)
         result = place(
-            request, [Candidate("a", "d", usable=False)], CostInSeconds()
+            request, [Candidate("a", "d", usable=False)], LeastCost()
         )
         self.assertIs(result.failure().kind, ErrorKind.NO_UPSTREAM)
 
@@ -85,7 +85,7 @@
             max_size=12,
         ),
         st.sampled_from(
-            [RoundRobin(), LeastInFlight(), Affinity(), CostInSeconds()]
+            [RoundRobin(), LeastInFlight(), Affinity(), LeastCost()]
         ),
     )
     def test_only_usable_replicas_and_no_move_that_costs_more(
@@ -103,7 +103,7 @@
             return
         placement = result.unwrap()
         self.assertIn(placement.replica, usable)
-        if isinstance(policy, CostInSeconds) and "r0" in usable:
+        if isinstance(policy, LeastCost) and "r0" in usable:
             first = rows[0]
             staying_s = first[0] + (9_000 - first[1]) / 10_000
             self.assertLessEqual(placement.cost_s, staying_s + 1e-6)
--- a/tools/load/src/masticdale_load/calls.py
+++ b/tools/load/src/masticdale_load/calls.py
@@ -19,9 +19,9 @@
     Affinity,
     BranchKey,
     Candidate,
-    CostInSeconds,
     FailedAttempt,
     GiveUp,
+    LeastCost,
     LeastInFlight,
     Location,
     PlacementRequest,
@@ -87,7 +87,7 @@
         return LeastInFlight()
     if policy.placement is PlacementKind.AFFINITY:
         return Affinity()
-    return CostInSeconds(policy.margin_s, policy.margin_share, policy.tie_s)
+    return LeastCost(policy.margin_s, policy.margin_share, policy.tie_s)
 
 
 class ModelCaller:
--- a/tools/load/src/masticdale_load/decisions.py
+++ b/tools/load/src/masticdale_load/decisions.py
@@ -8,8 +8,8 @@
 
 from masticdale_routing import (
     Candidate,
-    CostInSeconds,
     InFlightSettings,
+    LeastCost,
     Location,
     PlacementRequest,
     QueueSettings,
@@ -84,7 +84,7 @@
         for number in range(_CANDIDATES)
     ]
     request = PlacementRequest("p", 20_000, 150, "r3")
-    policy = CostInSeconds()
+    policy = LeastCost()
     return _timed(
         "place", _CANDIDATES, lambda _: place(request, candidates, policy)
     )
