--- a/apps/masticdaled/src/masticdaled/callers/limits.py
+++ b/apps/masticdaled/src/masticdaled/callers/limits.py
@@ -6,7 +6,7 @@
 
 from masticdale_common import Failure
 from masticdale_config import ConfigInForce, RenderedWorkspace
-from masticdale_routing import WorkspaceGate, WorkspaceLimits, split_share
+from masticdale_routing import HostShareLimiter, WorkspaceLimits, split_share
 from masticdaled.cluster import Cluster
 
 _BURST_S = 2.0
@@ -18,7 +18,7 @@
     def __init__(self, cluster: Cluster, in_force: ConfigInForce) -> None:
         self._cluster = cluster
         self._in_force = in_force
-        self._gate_by_workspace: dict[str, WorkspaceGate] = {}
+        self._gate_by_workspace: dict[str, HostShareLimiter] = {}
 
     def begin(self, workspace_name: str, turn_id: str) -> Result[None, Failure]:
         """Begins a call within this host's share of the limits.
@@ -38,7 +38,9 @@
         if gate is not None:
             gate.end(turn_id)
 
-    def _gate(self, workspace: RenderedWorkspace, now: float) -> WorkspaceGate:
+    def _gate(
+        self, workspace: RenderedWorkspace, now: float
+    ) -> HostShareLimiter:
         limits = WorkspaceLimits(
             workspace.budget.turns,
             workspace.limits.requests_per_s,
@@ -52,7 +54,7 @@
         )
         gate = self._gate_by_workspace.get(workspace.name)
         if gate is None:
-            gate = WorkspaceGate(share, now)
+            gate = HostShareLimiter(share, now)
             self._gate_by_workspace[workspace.name] = gate
             return gate
         gate.change(share, now)
--- a/libs/routing/src/masticdale_routing/__init__.py
+++ b/libs/routing/src/masticdale_routing/__init__.py
@@ -14,8 +14,8 @@
     )
     from masticdale_routing.limits import (
         HostShare,
+        HostShareLimiter,
         TokenBucket,
-        WorkspaceGate,
         WorkspaceLimits,
         split_share,
     )
@@ -90,7 +90,7 @@
     "limits": (
         "HostShare",
         "TokenBucket",
-        "WorkspaceGate",
+        "HostShareLimiter",
         "WorkspaceLimits",
         "split_share",
     ),
@@ -183,6 +183,7 @@
     "GiveUp",
     "Granted",
     "HostShare",
+    "HostShareLimiter",
     "InFlightSettings",
     "LeastCost",
     "LeastInFlight",
@@ -213,7 +214,6 @@
     "Ticket",
     "TicketResult",
     "TokenBucket",
-    "WorkspaceGate",
     "WorkspaceLimits",
     "choose_probes",
     "cost_s",
--- a/libs/routing/src/masticdale_routing/limits.py
+++ b/libs/routing/src/masticdale_routing/limits.py
@@ -111,7 +111,7 @@
         self._at = max(self._at, now)
 
 
-class WorkspaceGate:
+class HostShareLimiter:
     """Enforces one host's share of a workspace's limits."""
 
     def __init__(self, share: HostShare, now: float) -> None:
--- a/libs/routing/tests/test_limits.py
+++ b/libs/routing/tests/test_limits.py
@@ -9,7 +9,7 @@
 from masticdale_common import ErrorKind
 from masticdale_routing import (
     HostShare,
-    WorkspaceGate,
+    HostShareLimiter,
     WorkspaceLimits,
     split_share,
 )
@@ -35,7 +35,7 @@
 
 class GateTest(unittest.TestCase):
     def test_refuses_past_the_share_with_an_honest_time(self):
-        gate = WorkspaceGate(HostShare(2, 2.0, 2.0), 0.0)
+        gate = HostShareLimiter(HostShare(2, 2.0, 2.0), 0.0)
         self.assertEqual(gate.begin("a", 0.0), Success(None))
         self.assertEqual(gate.begin("a", 0.0), Success(None))
         self.assertEqual(gate.begin("b", 0.0), Success(None))
