--- a/apps/masticdaled/src/masticdaled/callers/limits.py
+++ b/apps/masticdaled/src/masticdaled/callers/limits.py
@@ -57,5 +57,5 @@
             gate = HostShareLimiter(share, now)
             self._gate_by_workspace[workspace.name] = gate
             return gate
-        gate.change(share, now)
+        gate.update_share(share, now)
         return gate
--- a/libs/routing/src/masticdale_routing/limits.py
+++ b/libs/routing/src/masticdale_routing/limits.py
@@ -124,7 +124,7 @@
         """Turns in flight."""
         return len(self._active)
 
-    def change(self, share: HostShare, now: float) -> None:
+    def update_share(self, share: HostShare, now: float) -> None:
         """Sets another share, after hosts came or left."""
         self._share = share
         self._bucket.change(share.turns_per_s, share.burst, now)
