--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -79,7 +79,7 @@
         budget = self._retry_budget_by_model.setdefault(
             call.model, RetryBudget(RetrySettings())
         )
-        budget.first_sent()
+        budget.record_first_attempt()
         self._keeper.returned(call)
         while True:
             outcome = await self._try_once(run, sink)
--- a/apps/masticdaled/src/masticdaled/execution/service_calls.py
+++ b/apps/masticdaled/src/masticdaled/execution/service_calls.py
@@ -54,7 +54,7 @@
         budget = self._retry_budget_by_operation.setdefault(
             call.operation, RetryBudget(RetrySettings())
         )
-        budget.first_sent()
+        budget.record_first_attempt()
         attempts = 0
         while True:
             attempts += 1
--- a/libs/routing/src/masticdale_routing/retries.py
+++ b/libs/routing/src/masticdale_routing/retries.py
@@ -49,7 +49,7 @@
         """Retries that may be sent at present."""
         return self._tokens
 
-    def first_sent(self) -> None:
+    def record_first_attempt(self) -> None:
         """Notes the first send of a call."""
         settings = self._settings
         self._tokens = min(settings.burst, self._tokens + settings.share)
--- a/libs/routing/tests/test_retries.py
+++ b/libs/routing/tests/test_retries.py
@@ -33,7 +33,7 @@
         budget = RetryBudget(RetrySettings(share=0.1, burst=5.0))
         retries = 0
         for is_failed in failed_sends:
-            budget.first_sent()
+            budget.record_first_attempt()
             attempt = FailedAttempt(FAILED, 1, 100.0)
             if is_failed:
                 decision = decide_retry(attempt, budget, 0.0)
--- a/tools/load/src/masticdale_load/calls.py
+++ b/tools/load/src/masticdale_load/calls.py
@@ -124,7 +124,7 @@
         offers = 0
         failed_replicas: list[str] = []
         self._counters.first_sends += 1
-        self._budget.first_sent()
+        self._budget.record_first_attempt()
         while True:
             offers += 1
             probe = self._probe(call, f"{call.call_id}.{offers}", queued_at)
