--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -363,7 +363,7 @@
             home.incarnation_by_ticket.pop(ticket.ticket_id, None)
 
     def _flush(self, home: ReplicaHome) -> None:
-        granted = home.queue.grantable(time.monotonic())
+        granted = home.queue.take_granted(time.monotonic())
         now = time.monotonic()
         for ticket in granted:
             request = home.request_by_ticket.get(ticket.ticket_id)
--- a/libs/routing/src/masticdale_routing/queues.py
+++ b/libs/routing/src/masticdale_routing/queues.py
@@ -157,7 +157,7 @@
             self._limit.finished(speed, full, now)
         self.speed.observe(result)
 
-    def grantable(self, now: float) -> list[Ticket]:
+    def take_granted(self, now: float) -> list[Ticket]:
         """Returns the tickets granted since the last call, in grant order."""
         self._expire(now)
         self._grant(now)
--- a/libs/routing/tests/test_queues.py
+++ b/libs/routing/tests/test_queues.py
@@ -46,7 +46,7 @@
     """Finishes whatever runs until nothing waits; returns the grant order."""
     order = []
     while True:
-        order += [t.ticket_id for t in replica_queue.grantable(now)]
+        order += [t.ticket_id for t in replica_queue.take_granted(now)]
         running = replica_queue.running()
         if not running:
             return order
@@ -128,7 +128,7 @@
         q.offer(ticket("a"), 0.0)
         late = ticket("b", deadline_at=5.0)
         self.assertIsInstance(q.offer(late, 0.0), Queued)
-        self.assertEqual(q.grantable(5.0), [])
+        self.assertEqual(q.take_granted(5.0), [])
         self.assertEqual(q.waiting, 0)
         self.assertIs(
             q.offer(late, 5.0).failure.kind, ErrorKind.DEADLINE_EXCEEDED
@@ -160,13 +160,13 @@
         fast = TicketResult(generated_tokens=100, service_s=1.0)
         for _ in range(100):
             q.finish(q.running()[0].ticket_id, fast, 0.0)
-            q.grantable(0.0)
+            q.take_granted(0.0)
         grown = q.limit
         self.assertGreater(grown, 8)
         slow = TicketResult(generated_tokens=10, service_s=1.0)
         for _ in range(100):
             q.finish(q.running()[0].ticket_id, slow, 0.0)
-            q.grantable(0.0)
+            q.take_granted(0.0)
         self.assertLess(q.limit, grown)
 
     def test_one_fast_outlier_does_not_shrink_the_limit(self):
@@ -181,7 +181,7 @@
         for service_s in (1.0, 0.1, *[1.0] * 60):
             result = TicketResult(generated_tokens=50, service_s=service_s)
             q.finish(q.running()[0].ticket_id, result, 0.0)
-            q.grantable(0.0)
+            q.take_granted(0.0)
         self.assertEqual(q.limit, 8)
 
 
@@ -211,8 +211,8 @@
         q = queue()
         q.offer(ticket("a", deadline_at=10.0), 0.0)
         q.offer(ticket("b"), 0.0)
-        self.assertEqual(q.grantable(39.0), [])
-        self.assertEqual([t.ticket_id for t in q.grantable(41.0)], ["b"])
+        self.assertEqual(q.take_granted(39.0), [])
+        self.assertEqual([t.ticket_id for t in q.take_granted(41.0)], ["b"])
 
     def test_tickets_of_a_dead_origin_are_dropped(self):
         """A host dies with one call running and one waiting.
@@ -227,7 +227,7 @@
         dropped = q.drop_origin("dead", 0.0)
         self.assertEqual([t.ticket_id for t in dropped.running], ["a"])
         self.assertEqual([t.ticket_id for t in dropped.waiting], ["b"])
-        self.assertEqual([t.ticket_id for t in q.grantable(0.0)], ["c"])
+        self.assertEqual([t.ticket_id for t in q.take_granted(0.0)], ["c"])
 
     def test_new_home_adopts_what_runs(self):
         """The home's host dies; owners offer again at the new home.
@@ -294,7 +294,7 @@
                 q.withdraw(each.ticket_id, now)
                 held.discard(each.ticket_id)
                 granted.discard(each.ticket_id)
-            granted |= {t.ticket_id for t in q.grantable(now)}
+            granted |= {t.ticket_id for t in q.take_granted(now)}
             running = {t.ticket_id for t in q.running()}
             self.assertEqual(running, granted, index)
             self.assertLessEqual(len(running), limit)
@@ -315,7 +315,7 @@
     def test_order_is_age_bound_then_class_then_attained(self, rows):
         q = queue(age_bound_s=40.0)
         q.offer(ticket("first"), 0.0)
-        q.grantable(0.0)
+        q.take_granted(0.0)
         by_id = {}
         for i, (priority, queued_at, attained_s) in enumerate(rows):
             each = ticket(
--- a/tools/load/src/masticdale_load/decisions.py
+++ b/tools/load/src/masticdale_load/decisions.py
@@ -133,7 +133,7 @@
     def serve(_: int) -> None:
         running = queue.running()
         queue.withdraw(running[0].ticket_id, 0.0)
-        queue.grantable(0.0)
+        queue.take_granted(0.0)
 
     return [
         _timed(
--- a/tools/load/src/masticdale_load/gates.py
+++ b/tools/load/src/masticdale_load/gates.py
@@ -57,7 +57,7 @@
 
     def pump(self) -> None:
         """Tells granted calls that they may run."""
-        for ticket in self.queue.grantable(self._loop.time()):
+        for ticket in self.queue.take_granted(self._loop.time()):
             self._permit(ticket, Granted())
 
     def close(self, failure: Failure) -> None:
