--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -252,7 +252,7 @@
         if terms.running is None:
             return
         now = asyncio.get_running_loop().time()
-        state.note_load(ReportedLoad(terms.running, terms.waiting, now))
+        state.record_load(ReportedLoad(terms.running, terms.waiting, now))
 
     def _failure(
         self,
--- a/libs/routing/src/masticdale_routing/fleet.py
+++ b/libs/routing/src/masticdale_routing/fleet.py
@@ -85,7 +85,7 @@
         self.circuit = CircuitBreaker(_CIRCUIT)
         self._load: ReportedLoad | None = None
 
-    def note_load(self, load: ReportedLoad) -> None:
+    def record_load(self, load: ReportedLoad) -> None:
         """Takes what an answer said of the replica's load."""
         self._load = load
 
--- a/libs/routing/tests/test_fleet.py
+++ b/libs/routing/tests/test_fleet.py
@@ -104,7 +104,7 @@
         )
         state_by_id = {s.replica.id: s for s in fleet.states()}
         self.assertEqual(fleet.choose("engine", None, 0.0).replica.id, "near")
-        state_by_id["near"].note_load(ReportedLoad(5, 2, at=0.0))
+        state_by_id["near"].record_load(ReportedLoad(5, 2, at=0.0))
         self.assertEqual(fleet.choose("engine", None, 0.1).replica.id, "far")
         self.assertEqual(fleet.choose("engine", None, 9.0).replica.id, "near")
 
