--- a/apps/masticdaled/src/masticdaled/replicas/home.py
+++ b/apps/masticdaled/src/masticdaled/replicas/home.py
@@ -60,7 +60,7 @@
 
     def residence_ms(self, now: float) -> int:
         """Returns how long an unused token stays; 0 while nothing presses."""
-        rate = self.evictions.per_s(now)
+        rate = self.evictions.tokens_per_s(now)
         if rate <= 0 or not self.prefixes.capacity_tokens:
             return 0
         return int(self.prefixes.capacity_tokens / rate * 1000)
--- a/apps/masticdaled/src/masticdaled/replicas/observation.py
+++ b/apps/masticdaled/src/masticdaled/replicas/observation.py
@@ -52,4 +52,4 @@
         else:
             home.prefixes.record_evicted(branch, event.tokens, now)
     freed = held_before - home.prefixes.held_tokens
-    home.evictions.add(max(0, freed), now)
+    home.evictions.record_evicted(max(0, freed), now)
--- a/libs/routing/src/masticdale_routing/evictions.py
+++ b/libs/routing/src/masticdale_routing/evictions.py
@@ -10,12 +10,12 @@
         self._tokens = 0.0
         self._at = 0.0
 
-    def add(self, tokens: int, now: float) -> None:
+    def record_evicted(self, tokens: int, now: float) -> None:
         """Notes evicted tokens."""
         self._tokens = self._remembered(now) + tokens
         self._at = now
 
-    def per_s(self, now: float) -> float:
+    def tokens_per_s(self, now: float) -> float:
         """Returns the present rate."""
         return self._remembered(now) / _WINDOW_S
 
--- a/tools/load/src/masticdale_load/homes.py
+++ b/tools/load/src/masticdale_load/homes.py
@@ -100,7 +100,7 @@
         Args:
             reuse_share: Share of evicted tokens that are asked for again.
         """
-        rate = self.evictions.per_s(self._loop.time())
+        rate = self.evictions.tokens_per_s(self._loop.time())
         capacity = self.engine.cache.capacity_tokens
         return CachePressure(
             capacity / rate if rate > 0 else _UNPRESSED_S,
@@ -188,7 +188,7 @@
             await asyncio.sleep(self._settings.report_period_s)
 
     def _evicted(self, key: str, left: int, freed: int) -> None:
-        self._home.evictions.add(freed, self._loop.time())
+        self._home.evictions.record_evicted(freed, self._loop.time())
         if self._random.random() < self._settings.event_loss:
             return
         lag_s = self._settings.event_lag_s
