--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -200,7 +200,7 @@
         attempt = _Attempt(ticket, engine, sink)
         run.attempts += 1
         sink.restart()
-        sink.placed(engine.name)
+        sink.record_placement(engine.name)
         client = self._clients.engine(engine)
         reply = run.reply_by_replica.get(engine.name, ProbeReply())
         release = TicketRelease(ticket.ticket_id, engine.name)
--- a/libs/programs/src/masticdale_programs/executors.py
+++ b/libs/programs/src/masticdale_programs/executors.py
@@ -92,7 +92,7 @@
 class TextSink(Protocol):
     """Where an executor puts the text as it comes."""
 
-    def placed(self, replica: str) -> None:
+    def record_placement(self, replica: str) -> None:
         """Notes a replica that may hold engine memory from now on."""
         ...
 
--- a/libs/programs/src/masticdale_programs/streams.py
+++ b/libs/programs/src/masticdale_programs/streams.py
@@ -55,8 +55,8 @@
         """The final outcome, once there is one."""
         return self._outcome
 
-    def placed(self, replica: str) -> None:
-        """See ``TextSink.placed``."""
+    def record_placement(self, replica: str) -> None:
+        """See ``TextSink.record_placement``."""
         self.replicas.add(replica)
         self.waits_for = f"answer of {replica}"
 
--- a/libs/programs/src/masticdale_programs/testing.py
+++ b/libs/programs/src/masticdale_programs/testing.py
@@ -58,7 +58,7 @@
         self, call: ModelCall, sink: TextSink
     ) -> Result[ModelResult, Failure]:
         """See ``Executor.run_model``."""
-        sink.placed("engine-1")
+        sink.record_placement("engine-1")
         self.calls.append(call)
         await asyncio.sleep(self.faults.delay_s)
         if self.faults.fail_turns > 0:
