--- a/apps/masticdaled/src/masticdaled/execution/crash_checks.py
+++ b/apps/masticdaled/src/masticdaled/execution/crash_checks.py
@@ -33,7 +33,7 @@
         host; its digest's home knows it and lets it run at most twice.
         """
         while time.monotonic() < run.call.deadline:
-            sink.waits("a run of the same content")
+            sink.set_wait_reason("a run of the same content")
             await asyncio.sleep(_SUSPECT_WAIT_S)
             admission = await self.ask(run)
             if admission is not Admission.WAIT:
--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -91,7 +91,7 @@
                 # Waiting for a home to settle is no retry of a call: counted
                 # as one, a planned stop would use the retry budget up and
                 # callers would be refused.
-                sink.waits("a home that moves")
+                sink.set_wait_reason("a home that moves")
                 await asyncio.sleep(_MOVING_WAIT_S)
                 continue
             decision = decide_retry(
@@ -102,7 +102,7 @@
             if isinstance(decision, GiveUp):
                 return Failed(_final(decision.failure, run))
             self._metrics.count("retries_total", model=call.model)
-            sink.waits(f"retry after {failure.kind.value}")
+            sink.set_wait_reason(f"retry after {failure.kind.value}")
             await asyncio.sleep(decision.delay_s)
 
     def is_repeatable(self, workspace: str, operation: str) -> bool:
@@ -155,7 +155,7 @@
     async def _admit_and_send(
         self, run: Run, sink: TextSink
     ) -> Result[ModelResult, Failure]:
-        sink.waits("placement")
+        sink.set_wait_reason("placement")
         started = time.monotonic()
         admission, placed = await asyncio.gather(
             self._digests.ask(run), self._placer.place(run)
@@ -180,7 +180,7 @@
         if not isinstance(engine, RenderedEngine):
             return Failed(Failure(ErrorKind.NO_UPSTREAM, placement.replica))
         ticket = _ticket_request(run, placement, self._cluster.host)
-        sink.waits(f"queue of {engine.name}")
+        sink.set_wait_reason(f"queue of {engine.name}")
         started = time.monotonic()
         acquired = await self._desk.acquire(ticket, run.call.deadline)
         self._observe("queue", started)
--- a/libs/programs/src/masticdale_programs/calls.py
+++ b/libs/programs/src/masticdale_programs/calls.py
@@ -91,11 +91,11 @@
     # From here on the task is never cancelled for want of a reader: the
     # outcome of what may have been sent must be learnt and committed.
     stream.cancellable = False
-    stream.waits("commit of the intent")
+    stream.set_wait_reason("commit of the intent")
     committed = await _commit_intent(shard, program, intent)
     if isinstance(committed, Failed):
         return committed
-    stream.waits(f"answer of {operation.operation}")
+    stream.set_wait_reason(f"answer of {operation.operation}")
     outcome = await shard.executor.call_service(call)
     return await _commit_outcome(shard, intent, outcome, stream, call.deadline)
 
@@ -106,7 +106,7 @@
     stream: AnswerStream,
     call: ServiceCall,
 ) -> CallEnd:
-    stream.waits(f"answer of {operation.operation}")
+    stream.set_wait_reason(f"answer of {operation.operation}")
     outcome = await shard.executor.call_service(call)
     if isinstance(outcome, Failed):
         return outcome
--- a/libs/programs/src/masticdale_programs/executors.py
+++ b/libs/programs/src/masticdale_programs/executors.py
@@ -96,7 +96,7 @@
         """Notes a replica that may hold engine memory from now on."""
         ...
 
-    def waits(self, reason: str) -> None:
+    def set_wait_reason(self, reason: str) -> None:
         """Notes what the call waits for, for operators."""
         ...
 
--- a/libs/programs/src/masticdale_programs/streams.py
+++ b/libs/programs/src/masticdale_programs/streams.py
@@ -60,8 +60,8 @@
         self.replicas.add(replica)
         self.waits_for = f"answer of {replica}"
 
-    def waits(self, reason: str) -> None:
-        """See ``TextSink.waits``."""
+    def set_wait_reason(self, reason: str) -> None:
+        """See ``TextSink.set_wait_reason``."""
         self.waits_for = reason
 
     def restart(self) -> None:
--- a/libs/programs/src/masticdale_programs/turns.py
+++ b/libs/programs/src/masticdale_programs/turns.py
@@ -87,7 +87,7 @@
     max_tokens = min(operation.max_tokens or kind.max_tokens, kind.max_tokens)
     message_tokens = budgets.count_tokens(operation.message)
     need = Need(tokens=message_tokens + max_tokens, calls=1, turns=1)
-    stream.waits("budget")
+    stream.set_wait_reason("budget")
     reserved = await budgets.reserve(program, kind.budget, need, deadline)
     if isinstance(reserved, Failed):
         return reserved
@@ -132,7 +132,7 @@
         The commit's outcome. It never says that the call was not run.
     """
     stream.cancellable = False
-    stream.waits("commit")
+    stream.set_wait_reason("commit")
     commit = asyncio.ensure_future(shard.commit([record]))
     left_s = max(0.0, deadline - time.monotonic())
     done, _ = await asyncio.wait([commit], timeout=left_s)
