--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -155,7 +155,7 @@
         """Follows an answer; see ``Shard.read``."""
         number = hashing.shard_of(key.program_id)
         shard = self._shard_by_number.get(number)
-        if shard is None or not shard.is_held:
+        if shard is None or not shard.is_owned:
             return Failed(self._not_owner(number))
         return await shard.read(key, workspace, attempt, offset, wait_s)
 
@@ -180,7 +180,7 @@
     def programs(self) -> Iterator[OwnedProgram]:
         """Returns every program owned here."""
         for number, shard in self._shard_by_number.items():
-            if not shard.is_held:
+            if not shard.is_owned:
                 continue
             for program in shard.state.program_by_id.values():
                 yield OwnedProgram(number, shard, program)
@@ -210,12 +210,12 @@
 
     def held_shards(self) -> tuple[Shard, ...]:
         """Returns the shards this host holds now."""
-        return tuple(s for s in self._shard_by_number.values() if s.is_held)
+        return tuple(s for s in self._shard_by_number.values() if s.is_owned)
 
     async def tick(self) -> None:
         """Sweeps shards and hands over those that belong elsewhere."""
         for number, shard in list(self._shard_by_number.items()):
-            if not shard.is_held:
+            if not shard.is_owned:
                 await self._drop(number, shard)
                 continue
             await shard.sweep()
@@ -248,12 +248,12 @@
 
     async def _find(self, number: int) -> Result[Shard, Failure]:
         shard = self._shard_by_number.get(number)
-        if shard is not None and shard.is_held:
+        if shard is not None and shard.is_owned:
             return Success(shard)
         lock = self._opening_by_number.setdefault(number, asyncio.Lock())
         async with lock:
             shard = self._shard_by_number.get(number)
-            if shard is not None and shard.is_held:
+            if shard is not None and shard.is_owned:
                 return Success(shard)
             return await self._open(number)
 
--- a/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
+++ b/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
@@ -72,7 +72,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit_s):
                 await self._ask_anew(shard)
-        if not shard.is_held:
+        if not shard.is_owned:
             return Ownership.LOST
         if self._age_s(shard) <= _VALID_S:
             return Ownership.HELD
@@ -105,7 +105,7 @@
         earlier = self._check_by_shard.get(shard.number)
         if earlier is not None and not earlier.done():
             await asyncio.wait([earlier])
-        if shard.is_held and self._age_s(shard) > _VALID_S:
+        if shard.is_owned and self._age_s(shard) > _VALID_S:
             await asyncio.wait([self._renew(shard)])
 
     def _age_s(self, shard: Shard) -> float:
--- a/apps/masticdaled/tests/test_ownership_checks.py
+++ b/apps/masticdaled/tests/test_ownership_checks.py
@@ -23,13 +23,13 @@
 
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.is_held = True
+        self.is_owned = True
 
     async def check_head(self):
         delay_s, answer = self.answers.pop(0)
         await asyncio.sleep(delay_s)
         if answer is NOT_OWNER:
-            self.is_held = False
+            self.is_owned = False
         return answer
 
 
--- a/libs/programs/src/masticdale_programs/journal.py
+++ b/libs/programs/src/masticdale_programs/journal.py
@@ -89,7 +89,7 @@
         return self._head.epoch
 
     @property
-    def is_held(self) -> bool:
+    def is_owned(self) -> bool:
         """False once another host took the shard over."""
         return not self._deposed
 
--- a/libs/programs/src/masticdale_programs/shards.py
+++ b/libs/programs/src/masticdale_programs/shards.py
@@ -71,7 +71,7 @@
         self._kind_in_force = kind_in_force
         self._journal: journal.Journal | None = None
         self._calls = CallsInFlight(
-            settings, self.state, lambda: self.epoch, lambda: self.is_held
+            settings, self.state, lambda: self.epoch, lambda: self.is_owned
         )
         self._endings = Endings(self, self._calls)
         self._copies_renewed = time.monotonic()
@@ -83,9 +83,9 @@
         return self._held_journal().epoch
 
     @property
-    def is_held(self) -> bool:
+    def is_owned(self) -> bool:
         """False once another host took the shard over."""
-        return self._held_journal().is_held
+        return self._held_journal().is_owned
 
     @property
     def in_flight(self) -> int:
@@ -145,7 +145,7 @@
         Returns:
             The result; calls are ``Accepted`` and then read as a stream.
         """
-        if not self.is_held:
+        if not self.is_owned:
             return Failed(Failure(ErrorKind.NOT_OWNER, f"shard {self.number}"))
         if isinstance(operation, CreateProgram):
             return await self._create(operation, caller)
@@ -391,7 +391,7 @@
         """Returns the shard's state for a dump."""
         return {
             "epoch": self.epoch,
-            "held": self.is_held,
+            "held": self.is_owned,
             "copied_bytes": self._held_journal().copied_bytes,
             "programs": len(self.state.program_by_id),
             "in_flight": self.in_flight,
--- a/libs/programs/tests/test_journal.py
+++ b/libs/programs/tests/test_journal.py
@@ -125,7 +125,7 @@
         journal = await self.open(fail)
         outcome = await journal.commit([ProgramForgotten("p1")])
         self.assertIs(outcome.failure().kind, ErrorKind.WRITE_UNKNOWN)
-        self.assertFalse(journal.is_held)
+        self.assertFalse(journal.is_owned)
 
 
 if __name__ == "__main__":
--- a/libs/programs/tests/test_shards.py
+++ b/libs/programs/tests/test_shards.py
@@ -265,7 +265,7 @@
         await self.open("host-2")
         outcome = await self.shard.check_head()
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
-        self.assertFalse(self.shard.is_held)
+        self.assertFalse(self.shard.is_owned)
 
     async def test_own_write_with_a_lost_answer_is_recognised(self):
         self.store.faults.lose_write_answers = 2
