--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -206,7 +206,7 @@
         would go on accepting calls that can never be committed.
         """
         shards = self.held_shards()
-        await asyncio.gather(*(shard.check_head() for shard in shards))
+        await asyncio.gather(*(shard.check_ownership() for shard in shards))
 
     def held_shards(self) -> tuple[Shard, ...]:
         """Returns the shards this host holds now."""
--- a/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
+++ b/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
@@ -125,7 +125,7 @@
     async def _ask(self, shard: Shard) -> None:
         # The time before the question: the answer may be as old as that.
         asked_at = asyncio.get_running_loop().time()
-        outcome = await shard.check_head()
+        outcome = await shard.check_ownership()
         if isinstance(outcome, Success):
             self._held_at_by_shard[shard.number] = asked_at
         elif outcome.failure().kind is ErrorKind.NOT_OWNER:
--- a/apps/masticdaled/tests/test_ownership_checks.py
+++ b/apps/masticdaled/tests/test_ownership_checks.py
@@ -25,7 +25,7 @@
         self.answers = list(answers)
         self.is_owned = True
 
-    async def check_head(self):
+    async def check_ownership(self):
         delay_s, answer = self.answers.pop(0)
         await asyncio.sleep(delay_s)
         if answer is NOT_OWNER:
--- a/libs/programs/src/masticdale_programs/journal.py
+++ b/libs/programs/src/masticdale_programs/journal.py
@@ -189,12 +189,12 @@
         """
         if not self._out or self._queue.batches:
             return
-        outcome = await self.check_head()
+        outcome = await self.check_ownership()
         if isinstance(outcome, Success) and not self._queue.batches:
             self._out = False
             self._write_failed = False
 
-    async def check_head(self) -> Result[None, Failure]:
+    async def check_ownership(self) -> Result[None, Failure]:
         """Finds out whether another host took the shard over.
 
         Without it, an owner that was paused goes on accepting calls until
--- a/libs/programs/src/masticdale_programs/shards.py
+++ b/libs/programs/src/masticdale_programs/shards.py
@@ -379,9 +379,9 @@
         for program in list(self.state.program_by_id.values()):
             self._endings.sweep(program, program.program_id in busy_ids)
 
-    async def check_head(self) -> Result[None, Failure]:
+    async def check_ownership(self) -> Result[None, Failure]:
         """Finds out whether this host was deposed; call it after a pause."""
-        return await self._held_journal().check_head()
+        return await self._held_journal().check_ownership()
 
     def waiting_for(self, program: Program) -> tuple[str, ...]:
         """Returns a program's calls in flight and what each waits for."""
--- a/libs/programs/tests/test_shards.py
+++ b/libs/programs/tests/test_shards.py
@@ -261,9 +261,9 @@
         self.assertEqual(ids, ["r0", "r1"])
 
     async def test_paused_owner_finds_out_by_reading_the_head(self):
-        self.assertIsInstance(await self.shard.check_head(), Success)
+        self.assertIsInstance(await self.shard.check_ownership(), Success)
         await self.open("host-2")
-        outcome = await self.shard.check_head()
+        outcome = await self.shard.check_ownership()
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
         self.assertFalse(self.shard.is_owned)
 
