--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -352,7 +352,7 @@
     async def _hand_over(self, number: int, shard: Shard) -> None:
         self._shard_by_number.pop(number, None)
         self._misplaced_since.pop(number, None)
-        await shard.hand_over()
+        await shard.hand_off()
         await shard.close()
         logs.write("shard_handed_over", shard=number)
 
--- a/libs/programs/src/masticdale_programs/shards.py
+++ b/libs/programs/src/masticdale_programs/shards.py
@@ -397,7 +397,7 @@
             "in_flight": self.in_flight,
         }
 
-    async def hand_over(self) -> Result[None, Failure]:
+    async def hand_off(self) -> Result[None, Failure]:
         """Releases the shard for the next owner, once nothing is in flight."""
         return await self._held_journal().release()
 
