--- a/libs/programs/tests/test_interleavings.py
+++ b/libs/programs/tests/test_interleavings.py
@@ -149,7 +149,7 @@
         while True:
             await asyncio.sleep(1.0)
             for host in self.hosts:
-                if host.shard.is_held:
+                if host.shard.is_owned:
                     await host.shard.sweep()
 
     async def recover(self):
