--- a/libs/programs/src/masticdale_programs/budgets.py
+++ b/libs/programs/src/masticdale_programs/budgets.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Need:
+class Reservation:
     """The worst case of one call."""
 
     tokens: int = 0
@@ -30,7 +30,7 @@
 
 
 async def reserve(
-    program: Program, budget: Budget, need: Need, deadline: float
+    program: Program, budget: Budget, reservation: Reservation, deadline: float
 ) -> Result[None, Failure]:
     """Sets the worst case of a call aside.
 
@@ -40,49 +40,51 @@
     Args:
         program: Its spending is changed.
         budget: The budget in force.
-        need: The worst case.
+        reservation: The worst case.
         deadline: Monotonic seconds after which nobody waits.
 
     Returns:
         BUDGET_EXCEEDED when what is spent already leaves too little.
     """
     while True:
-        short = _spent_shortage(program, budget, need)
-        if short:
-            return Failed(Failure(ErrorKind.BUDGET_EXCEEDED, short))
-        if _fits(program, budget, need):
+        shortage = _describe_shortage(program, budget, reservation)
+        if shortage:
+            return Failed(Failure(ErrorKind.BUDGET_EXCEEDED, shortage))
+        if _fits(program, budget, reservation):
             break
         try:
             async with asyncio.timeout(deadline - time.monotonic()):
-                await program.settled.wait()
+                await program.reservation_released.wait()
         except TimeoutError:
             return Failed(Failure(ErrorKind.DEADLINE_EXCEEDED))
-    hold(program, need)
+    reserve_unchecked(program, reservation)
     return Success(None)
 
 
-def hold(program: Program, need: Need) -> None:
-    """Sets an amount aside without asking; ``settle`` returns it."""
-    program.spending.reserved_tokens += need.tokens
-    program.spending.reserved_calls += need.calls
-    program.spending.reserved_turns += need.turns
+def reserve_unchecked(program: Program, reservation: Reservation) -> None:
+    """Reserves an amount without checking the budget."""
+    program.spending.reserved_tokens += reservation.tokens
+    program.spending.reserved_calls += reservation.calls
+    program.spending.reserved_turns += reservation.turns
 
 
-def settle(program: Program, need: Need) -> None:
+def release_reservation(program: Program, reservation: Reservation) -> None:
     """Returns a reservation; what was spent is charged by the records."""
-    program.spending.reserved_tokens -= need.tokens
-    program.spending.reserved_calls -= need.calls
-    program.spending.reserved_turns -= need.turns
-    program.settled.set()
-    program.settled = asyncio.Event()
+    program.spending.reserved_tokens -= reservation.tokens
+    program.spending.reserved_calls -= reservation.calls
+    program.spending.reserved_turns -= reservation.turns
+    program.reservation_released.set()
+    program.reservation_released = asyncio.Event()
 
 
-def _spent_shortage(program: Program, budget: Budget, need: Need) -> str:
+def _describe_shortage(
+    program: Program, budget: Budget, reservation: Reservation
+) -> str:
     spending = program.spending
     rows = (
-        ("tokens", spending.tokens, need.tokens, budget.tokens),
-        ("calls", spending.calls, need.calls, budget.calls),
-        ("turns", spending.turns, need.turns, budget.turns),
+        ("tokens", spending.tokens, reservation.tokens, budget.tokens),
+        ("calls", spending.calls, reservation.calls, budget.calls),
+        ("turns", spending.turns, reservation.turns, budget.turns),
     )
     for name, spent, needed, limit in rows:
         if needed and spent + needed > limit:
@@ -90,25 +92,25 @@
     return ""
 
 
-def _fits(program: Program, budget: Budget, need: Need) -> bool:
+def _fits(program: Program, budget: Budget, reservation: Reservation) -> bool:
     spending = program.spending
-    tokens = spending.tokens + spending.reserved_tokens + need.tokens
-    calls = spending.calls + spending.reserved_calls + need.calls
-    turns = spending.turns + spending.reserved_turns + need.turns
+    tokens = spending.tokens + spending.reserved_tokens + reservation.tokens
+    calls = spending.calls + spending.reserved_calls + reservation.calls
+    turns = spending.turns + spending.reserved_turns + reservation.turns
     return (
-        (not need.tokens or tokens <= budget.tokens)
-        and (not need.calls or calls <= budget.calls)
-        and (not need.turns or turns <= budget.turns)
+        (not reservation.tokens or tokens <= budget.tokens)
+        and (not reservation.calls or calls <= budget.calls)
+        and (not reservation.turns or turns <= budget.turns)
     )
 
 
-async def acquire(
-    order: asyncio.Lock, deadline: float
+async def acquire_lock(
+    lock: asyncio.Lock, deadline: float
 ) -> Result[None, Failure]:
     """Waits for a branch's turn, at most until the deadline."""
     try:
         async with asyncio.timeout(deadline - time.monotonic()):
-            await order.acquire()
+            await lock.acquire()
     except TimeoutError:
         return Failed(Failure(ErrorKind.DEADLINE_EXCEEDED))
     return Success(None)
--- a/libs/programs/src/masticdale_programs/calls.py
+++ b/libs/programs/src/masticdale_programs/calls.py
@@ -8,7 +8,7 @@
 
 from masticdale_common import ErrorKind, Failure, Ran, hashing
 from masticdale_programs import budgets, views
-from masticdale_programs.budgets import Need
+from masticdale_programs.budgets import Reservation
 from masticdale_programs.executors import ServiceCall
 from masticdale_programs.operations import CallService
 from masticdale_programs.records import (
@@ -48,16 +48,18 @@
     if operation.operation not in kind.operations:
         detail = f"operation {operation.operation!r} is not declared"
         return Failed(Failure(ErrorKind.BAD_REQUEST, detail))
-    order = shard.order_of(program, branch)
-    acquired = await budgets.acquire(order, deadline)
+    lock = shard.branch_lock(program, branch)
+    acquired = await budgets.acquire_lock(lock, deadline)
     if isinstance(acquired, Failed):
         return acquired
-    need = Need(calls=1)
+    reservation = Reservation(calls=1)
     try:
         refused = check_place(branch, operation)
         if refused is not None:
             return refused
-        reserved = await budgets.reserve(program, kind.budget, need, deadline)
+        reserved = await budgets.reserve(
+            program, kind.budget, reservation, deadline
+        )
         if isinstance(reserved, Failed):
             return reserved
         try:
@@ -68,9 +70,9 @@
                 return await _run_repeatable(shard, operation, stream, call)
             return await _run_once(shard, program, operation, stream, call)
         finally:
-            budgets.settle(program, need)
+            budgets.release_reservation(program, reservation)
     finally:
-        order.release()
+        lock.release()
 
 
 async def _run_once(
@@ -143,7 +145,7 @@
     key = RequestKey(intent.program_id, intent.request_id)
     shard.voiding.add(key)
     # Until it is voided the intent may yet be charged by the journal.
-    budgets.hold(program, Need(calls=1))
+    budgets.reserve_unchecked(program, Reservation(calls=1))
     shard.spawn(_void(shard, program, intent, commit, key))
     return Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
 
@@ -165,7 +167,7 @@
     if isinstance(committed, Success) or _may_be_written(committed):
         await shard.commit([_finished(intent, OutcomeStatus.NOT_RUN, "")])
     shard.voiding.discard(key)
-    budgets.settle(program, Need(calls=1))
+    budgets.release_reservation(program, Reservation(calls=1))
 
 
 async def _commit_outcome(
@@ -202,8 +204,8 @@
     It is never sent again: the earlier owner may have sent it just before it
     died, and the service may not tell copies apart.
     """
-    order = shard.order_of(program, program.branch_by_id[intent.branch_id])
-    async with order:
+    lock = shard.branch_lock(program, program.branch_by_id[intent.branch_id])
+    async with lock:
         return await _settle_unknown(shard, intent, stream)
 
 
--- a/libs/programs/src/masticdale_programs/endings.py
+++ b/libs/programs/src/masticdale_programs/endings.py
@@ -22,7 +22,7 @@
 _RELEASE_TIMEOUT_S = 5.0
 
 
-class Endings:
+class ProgramTerminator:
     """Ends a shard's programs and what is left of them."""
 
     def __init__(self, shard: OwnedShard, calls: CallsInFlight) -> None:
@@ -32,7 +32,7 @@
         self._releasing: set[str] = set()
         self._forgetting: set[str] = set()
 
-    def refusal(self, program: Program) -> Failed[Failure] | None:
+    def admission_failure(self, program: Program) -> Failed[Failure] | None:
         """Returns why a program takes no calls, if it has ended or does."""
         is_ending = program.program_id in self._ending
         if program.end_reason is None and not is_ending:
@@ -51,7 +51,7 @@
             record = ProgramEnded(
                 program.program_id,
                 reason,
-                wall_ms(),
+                unix_time_ms(),
                 tuple(sorted(program.replicas)),
             )
             outcome = await self._shard.commit([record])
@@ -74,7 +74,7 @@
 
     def sweep(self, program: Program, is_busy: bool) -> None:
         """Ends, releases or forgets a program where that is due."""
-        now_ms = wall_ms()
+        now_ms = unix_time_ms()
         settings = self._shard.settings
         if program.end_reason is not None:
             if not is_busy:
@@ -87,7 +87,7 @@
         if age_ms > wall_time_s * 1000:
             self._shard.spawn(self.end(program, EndReason.EXPIRED))
             return
-        idle_ms = now_ms - program.touched_ms
+        idle_ms = now_ms - program.last_call_ms
         if not is_busy and idle_ms > settings.idle_end_s * 1000:
             self._shard.spawn(self.end(program, EndReason.ABANDONED))
 
@@ -130,6 +130,6 @@
             self._forgetting.discard(program.program_id)
 
 
-def wall_ms() -> int:
+def unix_time_ms() -> int:
     """Returns Unix milliseconds, as records hold them."""
     return time.time_ns() // 1_000_000
--- a/libs/programs/src/masticdale_programs/journal.py
+++ b/libs/programs/src/masticdale_programs/journal.py
@@ -103,7 +103,7 @@
         """Size of what is not yet known to be in the platform."""
         return self._queue.batched_bytes
 
-    def refusal(self) -> Failure | None:
+    def admission_failure(self) -> Failure | None:
         """Returns why a new call could not be acknowledged now.
 
         To refuse before a call runs is true and cheap; a call that ran while
--- a/libs/programs/src/masticdale_programs/shards.py
+++ b/libs/programs/src/masticdale_programs/shards.py
@@ -15,7 +15,7 @@
 from masticdale_programs import calls, journal, takeovers, turns, views
 from masticdale_programs.calls_in_flight import CallsInFlight
 from masticdale_programs.copies import CopyHolders
-from masticdale_programs.endings import Endings, wall_ms
+from masticdale_programs.endings import ProgramTerminator, unix_time_ms
 from masticdale_programs.executors import Executor
 from masticdale_programs.operations import (
     Accepted,
@@ -73,7 +73,7 @@
         self._calls = CallsInFlight(
             settings, self.state, lambda: self.epoch, lambda: self.is_owned
         )
-        self._endings = Endings(self, self._calls)
+        self._terminator = ProgramTerminator(self, self._calls)
         self._copies_renewed = time.monotonic()
         self._background: set[asyncio.Task[Any]] = set()
 
@@ -97,7 +97,7 @@
         self._journal = held
         self.spawn(held.renew_copies())
         for program in self.state.program_by_id.values():
-            program.touched_ms = wall_ms()
+            program.last_call_ms = unix_time_ms()
             for intent in list(program.intent_by_request_id.values()):
                 key = RequestKey(program.program_id, intent.request_id)
                 self._resume_call(key, program)
@@ -122,9 +122,9 @@
             program.kind, budget=current.budget, priority=current.priority
         )
 
-    def order_of(self, program: Program, branch: Branch) -> asyncio.Lock:
+    def branch_lock(self, program: Program, branch: Branch) -> asyncio.Lock:
         """Returns the lock that its calls take in the order of arrival."""
-        return branch.order
+        return branch.lock
 
     def find(self, program_id: str, workspace: str) -> Program | None:
         """Returns a program of a workspace; another's does not exist."""
@@ -204,7 +204,7 @@
     ) -> Result[OperationResult, Failure]:
         if operation.branch_id in program.branch_by_id:
             return views.program_view(program, (), "")
-        refused = self._endings.refusal(program)
+        refused = self._terminator.admission_failure(program)
         if refused is not None:
             return refused
         if operation.parent_id not in program.branch_by_id:
@@ -256,16 +256,16 @@
             return known.map(lambda _: accepted)
         if self._resume_call(key, program):
             return Success(accepted)
-        refused = self._endings.refusal(program)
+        refused = self._terminator.admission_failure(program)
         if refused is not None:
             return refused
-        unacceptable = self._held_journal().refusal()
+        unacceptable = self._held_journal().admission_failure()
         if unacceptable is not None:
             return Failed(unacceptable)
         branch = program.branch_by_id.get(operation.branch_id)
         if branch is None:
             return Failed(Failure(ErrorKind.NOT_FOUND, operation.branch_id))
-        program.touched_ms = wall_ms()
+        program.last_call_ms = unix_time_ms()
         stream = self._calls.new_stream(key, content)
         if isinstance(operation, SendTurn):
             work = turns.run_turn(
@@ -337,7 +337,7 @@
                 operation.program_id,
                 caller.workspace,
                 operation.kind,
-                wall_ms(),
+                unix_time_ms(),
             )
             outcome = await self.commit([record])
             if isinstance(outcome, Failed):
@@ -360,11 +360,11 @@
             program: The program; one that has ended stays as it is.
             reason: Recorded as the cause.
         """
-        return await self._endings.end(program, reason)
+        return await self._terminator.end(program, reason)
 
     async def release_memory(self, program: Program) -> None:
         """Frees an ended program's engine memory where it is still owed."""
-        await self._endings.release_memory(program)
+        await self._terminator.release_memory(program)
 
     async def sweep(self) -> None:
         """Ends, cancels, releases and forgets what is due; run each second."""
@@ -377,7 +377,7 @@
         busy_ids = self._calls.busy_programs()
         busy_ids.update(key.program_id for key in self.voiding)
         for program in list(self.state.program_by_id.values()):
-            self._endings.sweep(program, program.program_id in busy_ids)
+            self._terminator.sweep(program, program.program_id in busy_ids)
 
     async def check_ownership(self) -> Result[None, Failure]:
         """Finds out whether this host was deposed; call it after a pause."""
--- a/libs/programs/src/masticdale_programs/state.py
+++ b/libs/programs/src/masticdale_programs/state.py
@@ -53,22 +53,22 @@
         branch_id: Unique within the program.
         parent_id: Branch it was opened from; empty for the main branch.
         entries: Finished turns and calls, oldest first, the parent's first.
-        inherited: How many of the entries are the parent's.
+        inherited_count: How many of the entries are the parent's.
         replica: Replica that holds the branch's prefix, if any.
-        order: Taken by its calls in the order of arrival.
+        lock: Taken by its calls in the order of arrival.
     """
 
     branch_id: str
     parent_id: str
     entries: list[TurnFinished | CallFinished]
-    inherited: int = 0
+    inherited_count: int = 0
     replica: str = ""
-    order: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
+    lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
 
     @property
-    def finished(self) -> int:
+    def finished_count(self) -> int:
         """Number of calls the branch itself has finished."""
-        return len(self.entries) - self.inherited
+        return len(self.entries) - self.inherited_count
 
 
 @dataclasses.dataclass(slots=True)
@@ -88,8 +88,8 @@
         attained_ms: Engine time its turns have had.
         end_reason: Why it ended; None while it runs.
         ended_ms: When it ended.
-        touched_ms: When its last call began; not durable.
-        settled: Set and replaced whenever a reservation is settled.
+        last_call_ms: When its last call began; not durable.
+        reservation_released: Set and replaced at each release of a reservation.
     """
 
     program_id: str
@@ -104,8 +104,10 @@
     attained_ms: int = 0
     end_reason: EndReason | None = None
     ended_ms: int = 0
-    touched_ms: int = 0
-    settled: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    last_call_ms: int = 0
+    reservation_released: asyncio.Event = dataclasses.field(
+        default_factory=asyncio.Event
+    )
 
     @property
     def budget(self) -> Budget:
@@ -133,7 +135,7 @@
         intent_by_request_id={},
         spending=Spending(),
         replicas=set(),
-        touched_ms=record.created_ms,
+        last_call_ms=record.created_ms,
     )
 
 
@@ -171,7 +173,7 @@
         branch_id=record.branch_id,
         parent_id=record.parent_id,
         entries=list(parent.entries),
-        inherited=len(parent.entries),
+        inherited_count=len(parent.entries),
         replica=parent.replica,
     )
 
--- a/libs/programs/src/masticdale_programs/turns.py
+++ b/libs/programs/src/masticdale_programs/turns.py
@@ -8,7 +8,7 @@
 
 from masticdale_common import ErrorKind, Failure, Ran, hashing
 from masticdale_programs import budgets, views
-from masticdale_programs.budgets import Need
+from masticdale_programs.budgets import Reservation
 from masticdale_programs.executors import ModelCall, ModelResult
 from masticdale_programs.operations import CallService, SendTurn
 from masticdale_programs.records import (
@@ -29,9 +29,9 @@
     A call that was accepted behind a predecessor that then failed would run
     without it: the history would lack a step that the caller built on.
     """
-    if operation.sequence in (None, branch.finished):
+    if operation.sequence in (None, branch.finished_count):
         return None
-    detail = f"sequence {operation.sequence}, next is {branch.finished}."
+    detail = f"sequence {operation.sequence}, next is {branch.finished_count}."
     return Failed(Failure(ErrorKind.OUT_OF_ORDER, detail))
 
 
@@ -57,8 +57,8 @@
         The committed answer, or the failure; after a failure nothing of the
         turn is in the history.
     """
-    order = shard.order_of(program, branch)
-    acquired = await budgets.acquire(order, deadline)
+    lock = shard.branch_lock(program, branch)
+    acquired = await budgets.acquire_lock(lock, deadline)
     if isinstance(acquired, Failed):
         return acquired
     try:
@@ -69,7 +69,7 @@
             shard, program, branch, operation, stream, deadline
         )
     finally:
-        order.release()
+        lock.release()
 
 
 async def _run_reserved(
@@ -86,9 +86,13 @@
         return Failed(Failure(ErrorKind.BAD_REQUEST, detail))
     max_tokens = min(operation.max_tokens or kind.max_tokens, kind.max_tokens)
     message_tokens = budgets.count_tokens(operation.message)
-    need = Need(tokens=message_tokens + max_tokens, calls=1, turns=1)
+    reservation = Reservation(
+        tokens=message_tokens + max_tokens, calls=1, turns=1
+    )
     stream.set_wait_reason("budget")
-    reserved = await budgets.reserve(program, kind.budget, need, deadline)
+    reserved = await budgets.reserve(
+        program, kind.budget, reservation, deadline
+    )
     if isinstance(reserved, Failed):
         return reserved
     try:
@@ -106,7 +110,7 @@
             return committed
         return views.outcome_of(record)
     finally:
-        budgets.settle(program, need)
+        budgets.release_reservation(program, reservation)
 
 
 async def commit_finished(
@@ -183,7 +187,7 @@
 
 
 def _inherited_tokens(branch: Branch) -> int:
-    inherited = branch.entries[: branch.inherited]
+    inherited = branch.entries[: branch.inherited_count]
     return sum(
         budgets.count_tokens(part)
         for entry in inherited
--- a/libs/programs/src/masticdale_programs/types.py
+++ b/libs/programs/src/masticdale_programs/types.py
@@ -83,7 +83,7 @@
         """Returns the program's kind with budget and priority in force."""
         ...
 
-    def order_of(self, program: Program, branch: Branch) -> asyncio.Lock:
+    def branch_lock(self, program: Program, branch: Branch) -> asyncio.Lock:
         """Returns the lock that a branch's calls take in turn."""
         ...
 
--- a/libs/programs/tests/test_copies.py
+++ b/libs/programs/tests/test_copies.py
@@ -135,7 +135,7 @@
             late = asyncio.create_task(journal.commit([record("p3")]))
             await asyncio.sleep(30)
             self.assertFalse(late.done())
-            self.assertIsNotNone(journal.refusal())
+            self.assertIsNotNone(journal.admission_failure())
             self.assertEqual(world.found, ["p1", "p2"])
             await journal.close()
             await taker.close()
@@ -196,7 +196,7 @@
             commit = asyncio.create_task(journal.commit([record("p2")]))
             await asyncio.sleep(5)
             self.assertFalse(commit.done())
-            kind = journal.refusal().kind
+            kind = journal.admission_failure().kind
             self.assertIs(kind, ErrorKind.PLATFORM_UNAVAILABLE)
             await journal.close()
 
@@ -215,7 +215,7 @@
             commit = asyncio.create_task(journal.commit([record("p2")]))
             await asyncio.sleep(0.8)
             self.assertFalse(commit.done())
-            self.assertIsNone(journal.refusal())
+            self.assertIsNone(journal.admission_failure())
             intent = await journal.commit([record("i")], needs_platform=True)
             self.assertIsInstance(intent, Success)
             self.assertIsInstance(await commit, Success)
@@ -258,11 +258,11 @@
             del world.holders[journal.copy_holders[0]]
             commit = asyncio.create_task(journal.commit([record("p2")]))
             await asyncio.sleep(5)
-            self.assertIsNotNone(journal.refusal())
+            self.assertIsNotNone(journal.admission_failure())
             world.faults.cut = False
             self.assertIsInstance(await commit, Success)
             await journal.probe_platform()
-            self.assertIsNone(journal.refusal())
+            self.assertIsNone(journal.admission_failure())
             await journal.close()
 
         run(check())
