--- a/libs/programs/src/masticdale_programs/__init__.py
+++ b/libs/programs/src/masticdale_programs/__init__.py
@@ -50,7 +50,7 @@
 from masticdale_programs.streams import StreamPart
 from masticdale_programs.types import (
     Caller,
-    KindInForce,
+    KindLookup,
     RequestKey,
     ShardSettings,
 )
@@ -72,7 +72,7 @@
     "Executor",
     "GetProgram",
     "Head",
-    "KindInForce",
+    "KindLookup",
     "ModelCall",
     "ModelResult",
     "OpenBranch",
--- a/libs/programs/src/masticdale_programs/calls.py
+++ b/libs/programs/src/masticdale_programs/calls.py
@@ -18,8 +18,8 @@
 )
 from masticdale_programs.state import Branch, Program
 from masticdale_programs.streams import AnswerStream
-from masticdale_programs.turns import check_place, commit_finished
-from masticdale_programs.types import CallEnd, OwnedShard, RequestKey
+from masticdale_programs.turns import check_sequence, commit_finished
+from masticdale_programs.types import CallResult, OwnedShard, RequestKey
 
 
 async def run_call(
@@ -29,7 +29,7 @@
     operation: CallService,
     stream: AnswerStream,
     deadline: float,
-) -> CallEnd:
+) -> CallResult:
     """Runs one service call behind its predecessor and commits its outcome.
 
     Args:
@@ -54,7 +54,7 @@
         return acquired
     reservation = Reservation(calls=1)
     try:
-        refused = check_place(branch, operation)
+        refused = check_sequence(branch, operation)
         if refused is not None:
             return refused
         reserved = await budgets.reserve(
@@ -81,7 +81,7 @@
     operation: CallService,
     stream: AnswerStream,
     call: ServiceCall,
-) -> CallEnd:
+) -> CallResult:
     intent = IntentRecorded(
         program.program_id,
         operation.branch_id,
@@ -107,7 +107,7 @@
     operation: CallService,
     stream: AnswerStream,
     call: ServiceCall,
-) -> CallEnd:
+) -> CallResult:
     stream.set_wait_reason(f"answer of {operation.operation}")
     outcome = await shard.executor.call_service(call)
     if isinstance(outcome, Failed):
@@ -143,10 +143,10 @@
     if done and not _may_be_written(commit.result()):
         return commit.result()
     key = RequestKey(intent.program_id, intent.request_id)
-    shard.voiding.add(key)
+    shard.voiding_intents.add(key)
     # Until it is voided the intent may yet be charged by the journal.
     budgets.reserve_unchecked(program, Reservation(calls=1))
-    shard.spawn(_void(shard, program, intent, commit, key))
+    shard.spawn(_void_intent(shard, program, intent, commit, key))
     return Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
 
 
@@ -156,7 +156,7 @@
     return committed.failure().kind is ErrorKind.WRITE_UNKNOWN
 
 
-async def _void(
+async def _void_intent(
     shard: OwnedShard,
     program: Program,
     intent: IntentRecorded,
@@ -165,8 +165,8 @@
 ) -> None:
     committed = await commit
     if isinstance(committed, Success) or _may_be_written(committed):
-        await shard.commit([_finished(intent, OutcomeStatus.NOT_RUN, "")])
-    shard.voiding.discard(key)
+        await shard.commit([_call_record(intent, OutcomeStatus.NOT_RUN, "")])
+    shard.voiding_intents.discard(key)
     budgets.release_reservation(program, Reservation(calls=1))
 
 
@@ -176,21 +176,21 @@
     outcome: Result[str, Failure],
     stream: AnswerStream,
     deadline: float,
-) -> CallEnd:
+) -> CallResult:
     if isinstance(outcome, Success):
-        record = _finished(intent, OutcomeStatus.DONE, outcome.unwrap())
+        record = _call_record(intent, OutcomeStatus.DONE, outcome.unwrap())
         committed = await commit_finished(shard, record, stream, deadline)
         if isinstance(committed, Failed):
-            return _unknown(intent)
+            return _outcome_unknown(intent)
         return views.outcome_of(record)
     failure = outcome.failure()
     if failure.answer.ran is Ran.NO:
-        record = _finished(intent, OutcomeStatus.NOT_RUN, "")
+        record = _call_record(intent, OutcomeStatus.NOT_RUN, "")
         await commit_finished(shard, record, stream, deadline)
         # True also where the commit failed: the next owner closes the
         # intent as unknown and never sends it.
         return Failed(failure)
-    return await _settle_unknown(shard, intent, stream)
+    return await _look_up_outcome(shard, intent, stream)
 
 
 async def resolve_intent(
@@ -198,7 +198,7 @@
     program: Program,
     intent: IntentRecorded,
     stream: AnswerStream,
-) -> CallEnd:
+) -> CallResult:
     """Closes an intent whose outcome an earlier owner did not record.
 
     It is never sent again: the earlier owner may have sent it just before it
@@ -206,12 +206,12 @@
     """
     lock = shard.branch_lock(program, program.branch_by_id[intent.branch_id])
     async with lock:
-        return await _settle_unknown(shard, intent, stream)
+        return await _look_up_outcome(shard, intent, stream)
 
 
-async def ask_again(
+async def retry_lookup(
     shard: OwnedShard, entry: CallFinished, stream: AnswerStream
-) -> CallEnd:
+) -> CallResult:
     """Looks up an outcome that was unknown, for a caller that asks again."""
     intent = IntentRecorded(
         entry.program_id,
@@ -221,40 +221,40 @@
         entry.operation,
         entry.payload,
     )
-    return await _settle_unknown(shard, intent, stream)
+    return await _look_up_outcome(shard, intent, stream)
 
 
-async def _settle_unknown(
+async def _look_up_outcome(
     shard: OwnedShard, intent: IntentRecorded, stream: AnswerStream
-) -> CallEnd:
+) -> CallResult:
     found = await shard.executor.look_up(_lookup_call(shard, intent))
     status = OutcomeStatus.UNKNOWN
     result = ""
     if isinstance(found, Success):
-        told = found.unwrap()
-        if told is not None:
+        looked_up = found.unwrap()
+        if looked_up is not None:
             status = OutcomeStatus.DONE
-            result = told
-    if status is OutcomeStatus.UNKNOWN and not _is_open(shard, intent):
-        return _unknown(intent)
+            result = looked_up
+    if status is OutcomeStatus.UNKNOWN and not _is_intent_open(shard, intent):
+        return _outcome_unknown(intent)
     if status is OutcomeStatus.UNKNOWN:
         # Told at once: nothing that the commit can say would change it.
-        stream.finish(_unknown(intent))
-    record = _finished(intent, status, result)
+        stream.finish(_outcome_unknown(intent))
+    record = _call_record(intent, status, result)
     committed = await shard.commit([record])
     if isinstance(committed, Failed):
-        return _unknown(intent)
+        return _outcome_unknown(intent)
     return views.outcome_of(record)
 
 
-def _is_open(shard: OwnedShard, intent: IntentRecorded) -> bool:
+def _is_intent_open(shard: OwnedShard, intent: IntentRecorded) -> bool:
     program = shard.state.program_by_id.get(intent.program_id)
     if program is None:
         return False
     return intent.request_id in program.intent_by_request_id
 
 
-def _finished(
+def _call_record(
     intent: IntentRecorded, status: OutcomeStatus, result: str
 ) -> CallFinished:
     return CallFinished(
@@ -269,7 +269,7 @@
     )
 
 
-def _unknown(intent: IntentRecorded) -> Failed[Failure]:
+def _outcome_unknown(intent: IntentRecorded) -> Failed[Failure]:
     detail = f"request id {intent.request_id!r}"
     return Failed(Failure(ErrorKind.OUTCOME_UNKNOWN, detail))
 
--- a/libs/programs/src/masticdale_programs/calls_in_flight.py
+++ b/libs/programs/src/masticdale_programs/calls_in_flight.py
@@ -12,14 +12,14 @@
 from masticdale_common import ErrorKind, Failure, logs
 from masticdale_programs.state import ShardState
 from masticdale_programs.streams import AnswerStream
-from masticdale_programs.types import CallEnd, RequestKey, ShardSettings
+from masticdale_programs.types import CallResult, RequestKey, ShardSettings
 
 # Attempts are numbered apart by epoch and stream: no epoch has as many
 # streams, and no stream as many attempts.
-_EPOCH_ATTEMPTS = 1_000_000_000_000
-_STREAM_ATTEMPTS = 1000
+_ATTEMPTS_PER_EPOCH = 1_000_000_000_000
+_ATTEMPTS_PER_STREAM = 1000
 
-Work = Coroutine[Any, Any, CallEnd]
+CallCoroutine = Coroutine[Any, Any, CallResult]
 
 
 class CallsInFlight:
@@ -30,7 +30,7 @@
         settings: ShardSettings,
         state: ShardState,
         epoch: Callable[[], int],
-        is_held: Callable[[], bool],
+        is_owned: Callable[[], bool],
     ) -> None:
         """Begins without calls.
 
@@ -38,14 +38,14 @@
             settings: How long answers are kept, and calls that nobody reads.
             state: The shard's programs.
             epoch: The epoch under which the shard is owned.
-            is_held: False once another host took the shard over.
+            is_owned: False once another host took the shard over.
         """
         self._settings = settings
         self._state = state
         self._epoch = epoch
-        self._is_held = is_held
+        self._is_owned = is_owned
         self._stream_by_key: dict[RequestKey, AnswerStream] = {}
-        self._task_by_key: dict[RequestKey, asyncio.Task[CallEnd]] = {}
+        self._task_by_key: dict[RequestKey, asyncio.Task[CallResult]] = {}
         self._finished_at_by_key: dict[RequestKey, float] = {}
         self._attempts = itertools.count()
 
@@ -66,7 +66,7 @@
     def waiting_for(self, program_id: str) -> tuple[str, ...]:
         """Returns a program's calls under way and what each waits for."""
         return tuple(
-            f"{key.request_id}: {stream.waits_for}"
+            f"{key.request_id}: {stream.wait_reason}"
             for key, stream in self._stream_by_key.items()
             if key.program_id == program_id and stream.outcome is None
         )
@@ -78,14 +78,16 @@
         first is forgotten: a reader that comes late would append the text of
         the one to what it has of the other.
         """
-        first_attempt = self._epoch() * _EPOCH_ATTEMPTS
-        first_attempt += next(self._attempts) * _STREAM_ATTEMPTS
+        first_attempt = self._epoch() * _ATTEMPTS_PER_EPOCH
+        first_attempt += next(self._attempts) * _ATTEMPTS_PER_STREAM
         stream = AnswerStream(key.request_id, content, first_attempt)
         self._stream_by_key[key] = stream
         self._finished_at_by_key.pop(key, None)
         return stream
 
-    def start(self, key: RequestKey, stream: AnswerStream, work: Work) -> None:
+    def start(
+        self, key: RequestKey, stream: AnswerStream, work: CallCoroutine
+    ) -> None:
         """Runs a call; its end finishes the stream."""
         task = asyncio.create_task(
             work, name=f"{key.program_id} {key.request_id}"
@@ -95,7 +97,7 @@
         # runs nothing of its own: its reader would wait for ever.
         task.add_done_callback(functools.partial(self._finish, key, stream))
 
-    async def stop(self, program_id: str) -> None:
+    async def cancel_program(self, program_id: str) -> None:
         """Cancels a program's calls; those that can't be wait for their end."""
         tasks = []
         for key, task in self._task_by_key.items():
@@ -107,16 +109,16 @@
                 task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def forget_old(self, now: float, kept: set[RequestKey]) -> None:
+    def evict_expired(self, now: float, retained: set[RequestKey]) -> None:
         """Drops old answers, cancels calls that nobody reads.
 
         Args:
             now: Monotonic seconds.
-            kept: Calls whose answers are needed longer.
+            retained: Calls whose answers are needed longer.
         """
-        keep_s = self._settings.stream_keep_s
+        keep_s = self._settings.stream_retention_s
         for key, finished_at in list(self._finished_at_by_key.items()):
-            if now - finished_at > keep_s and key not in kept:
+            if now - finished_at > keep_s and key not in retained:
                 del self._finished_at_by_key[key]
                 self._stream_by_key.pop(key, None)
         for key, task in list(self._task_by_key.items()):
@@ -136,9 +138,9 @@
         self,
         key: RequestKey,
         stream: AnswerStream,
-        task: asyncio.Task[CallEnd],
+        task: asyncio.Task[CallResult],
     ) -> None:
-        outcome = _end_of(task, self._is_held())
+        outcome = _call_result(task, self._is_owned())
         program = self._state.program_by_id.get(key.program_id)
         if program is not None:
             program.replicas.update(stream.replicas)
@@ -147,12 +149,12 @@
         stream.finish(outcome)
 
 
-def _end_of(task: asyncio.Task[CallEnd], is_held: bool) -> CallEnd:
+def _call_result(task: asyncio.Task[CallResult], is_owned: bool) -> CallResult:
     if task.cancelled():
         # Where the shard was lost, the next owner runs the call: its reader
         # must ask there and not take it for cancelled. The call may have been
         # sent, so it is not answered with a kind that says it was not run.
-        kind = ErrorKind.CANCELLED if is_held else ErrorKind.WRITE_UNKNOWN
+        kind = ErrorKind.CANCELLED if is_owned else ErrorKind.WRITE_UNKNOWN
         return Failed(Failure(kind))
     error = task.exception()
     if error is None:
--- a/libs/programs/src/masticdale_programs/endings.py
+++ b/libs/programs/src/masticdale_programs/endings.py
@@ -47,7 +47,7 @@
             return Success(None)
         self._ending.add(program.program_id)
         try:
-            await self._calls.stop(program.program_id)
+            await self._calls.cancel_program(program.program_id)
             record = ProgramEnded(
                 program.program_id,
                 reason,
--- a/libs/programs/src/masticdale_programs/shards.py
+++ b/libs/programs/src/masticdale_programs/shards.py
@@ -47,7 +47,7 @@
 from masticdale_programs.streams import StreamPart
 from masticdale_programs.types import (
     Caller,
-    KindInForce,
+    KindLookup,
     RequestKey,
     ShardSettings,
 )
@@ -60,42 +60,42 @@
         self,
         number: int,
         executor: Executor,
-        kind_in_force: KindInForce,
+        find_kind: KindLookup,
         settings: ShardSettings,
     ) -> None:
         self.number = number
         self.executor = executor
         self.settings = settings
         self.state = ShardState()
-        self.voiding: set[RequestKey] = set()
-        self._kind_in_force = kind_in_force
+        self.voiding_intents: set[RequestKey] = set()
+        self._find_kind = find_kind
         self._journal: journal.Journal | None = None
         self._calls = CallsInFlight(
             settings, self.state, lambda: self.epoch, lambda: self.is_owned
         )
         self._terminator = ProgramTerminator(self, self._calls)
-        self._copies_renewed = time.monotonic()
+        self._holders_refreshed_at = time.monotonic()
         self._background: set[asyncio.Task[Any]] = set()
 
     @property
     def epoch(self) -> int:
         """The epoch this host owns the shard under."""
-        return self._held_journal().epoch
+        return self._require_journal().epoch
 
     @property
     def is_owned(self) -> bool:
         """False once another host took the shard over."""
-        return self._held_journal().is_owned
+        return self._require_journal().is_owned
 
     @property
     def in_flight(self) -> int:
         """Number of calls that have no final outcome yet."""
         return len(self._calls)
 
-    def attach(self, held: journal.Journal) -> None:
+    def attach(self, opened: journal.Journal) -> None:
         """Sets the journal and resumes what its records left open."""
-        self._journal = held
-        self.spawn(held.renew_copies())
+        self._journal = opened
+        self.spawn(opened.renew_copies())
         for program in self.state.program_by_id.values():
             program.last_call_ms = unix_time_ms()
             for intent in list(program.intent_by_request_id.values()):
@@ -106,7 +106,7 @@
         self, records: Sequence[Record], needs_platform: bool = False
     ) -> Result[None, Failure]:
         """Commits records to the journal; see ``Journal.commit``."""
-        return await self._held_journal().commit(records, needs_platform)
+        return await self._require_journal().commit(records, needs_platform)
 
     def kind_of(self, program: Program) -> ProgramKind:
         """Returns the program's kind with budget and priority in force.
@@ -115,7 +115,7 @@
         changed prompt or model would break its prefix and its history; what
         operators use to rein a program in takes hold at once.
         """
-        current = self._kind_in_force(program.workspace, program.kind.name)
+        current = self._find_kind(program.workspace, program.kind.name)
         if current is None:
             return program.kind
         return dataclasses.replace(
@@ -251,7 +251,7 @@
     ) -> Result[OperationResult, Failure]:
         key = RequestKey(program.program_id, operation.request_id)
         accepted = Accepted(operation.request_id, self.epoch)
-        known = self._find_known(key, program, content)
+        known = self._match_known_request(key, program, content)
         if known is not None:
             return known.map(lambda _: accepted)
         if self._resume_call(key, program):
@@ -259,7 +259,7 @@
         refused = self._terminator.admission_failure(program)
         if refused is not None:
             return refused
-        unacceptable = self._held_journal().admission_failure()
+        unacceptable = self._require_journal().admission_failure()
         if unacceptable is not None:
             return Failed(unacceptable)
         branch = program.branch_by_id.get(operation.branch_id)
@@ -278,7 +278,7 @@
         self._calls.start(key, stream, work)
         return Success(accepted)
 
-    def _find_known(
+    def _match_known_request(
         self, key: RequestKey, program: Program, content: str
     ) -> Result[None, Failure] | None:
         """Recognises a request that was sent before.
@@ -300,7 +300,7 @@
             return Failed(Failure(ErrorKind.REQUEST_ID_REUSED, detail))
         if key in self._calls:
             return Success(None)
-        if key in self.voiding:
+        if key in self.voiding_intents:
             return Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
         if entry is None or _is_unknown(entry):
             return None
@@ -325,7 +325,7 @@
         if not isinstance(entry, CallFinished):
             return False
         stream = self._calls.new_stream(key, entry.content_digest)
-        self._calls.start(key, stream, calls.ask_again(self, entry, stream))
+        self._calls.start(key, stream, calls.retry_lookup(self, entry, stream))
         return True
 
     async def _create(
@@ -369,19 +369,22 @@
     async def sweep(self) -> None:
         """Ends, cancels, releases and forgets what is due; run each second."""
         now = time.monotonic()
-        self._calls.forget_old(now, self.voiding)
-        if now - self._copies_renewed > self.settings.copy_check_s:
-            self._copies_renewed = now
-            self.spawn(self._held_journal().renew_copies())
-        self.spawn(self._held_journal().probe_platform())
+        self._calls.evict_expired(now, self.voiding_intents)
+        if (
+            now - self._holders_refreshed_at
+            > self.settings.copy_check_interval_s
+        ):
+            self._holders_refreshed_at = now
+            self.spawn(self._require_journal().renew_copies())
+        self.spawn(self._require_journal().probe_platform())
         busy_ids = self._calls.busy_programs()
-        busy_ids.update(key.program_id for key in self.voiding)
+        busy_ids.update(key.program_id for key in self.voiding_intents)
         for program in list(self.state.program_by_id.values()):
             self._terminator.sweep(program, program.program_id in busy_ids)
 
     async def check_ownership(self) -> Result[None, Failure]:
         """Finds out whether this host was deposed; call it after a pause."""
-        return await self._held_journal().check_ownership()
+        return await self._require_journal().check_ownership()
 
     def waiting_for(self, program: Program) -> tuple[str, ...]:
         """Returns a program's calls in flight and what each waits for."""
@@ -392,14 +395,14 @@
         return {
             "epoch": self.epoch,
             "held": self.is_owned,
-            "copied_bytes": self._held_journal().copied_bytes,
+            "copied_bytes": self._require_journal().copied_bytes,
             "programs": len(self.state.program_by_id),
             "in_flight": self.in_flight,
         }
 
     async def hand_off(self) -> Result[None, Failure]:
         """Releases the shard for the next owner, once nothing is in flight."""
-        return await self._held_journal().release()
+        return await self._require_journal().release()
 
     async def close(self) -> None:
         """Stops every task without handing over."""
@@ -408,9 +411,9 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        await self._held_journal().close()
+        await self._require_journal().close()
 
-    def _held_journal(self) -> journal.Journal:
+    def _require_journal(self) -> journal.Journal:
         if self._journal is None:
             raise RuntimeError("the shard has no journal yet")
         return self._journal
@@ -428,7 +431,7 @@
     host: str,
     writer: str,
     executor: Executor,
-    kind_in_force: KindInForce,
+    find_kind: KindLookup,
     settings: ShardSettings,
     copies: CopyHolders | None = None,
     forced: bool = False,
@@ -441,7 +444,7 @@
         host: This host.
         writer: Incarnation of this process.
         executor: Runs calls at upstreams.
-        kind_in_force: Program kind now in force by workspace and name.
+        find_kind: Returns the current program kind by workspace and name.
         settings: Times.
         copies: Hosts that hold copies during an outage of the platform; None
             to wait for it.
@@ -452,7 +455,7 @@
         The shard; CONFLICT when another host was faster; PEER_UNAVAILABLE
         when no holder gave its copies.
     """
-    shard = Shard(number, executor, kind_in_force, settings)
+    shard = Shard(number, executor, find_kind, settings)
     opened = await takeovers.open_journal(
         store,
         number,
--- a/libs/programs/src/masticdale_programs/streams.py
+++ b/libs/programs/src/masticdale_programs/streams.py
@@ -36,7 +36,7 @@
     ) -> None:
         self.request_id = request_id
         self.content_digest = content_digest
-        self.waits_for = "order"
+        self.wait_reason = "order"
         self.cancellable = True
         self.replicas: set[str] = set()
         self.last_read = time.monotonic()
@@ -58,11 +58,11 @@
     def record_placement(self, replica: str) -> None:
         """See ``TextSink.record_placement``."""
         self.replicas.add(replica)
-        self.waits_for = f"answer of {replica}"
+        self.wait_reason = f"answer of {replica}"
 
     def set_wait_reason(self, reason: str) -> None:
         """See ``TextSink.set_wait_reason``."""
-        self.waits_for = reason
+        self.wait_reason = reason
 
     def restart(self) -> None:
         """See ``TextSink.restart``."""
@@ -70,18 +70,18 @@
             return
         self._attempt += 1
         self._text = ""
-        self._wake()
+        self._notify_readers()
 
     def append(self, text: str) -> None:
         """See ``TextSink.append``."""
         self._text += text
-        self._wake()
+        self._notify_readers()
 
     def finish(self, outcome: Result[Outcome, Failure]) -> None:
         """Sets the final outcome and wakes every reader."""
-        self.waits_for = "nothing"
+        self.wait_reason = "nothing"
         self._outcome = outcome
-        self._wake()
+        self._notify_readers()
 
     async def read(
         self, attempt: int, offset: int, wait_s: float
@@ -96,7 +96,7 @@
         self.last_read = time.monotonic()
         try:
             async with asyncio.timeout(wait_s):
-                while not self._has_news(attempt, offset):
+                while not self._has_update(attempt, offset):
                     await self._changed.wait()
         except TimeoutError:
             pass
@@ -105,11 +105,11 @@
             self._attempt, start, self._text[start:], self._outcome
         )
 
-    def _has_news(self, attempt: int, offset: int) -> bool:
+    def _has_update(self, attempt: int, offset: int) -> bool:
         if self._outcome is not None or attempt != self._attempt:
             return True
         return len(self._text) > offset
 
-    def _wake(self) -> None:
+    def _notify_readers(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
--- a/libs/programs/src/masticdale_programs/turns.py
+++ b/libs/programs/src/masticdale_programs/turns.py
@@ -18,10 +18,10 @@
 )
 from masticdale_programs.state import Branch, Program
 from masticdale_programs.streams import AnswerStream
-from masticdale_programs.types import CallEnd, OwnedShard
+from masticdale_programs.types import CallResult, OwnedShard
 
 
-def check_place(
+def check_sequence(
     branch: Branch, operation: SendTurn | CallService
 ) -> Failed[Failure] | None:
     """Refuses a call whose place in the branch is not the next one.
@@ -42,7 +42,7 @@
     operation: SendTurn,
     stream: AnswerStream,
     deadline: float,
-) -> CallEnd:
+) -> CallResult:
     """Runs one turn behind its predecessor and commits it.
 
     Args:
@@ -62,24 +62,24 @@
     if isinstance(acquired, Failed):
         return acquired
     try:
-        refused = check_place(branch, operation)
+        refused = check_sequence(branch, operation)
         if refused is not None:
             return refused
-        return await _run_reserved(
+        return await _reserve_and_run(
             shard, program, branch, operation, stream, deadline
         )
     finally:
         lock.release()
 
 
-async def _run_reserved(
+async def _reserve_and_run(
     shard: OwnedShard,
     program: Program,
     branch: Branch,
     operation: SendTurn,
     stream: AnswerStream,
     deadline: float,
-) -> CallEnd:
+) -> CallResult:
     kind = shard.kind_of(program)
     if operation.max_tokens < 0:
         detail = f"max_tokens is {operation.max_tokens}"
@@ -102,7 +102,7 @@
         outcome = await shard.executor.run_model(call, stream)
         if isinstance(outcome, Failed):
             return outcome
-        record = _record(
+        record = _turn_record(
             operation, program, stream, outcome.unwrap(), message_tokens
         )
         committed = await commit_finished(shard, record, stream, deadline)
@@ -201,7 +201,7 @@
     return (f"{entry.operation} {entry.payload}", entry.result)
 
 
-def _record(
+def _turn_record(
     operation: SendTurn,
     program: Program,
     stream: AnswerStream,
--- a/libs/programs/src/masticdale_programs/types.py
+++ b/libs/programs/src/masticdale_programs/types.py
@@ -13,8 +13,8 @@
 from masticdale_programs.records import ProgramKind, Record
 from masticdale_programs.state import Branch, Program, ShardState
 
-CallEnd = Result[Outcome, Failure]
-KindInForce = Callable[[str, str], ProgramKind | None]
+CallResult = Result[Outcome, Failure]
+KindLookup = Callable[[str, str], ProgramKind | None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -25,18 +25,18 @@
         unread_cancel_s: A model turn that nobody reads is cancelled then.
         idle_end_s: A program without calls is ended as abandoned then.
         retention_s: An ended program can be read that long.
-        stream_keep_s: A finished answer stays in flight memory that long.
+        stream_retention_s: How long a finished answer stays in memory.
         commit_wait_s: Longest wait for an intent's commit before the call is
             refused as not run.
-        copy_check_s: Copy holders are asked that often whether they hold.
+        copy_check_interval_s: Time between two checks of the copy holders.
     """
 
     unread_cancel_s: float = 15.0
     idle_end_s: float = 3600.0
     retention_s: float = 3600.0
-    stream_keep_s: float = 30.0
+    stream_retention_s: float = 30.0
     commit_wait_s: float = 1.5
-    copy_check_s: float = 5.0
+    copy_check_interval_s: float = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     executor: Executor
     settings: ShardSettings
     state: ShardState
-    voiding: set[RequestKey]
+    voiding_intents: set[RequestKey]
 
     @property
     def epoch(self) -> int:
--- a/libs/programs/tests/test_shards.py
+++ b/libs/programs/tests/test_shards.py
@@ -233,7 +233,7 @@
         self.assertIs(outcome.failure().kind, ErrorKind.PLATFORM_UNAVAILABLE)
         self.assertEqual(self.executions(), 0)
         self.store.faults.down = False
-        while self.shard.voiding:
+        while self.shard.voiding_intents:
             await asyncio.sleep(0.01)
         await self.shard.submit(filing("f0"), caller())
         outcome = await wait_for_outcome(self.shard, "f0")
