--- a/libs/programs/src/masticdale_programs/__init__.py
+++ b/libs/programs/src/masticdale_programs/__init__.py
@@ -5,10 +5,10 @@
     CopyBatch,
     CopyEntry,
     CopyHolders,
+    choose_holders,
     decode_batch,
     encode_batch,
 )
-from masticdale_programs.copies import choose as choose_holders
 from masticdale_programs.copy_store import CopyStore
 from masticdale_programs.executors import (
     Executor,
--- a/libs/programs/src/masticdale_programs/commit_queue.py
+++ b/libs/programs/src/masticdale_programs/commit_queue.py
@@ -16,13 +16,13 @@
 # platform takes as one object.
 BATCH_LIMIT_BYTES = 600_000
 # The most of one shard that waits in memory for the platform, in bytes.
-COPY_LIMIT_BYTES = 4_000_000
+BACKLOG_LIMIT_BYTES = 4_000_000
 
 OnCommitted = Callable[[Record], None]
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Pending:
+class PendingCommit:
     """Records that wait for one commit."""
 
     records: tuple[Record, ...]
@@ -39,27 +39,27 @@
         entry: Its number and records.
         size: Its size in bytes.
         pending: Who waits for it.
-        is_applied: Whether it is acknowledged, by the platform or the copies.
+        is_acknowledged: Whether the platform or both holders have it.
     """
 
     entry: CopyEntry
     size: int
-    pending: list[Pending]
-    is_applied: bool = False
+    pending: list[PendingCommit]
+    is_acknowledged: bool = False
 
 
 class CommitQueue:
     """Numbers what callers add, and tells them what became of it.
 
     Attributes:
-        last: Number of the newest batch.
+        last_sequence: Number of the newest batch.
         pending: What has no number yet, oldest first.
         batches: What the platform isn't known to hold, oldest first.
     """
 
-    def __init__(self, last: int, on_committed: OnCommitted) -> None:
-        self.last = last
-        self.pending: list[Pending] = []
+    def __init__(self, last_sequence: int, on_committed: OnCommitted) -> None:
+        self.last_sequence = last_sequence
+        self.pending: list[PendingCommit] = []
         self.batches: deque[Batch] = deque()
         self._on_committed = on_committed
 
@@ -69,7 +69,7 @@
         return not self.pending and not self.batches
 
     @property
-    def batched_bytes(self) -> int:
+    def backlog_bytes(self) -> int:
         """Size of what is not yet known to be in the platform."""
         return sum(batch.size for batch in self.batches)
 
@@ -79,12 +79,14 @@
         """Adds records; the future is done once their fate is known."""
         done: asyncio.Future[Result[None, Failure]]
         done = asyncio.get_running_loop().create_future()
-        self.pending.append(Pending(tuple(records), size, needs_platform, done))
+        self.pending.append(
+            PendingCommit(tuple(records), size, needs_platform, done)
+        )
         return done
 
-    def number_next(self) -> None:
+    def batch_pending(self) -> None:
         """Makes a batch of what waits, in its order."""
-        self._number(self.pending)
+        self._create_batch(self.pending)
 
     def next_to_copy(self) -> Batch | None:
         """Returns the oldest batch that nobody has acknowledged.
@@ -93,14 +95,14 @@
         its caller could then not be told that it has not been written.
         """
         for batch in self.batches:
-            if not batch.is_applied:
+            if not batch.is_acknowledged:
                 return batch
         copied = [p for p in self.pending if not p.needs_platform]
-        if not copied or self.batched_bytes > COPY_LIMIT_BYTES:
+        if not copied or self.backlog_bytes > BACKLOG_LIMIT_BYTES:
             return None
-        return self._number(copied)
+        return self._create_batch(copied)
 
-    def oldest(self) -> list[Batch]:
+    def oldest_batches(self) -> list[Batch]:
         """Returns the oldest batches, as many as fit into one write."""
         taken: list[Batch] = []
         size = 0
@@ -125,8 +127,8 @@
         Applied here, in the journal's order, so that memory never differs
         from what a replay of the journal would build.
         """
-        if not batch.is_applied:
-            batch.is_applied = True
+        if not batch.is_acknowledged:
+            batch.is_acknowledged = True
             for record in batch.entry.records:
                 self._on_committed(record)
         resolve(batch.pending, outcome)
@@ -135,23 +137,25 @@
         """Forgets the oldest batch: the platform holds it."""
         self.batches.popleft()
 
-    def refuse_pending(
-        self, failed: Failed[Failure], only_for_platform: bool = False
+    def fail_pending(
+        self, failed: Failed[Failure], only_needing_platform: bool = False
     ) -> None:
         """Refuses what has no number yet: it is surely not written."""
         refused = [
-            p for p in self.pending if p.needs_platform or not only_for_platform
+            p
+            for p in self.pending
+            if p.needs_platform or not only_needing_platform
         ]
         self.pending = [p for p in self.pending if p not in refused]
         resolve(refused, failed)
 
-    def give_up_batches(self, failed: Failed[Failure]) -> None:
+    def fail_batches(self, failed: Failed[Failure]) -> None:
         """Tells who waits for a number's fate that nobody knows it."""
         for batch in self.batches:
             resolve(batch.pending, failed)
 
-    def _number(self, waiting: Sequence[Pending]) -> Batch:
-        taken: list[Pending] = []
+    def _create_batch(self, waiting: Sequence[PendingCommit]) -> Batch:
+        taken: list[PendingCommit] = []
         size = 0
         for pending in waiting:
             size += pending.size
@@ -159,15 +163,17 @@
                 break
             taken.append(pending)
         self.pending = [p for p in self.pending if p not in taken]
-        self.last += 1
+        self.last_sequence += 1
         records = tuple(r for pending in taken for r in pending.records)
-        entry = CopyEntry(self.last, records)
+        entry = CopyEntry(self.last_sequence, records)
         batch = Batch(entry, sum(p.size for p in taken), taken)
         self.batches.append(batch)
         return batch
 
 
-def resolve(waiting: Sequence[Pending], outcome: Result[None, Failure]) -> None:
+def resolve(
+    waiting: Sequence[PendingCommit], outcome: Result[None, Failure]
+) -> None:
     """Tells callers what became of their records, those not told before."""
     for pending in waiting:
         if not pending.done.done():
@@ -179,11 +185,11 @@
     return Failed(Failure(ErrorKind.NOT_OWNER, f"shard {shard}"))
 
 
-def unknown(shard: int) -> Failed[Failure]:
+def write_unknown(shard: int) -> Failed[Failure]:
     """Returns the failure of records that the next owner may find."""
     return Failed(Failure(ErrorKind.WRITE_UNKNOWN, f"shard {shard}"))
 
 
-def unavailable() -> Failed[Failure]:
+def platform_unavailable() -> Failed[Failure]:
     """Returns the failure of records that need the platform."""
     return Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
--- a/libs/programs/src/masticdale_programs/copies.py
+++ b/libs/programs/src/masticdale_programs/copies.py
@@ -54,7 +54,7 @@
     """The hosts that hold copies; the daemon brings it over peers."""
 
     def choose(self, shard: int, current: Sequence[str]) -> tuple[str, ...]:
-        """Returns two live hosts for a shard's copies; see ``choose``."""
+        """Returns the hosts for a shard's copies; see ``choose_holders``."""
         ...
 
     async def put(self, holder: str, batch: CopyBatch) -> Result[None, Failure]:
@@ -81,7 +81,7 @@
     return _BATCH.validate_json(data)
 
 
-def choose(
+def choose_holders(
     shard: int,
     owner: str,
     domain_by_host: Mapping[str, str],
@@ -103,14 +103,14 @@
         where there are no two such hosts.
     """
     chosen: list[str] = []
-    taken = {domain_by_host.get(owner)}
+    used_domains = {domain_by_host.get(owner)}
     ranked = hashing.rank(f"copies/{shard}", domain_by_host)
     for host in (*current, *ranked):
         domain = domain_by_host.get(host)
-        if domain is None or domain in taken or host == owner:
+        if domain is None or domain in used_domains or host == owner:
             continue
         chosen.append(host)
-        taken.add(domain)
+        used_domains.add(domain)
         if len(chosen) == HOLDER_COUNT:
             return tuple(chosen)
     return ()
--- a/libs/programs/src/masticdale_programs/copy_store.py
+++ b/libs/programs/src/masticdale_programs/copy_store.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Copies:
+class _ShardCopies:
     """What is held of one shard.
 
     Attributes:
@@ -31,7 +31,7 @@
     size_by_sequence: dict[int, int] = dataclasses.field(default_factory=dict)
 
     @property
-    def last(self) -> int:
+    def last_sequence(self) -> int:
         """The newest commit that the holder or the platform has."""
         return max(self.entry_by_sequence, default=self.drained)
 
@@ -41,7 +41,7 @@
 
     def __init__(self, limit_bytes: int = DEFAULT_LIMIT_BYTES) -> None:
         self._limit_bytes = limit_bytes
-        self._copies_by_shard: dict[int, _Copies] = {}
+        self._copies_by_shard: dict[int, _ShardCopies] = {}
         self._sealed_by_shard: dict[int, int] = {}
 
     @property
@@ -67,22 +67,22 @@
             sends everything that is not drained; OVERLOADED when full.
         """
         copies = self._copies_by_shard.get(batch.shard)
-        newest = max(
+        newest_epoch = max(
             self._sealed_by_shard.get(batch.shard, 0),
             copies.epoch if copies else 0,
         )
-        if batch.epoch < newest:
-            return _failed(ErrorKind.NOT_OWNER, batch.shard)
+        if batch.epoch < newest_epoch:
+            return _failure(ErrorKind.NOT_OWNER, batch.shard)
         if copies is None or copies.epoch < batch.epoch:
             # A holder that lost its copies must not begin in the middle: a
             # taker would miss what was acknowledged before.
             if batch.after != batch.drained:
-                return _failed(ErrorKind.NOT_FOUND, batch.shard)
-            copies = _Copies(batch.epoch, batch.drained)
+                return _failure(ErrorKind.NOT_FOUND, batch.shard)
+            copies = _ShardCopies(batch.epoch, batch.drained)
             self._copies_by_shard[batch.shard] = copies
         _drop_drained(copies, batch.drained)
-        if batch.after > copies.last:
-            return _failed(ErrorKind.NOT_FOUND, batch.shard)
+        if batch.after > copies.last_sequence:
+            return _failure(ErrorKind.NOT_FOUND, batch.shard)
         return self._add(copies, batch)
 
     def seal(self, shard: int, epoch: int) -> Result[CopyBatch, Failure]:
@@ -100,7 +100,7 @@
         self._sealed_by_shard[shard] = max(sealed, epoch)
         copies = self._copies_by_shard.get(shard)
         if copies is None:
-            return _failed(ErrorKind.NOT_FOUND, shard)
+            return _failure(ErrorKind.NOT_FOUND, shard)
         entries = copies.entry_by_sequence
         return Success(
             CopyBatch(
@@ -112,18 +112,20 @@
             )
         )
 
-    def _add(self, copies: _Copies, batch: CopyBatch) -> Result[None, Failure]:
-        added = [e for e in batch.entries if e.sequence > copies.last]
+    def _add(
+        self, copies: _ShardCopies, batch: CopyBatch
+    ) -> Result[None, Failure]:
+        added = [e for e in batch.entries if e.sequence > copies.last_sequence]
         sizes = [len(codec.encode(entry.records)) for entry in added]
         if added and self.held_bytes + sum(sizes) > self._limit_bytes:
-            return _failed(ErrorKind.OVERLOADED, batch.shard)
+            return _failure(ErrorKind.OVERLOADED, batch.shard)
         for entry, size in zip(added, sizes, strict=True):
             copies.entry_by_sequence[entry.sequence] = entry
             copies.size_by_sequence[entry.sequence] = size
         return Success(None)
 
 
-def _drop_drained(copies: _Copies, drained: int) -> None:
+def _drop_drained(copies: _ShardCopies, drained: int) -> None:
     copies.drained = max(copies.drained, drained)
     for sequence in list(copies.entry_by_sequence):
         if sequence <= copies.drained:
@@ -131,5 +133,5 @@
             del copies.size_by_sequence[sequence]
 
 
-def _failed(kind: ErrorKind, shard: int) -> Failed[Failure]:
+def _failure(kind: ErrorKind, shard: int) -> Failed[Failure]:
     return Failed(Failure(kind, f"copies of shard {shard}"))
--- a/libs/programs/src/masticdale_programs/journal.py
+++ b/libs/programs/src/masticdale_programs/journal.py
@@ -17,15 +17,15 @@
 from masticdale_platform import MUST_NOT_EXIST, ObjectStore
 from masticdale_programs import records as codec
 from masticdale_programs.commit_queue import (
+    BACKLOG_LIMIT_BYTES,
     BATCH_LIMIT_BYTES,
-    COPY_LIMIT_BYTES,
     Batch,
     CommitQueue,
     OnCommitted,
     not_owner,
+    platform_unavailable,
     resolve,
-    unavailable,
-    unknown,
+    write_unknown,
 )
 from masticdale_programs.copies import CopyHolders
 from masticdale_programs.heads import Head, head_key, segment_key
@@ -36,15 +36,15 @@
 # the whole head.
 TAIL_LIMIT_BYTES = 64_000
 # Between two tries of a write that failed, in seconds; doubles to the second.
-_RETRY_FIRST_S = 0.05
-_RETRY_MOST_S = 2.0
+_RETRY_INITIAL_S = 0.05
+_RETRY_MAX_S = 2.0
 # Between two tries of a copy, in seconds; a holder restarts within some.
-_RETRY_COPY_S = 0.2
+_COPY_RETRY_S = 0.2
 # From a head's write without an answer until commits are copied instead, in
 # seconds: a hundred usual writes, and shorter than callers notice.
 _OUTAGE_AFTER_S = 0.5
 # The rest is for the calls that run when the limit is reached.
-_ADMIT_BYTES = COPY_LIMIT_BYTES * 3 // 4
+_ADMISSION_LIMIT_BYTES = BACKLOG_LIMIT_BYTES * 3 // 4
 
 
 class Journal:
@@ -69,19 +69,21 @@
         self._version = version
         self._tail_bytes = len(codec.encode(head.tail))
         self._queue = CommitQueue(head.sequence, on_committed)
-        self._wake = asyncio.Event()
-        self._wake_copies = asyncio.Event()
-        self._deposed = False
+        self._write_wakeup = asyncio.Event()
+        self._copy_wakeup = asyncio.Event()
+        self._ownership_lost = False
         self._releasing = False
-        self._out = False
+        self._in_outage = False
         self._write_failed = False
-        self._named: tuple[str, ...] | None = None
-        self._raises_epoch = False
-        self._copier = CopyWriter(copies, shard) if copies else None
-        self._tasks = [asyncio.create_task(self._guard(self._write_batches))]
-        if self._copier is not None:
-            copying = functools.partial(self._copy_batches, self._copier)
-            self._tasks.append(asyncio.create_task(self._guard(copying)))
+        self._proposed_holders: tuple[str, ...] | None = None
+        self._must_raise_epoch = False
+        self._copy_writer = CopyWriter(copies, shard) if copies else None
+        self._tasks = [
+            asyncio.create_task(self._run_guarded(self._write_batches))
+        ]
+        if self._copy_writer is not None:
+            copying = functools.partial(self._copy_batches, self._copy_writer)
+            self._tasks.append(asyncio.create_task(self._run_guarded(copying)))
 
     @property
     def epoch(self) -> int:
@@ -91,7 +93,7 @@
     @property
     def is_owned(self) -> bool:
         """False once another host took the shard over."""
-        return not self._deposed
+        return not self._ownership_lost
 
     @property
     def copy_holders(self) -> tuple[str, ...]:
@@ -99,9 +101,9 @@
         return self._head.copy_holders
 
     @property
-    def copied_bytes(self) -> int:
+    def backlog_bytes(self) -> int:
         """Size of what is not yet known to be in the platform."""
-        return self._queue.batched_bytes
+        return self._queue.backlog_bytes
 
     def admission_failure(self) -> Failure | None:
         """Returns why a new call could not be acknowledged now.
@@ -111,10 +113,10 @@
         that has only been slow so far is waited for: a restart of one copy
         holder would else have callers refused on every busy moment.
         """
-        if self._copier is None or not self._out:
+        if self._copy_writer is None or not self._in_outage:
             return None
-        is_full = self.copied_bytes > _ADMIT_BYTES
-        is_lost = self._copier.is_failing and self._write_failed
+        is_full = self.backlog_bytes > _ADMISSION_LIMIT_BYTES
+        is_lost = self._copy_writer.is_failing and self._write_failed
         if not is_full and not is_lost:
             return None
         detail = "copies are full" if is_full else "a copy holder is gone"
@@ -141,44 +143,53 @@
             the call waits through an outage: a caller that gives up must
             assume they may be written.
         """
-        if self._deposed or self._releasing:
+        if self._ownership_lost or self._releasing:
             return not_owner(self._shard)
         size = len(codec.encode(records))
         if size > BATCH_LIMIT_BYTES:
             # The platform would refuse the head for ever, and every later
             # commit of the shard would wait behind it.
             return Failed(Failure(ErrorKind.TOO_LARGE, f"{size} bytes"))
-        if self._is_lost and self._copier is not None and needs_platform:
-            return unavailable()
+        if (
+            self._is_platform_down
+            and self._copy_writer is not None
+            and needs_platform
+        ):
+            return platform_unavailable()
         return await self._enqueue(records, size, needs_platform)
 
-    async def renew_copies(self) -> None:
+    async def refresh_copy_holders(self) -> None:
         """Names the copy holders that should be, once they confirm.
 
         Call it every few seconds: a holder that was restarted begins anew,
         so that a later taker can tell "nothing held" from "lost".
         """
-        if self._copier is None or self._deposed or self._releasing:
+        if self._copy_writer is None or self._ownership_lost or self._releasing:
             return
-        wanted = self._copier.wanted(self._head)
-        confirmed = await self._copier.confirm(
-            wanted, self._head, self._queue.last
+        wanted = self._copy_writer.choose_holders(self._head)
+        confirmed = await self._copy_writer.confirm_holders(
+            wanted, self._head, self._queue.last_sequence
         )
-        if self._out or self._deposed or self._releasing or self._queue.batches:
+        if (
+            self._in_outage
+            or self._ownership_lost
+            or self._releasing
+            or self._queue.batches
+        ):
             return
-        if self._copier.is_sealed:
+        if self._copy_writer.is_sealed:
             # Sealed by a taker that never took the head: the holders take
             # copies again under an epoch beyond that one's.
-            self._raises_epoch = True
+            self._must_raise_epoch = True
             wanted = ()
         elif not confirmed:
             wanted = ()
-        if wanted != self._head.copy_holders or self._raises_epoch:
-            self._named = wanted
+        if wanted != self._head.copy_holders or self._must_raise_epoch:
+            self._proposed_holders = wanted
             outcome = await self._enqueue((), 0, needs_platform=True)
             if _is_unavailable(outcome):
-                self._named = None
-                self._raises_epoch = False
+                self._proposed_holders = None
+                self._must_raise_epoch = False
 
     async def probe_platform(self) -> None:
         """Ends an outage once the platform answers and nothing waits for it.
@@ -187,11 +198,11 @@
         is gone, so without this no write would ever come and the refusals
         would outlast the outage for good.
         """
-        if not self._out or self._queue.batches:
+        if not self._in_outage or self._queue.batches:
             return
         outcome = await self.check_ownership()
         if isinstance(outcome, Success) and not self._queue.batches:
-            self._out = False
+            self._in_outage = False
             self._write_failed = False
 
     async def check_ownership(self) -> Result[None, Failure]:
@@ -209,12 +220,12 @@
         stored = outcome.unwrap()
         if stored is not None and self._is_own(stored.value):
             return Success(None)
-        return self._depose()
+        return self._lose_ownership()
 
     @property
-    def _is_lost(self) -> bool:
+    def _is_platform_down(self) -> bool:
         """Whether the platform has failed, and was not only slow."""
-        return self._out and self._write_failed
+        return self._in_outage and self._write_failed
 
     def _is_own(self, value: bytes) -> bool:
         return Head.model_validate_json(value).writer == self._head.writer
@@ -223,8 +234,8 @@
         self, records: Sequence[Record], size: int, needs_platform: bool
     ) -> Result[None, Failure]:
         future = self._queue.add(records, size, needs_platform)
-        self._wake.set()
-        self._wake_copies.set()
+        self._write_wakeup.set()
+        self._copy_wakeup.set()
         return await asyncio.shield(future)
 
     async def release(self) -> Result[None, Failure]:
@@ -234,7 +245,7 @@
         once would each take the other's head for their own older one and
         overwrite the records that it had just acknowledged.
         """
-        if self._deposed or self._releasing:
+        if self._ownership_lost or self._releasing:
             return not_owner(self._shard)
         self._releasing = True
         outcome = await self._enqueue((), 0, needs_platform=True)
@@ -247,12 +258,12 @@
         What is pending fails with NOT_OWNER; what is being written fails
         with WRITE_UNKNOWN, because the write may have taken effect.
         """
-        self._depose()
+        self._lose_ownership()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _guard(self, work: Callable[[], Awaitable[None]]) -> None:
+    async def _run_guarded(self, work: Callable[[], Awaitable[None]]) -> None:
         try:
             await work()
         except Exception as error:
@@ -260,29 +271,29 @@
             # given up, the shard is opened again from what is stored.
             logs.write("journal_failed", shard=self._shard, error=repr(error))
         finally:
-            self._depose()
+            self._lose_ownership()
 
     async def _write_batches(self) -> None:
         try:
-            while not self._deposed:
-                await self._wake.wait()
-                self._wake.clear()
-                while not self._queue.is_empty and not self._deposed:
+            while not self._ownership_lost:
+                await self._write_wakeup.wait()
+                self._write_wakeup.clear()
+                while not self._queue.is_empty and not self._ownership_lost:
                     await self._write_batch()
         finally:
-            self._queue.give_up_batches(unknown(self._shard))
+            self._queue.fail_batches(write_unknown(self._shard))
 
     async def _write_batch(self) -> None:
         if not self._queue.batches:
-            self._queue.number_next()
-        batches = self._queue.oldest()
+            self._queue.batch_pending()
+        batches = self._queue.oldest_batches()
         loop = asyncio.get_running_loop()
         began = loop.time()
-        outage = loop.call_later(_OUTAGE_AFTER_S, self._begin_outage)
+        outage_timer = loop.call_later(_OUTAGE_AFTER_S, self._begin_outage)
         try:
-            outcome = await self._append(batches)
+            outcome = await self._append_batches(batches)
         finally:
-            outage.cancel()
+            outage_timer.cancel()
         if isinstance(outcome, Failed):
             for batch in batches:
                 resolve(batch.pending, outcome)
@@ -291,54 +302,56 @@
             self._queue.acknowledge(batch, outcome)
             self._queue.drop_oldest()
         if loop.time() - began < _OUTAGE_AFTER_S:
-            self._out = False
+            self._in_outage = False
 
-    def _note_failure(self) -> None:
+    def _record_write_failure(self) -> None:
         self._write_failed = True
         # What can't be copied is refused from now on.
-        self._wake_copies.set()
+        self._copy_wakeup.set()
 
     def _begin_outage(self) -> None:
-        if self._copier is None:
+        if self._copy_writer is None:
             return
-        self._out = True
-        self._copier.is_failing = False
-        self._wake_copies.set()
+        self._in_outage = True
+        self._copy_writer.is_failing = False
+        self._copy_wakeup.set()
 
-    async def _copy_batches(self, copier: CopyWriter) -> None:
+    async def _copy_batches(self, copy_writer: CopyWriter) -> None:
         """Acknowledges through copies while the platform is silent."""
-        while not self._deposed:
-            await self._wake_copies.wait()
-            self._wake_copies.clear()
-            while self._out and not self._deposed:
-                if self._is_lost:
-                    self._queue.refuse_pending(
-                        unavailable(), only_for_platform=True
+        while not self._ownership_lost:
+            await self._copy_wakeup.wait()
+            self._copy_wakeup.clear()
+            while self._in_outage and not self._ownership_lost:
+                if self._is_platform_down:
+                    self._queue.fail_pending(
+                        platform_unavailable(), only_needing_platform=True
                     )
                 batch = self._queue.next_to_copy()
                 if batch is None:
                     break
-                if not await self._copy(copier, batch):
-                    await asyncio.sleep(_RETRY_COPY_S)
+                if not await self._copy_batch(copy_writer, batch):
+                    await asyncio.sleep(_COPY_RETRY_S)
 
-    async def _copy(self, copier: CopyWriter, batch: Batch) -> bool:
+    async def _copy_batch(self, copy_writer: CopyWriter, batch: Batch) -> bool:
         """Returns whether the batch is acknowledged, one way or the other."""
-        if self._named is not None:
+        if self._proposed_holders is not None:
             # It is unknown which holders a taker would find in the head.
-            copier.is_failing = True
+            copy_writer.is_failing = True
             return False
         entries = self._queue.entries_up_to(batch)
-        is_held = await copier.hold(self._head, entries)
-        if batch.is_applied or self._deposed:
+        is_replicated = await copy_writer.replicate(self._head, entries)
+        if batch.is_acknowledged or self._ownership_lost:
             return True
-        if is_held:
+        if is_replicated:
             for pending in batch.pending:
                 if pending.needs_platform:
-                    resolve([pending], unknown(self._shard))
+                    resolve([pending], write_unknown(self._shard))
             self._queue.acknowledge(batch, Success(None))
-        return is_held
+        return is_replicated
 
-    async def _append(self, batches: list[Batch]) -> Result[None, Failure]:
+    async def _append_batches(
+        self, batches: list[Batch]
+    ) -> Result[None, Failure]:
         added = [r for batch in batches for r in batch.entry.records]
         is_last = (
             len(batches) == len(self._queue.batches) and not self._queue.pending
@@ -348,48 +361,48 @@
         tail = self._head.tail
         tail_bytes = self._tail_bytes
         if tail and tail_bytes + size > TAIL_LIMIT_BYTES:
-            segments = (*segments, await self._seal(tail))
+            segments = (*segments, await self._seal_segment(tail))
             tail = ()
             tail_bytes = 0
         holders = self._head.copy_holders
-        named = self._named
+        proposed = self._proposed_holders
         head = self._head.model_copy(
             update={
-                "epoch": self._head.epoch + self._raises_epoch,
+                "epoch": self._head.epoch + self._must_raise_epoch,
                 "sequence": batches[-1].entry.sequence,
                 "segments": segments,
                 "tail": (*tail, *added),
                 "released": self._releasing and is_last,
-                "copy_holders": holders if named is None else named,
+                "copy_holders": holders if proposed is None else proposed,
             }
         )
-        outcome = await self._swap(head)
+        outcome = await self._swap_head(head)
         if isinstance(outcome, Success):
             self._tail_bytes = tail_bytes + size
-            if named is not None:
-                self._named = None
-                self._raises_epoch = False
+            if proposed is not None:
+                self._proposed_holders = None
+                self._must_raise_epoch = False
         return outcome
 
-    async def _seal(self, tail: Sequence[Record]) -> str:
+    async def _seal_segment(self, tail: Sequence[Record]) -> str:
         """Writes the tail as a segment and returns its key."""
         key = segment_key(self._shard, self._head.sequence, self._head.writer)
         value = codec.encode(tail)
-        delay_s = _RETRY_FIRST_S
+        delay_s = _RETRY_INITIAL_S
         while True:
             outcome = await self._store.write(key, value, MUST_NOT_EXIST)
             if isinstance(outcome, Success):
                 return key
             if outcome.failure().kind is ErrorKind.CONFLICT:
                 return key
-            self._note_failure()
+            self._record_write_failure()
             await asyncio.sleep(delay_s)
-            delay_s = min(delay_s * 2, _RETRY_MOST_S)
+            delay_s = min(delay_s * 2, _RETRY_MAX_S)
 
-    async def _swap(self, head: Head) -> Result[None, Failure]:
+    async def _swap_head(self, head: Head) -> Result[None, Failure]:
         """Replaces the head; tries until it knows whether that took effect."""
         value = head.model_dump_json().encode()
-        delay_s = _RETRY_FIRST_S
+        delay_s = _RETRY_INITIAL_S
         may_be_written = False
         while True:
             outcome = await self._store.write(
@@ -403,16 +416,18 @@
             kind = outcome.failure().kind
             may_be_written |= kind is ErrorKind.WRITE_UNKNOWN
             if kind in (ErrorKind.CONFLICT, ErrorKind.WRITE_UNKNOWN):
-                settled = await self._read_back(head)
-                if isinstance(settled, Failed) and may_be_written:
-                    return unknown(self._shard)
-                if settled is not None:
-                    return settled
-            self._note_failure()
+                resolved = await self._resolve_head_write(head)
+                if isinstance(resolved, Failed) and may_be_written:
+                    return write_unknown(self._shard)
+                if resolved is not None:
+                    return resolved
+            self._record_write_failure()
             await asyncio.sleep(delay_s)
-            delay_s = min(delay_s * 2, _RETRY_MOST_S)
+            delay_s = min(delay_s * 2, _RETRY_MAX_S)
 
-    async def _read_back(self, head: Head) -> Result[None, Failure] | None:
+    async def _resolve_head_write(
+        self, head: Head
+    ) -> Result[None, Failure] | None:
         """Finds out whether a write whose answer was lost took effect.
 
         Without this, an owner would take its own write, answered late, for
@@ -428,7 +443,7 @@
             return None
         stored = outcome.unwrap()
         if stored is None:
-            return self._depose()
+            return self._lose_ownership()
         found = Head.model_validate_json(stored.value)
         self._version = stored.version
         if found == head:
@@ -436,16 +451,16 @@
             return Success(None)
         if found == self._head:
             return None
-        return self._depose()
+        return self._lose_ownership()
 
-    def _depose(self) -> Failed[Failure]:
-        if not self._deposed:
+    def _lose_ownership(self) -> Failed[Failure]:
+        if not self._ownership_lost:
             logs.write("journal_closed", shard=self._shard, epoch=self.epoch)
-        self._deposed = True
+        self._ownership_lost = True
         failed = not_owner(self._shard)
-        self._queue.refuse_pending(failed)
-        self._wake.set()
-        self._wake_copies.set()
+        self._queue.fail_pending(failed)
+        self._write_wakeup.set()
+        self._copy_wakeup.set()
         return failed
 
 
--- a/libs/programs/src/masticdale_programs/shards.py
+++ b/libs/programs/src/masticdale_programs/shards.py
@@ -95,7 +95,7 @@
     def attach(self, opened: journal.Journal) -> None:
         """Sets the journal and resumes what its records left open."""
         self._journal = opened
-        self.spawn(opened.renew_copies())
+        self.spawn(opened.refresh_copy_holders())
         for program in self.state.program_by_id.values():
             program.last_call_ms = unix_time_ms()
             for intent in list(program.intent_by_request_id.values()):
@@ -375,7 +375,7 @@
             > self.settings.copy_check_interval_s
         ):
             self._holders_refreshed_at = now
-            self.spawn(self._require_journal().renew_copies())
+            self.spawn(self._require_journal().refresh_copy_holders())
         self.spawn(self._require_journal().probe_platform())
         busy_ids = self._calls.busy_programs()
         busy_ids.update(key.program_id for key in self.voiding_intents)
@@ -395,7 +395,7 @@
         return {
             "epoch": self.epoch,
             "held": self.is_owned,
-            "copied_bytes": self._require_journal().copied_bytes,
+            "copied_bytes": self._require_journal().backlog_bytes,
             "programs": len(self.state.program_by_id),
             "in_flight": self.in_flight,
         }
--- a/libs/programs/src/masticdale_programs/takeovers.py
+++ b/libs/programs/src/masticdale_programs/takeovers.py
@@ -68,11 +68,11 @@
             "copy_holders": (),
         }
     )
-    extended = await _extend(store, shard, head, sealed.value_or(()))
+    extended = await _append_entries(store, shard, head, sealed.value_or(()))
     if isinstance(extended, Failed):
         return extended
     head = extended.unwrap()
-    taken = await _take(store, shard, head, version)
+    taken = await _write_head(store, shard, head, version)
     if isinstance(taken, Failed):
         return taken
     # The segments are read after the head is ours: an earlier owner may
@@ -108,7 +108,7 @@
         assert copies is not None
         sealed = await copies.seal(holder, shard, found.epoch + 1)
         if isinstance(sealed, Success):
-            entries = _entries_beyond(found, sealed.unwrap())
+            entries = _entries_after(found, sealed.unwrap())
             if entries is not None:
                 return Success(entries)
     holders = " and ".join(found.copy_holders)
@@ -120,7 +120,7 @@
     return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, detail))
 
 
-def _entries_beyond(
+def _entries_after(
     found: Head, sealed: CopyBatch
 ) -> tuple[CopyEntry, ...] | None:
     """Returns the commits beyond the head; None where the copies have gaps."""
@@ -133,7 +133,7 @@
     return entries
 
 
-async def _extend(
+async def _append_entries(
     store: ObjectStore, shard: int, head: Head, entries: Sequence[CopyEntry]
 ) -> Result[Head, Failure]:
     """Adds commits to a head that is not stored yet, sealing what is long."""
@@ -165,7 +165,7 @@
     )
 
 
-async def _take(
+async def _write_head(
     store: ObjectStore, shard: int, head: Head, version: int
 ) -> Result[int, Failure]:
     value = head.model_dump_json().encode()
--- a/libs/programs/src/masticdale_programs/testing.py
+++ b/libs/programs/src/masticdale_programs/testing.py
@@ -128,7 +128,7 @@
     )
 
 
-async def follow(
+async def read_outcome(
     shard: Shard, key: RequestKey, workspace: str
 ) -> Result[Outcome, Failure]:
     """Reads a call's answer as an entry host does, until its outcome."""
--- a/libs/programs/src/masticdale_programs/testing_hosts.py
+++ b/libs/programs/src/masticdale_programs/testing_hosts.py
@@ -22,8 +22,8 @@
 )
 from masticdale_programs.testing import FakeExecutor
 
-_STEP_S = 0.001
-_LATE_S = 0.3
+_CALL_DELAY_S = 0.001
+_LATE_WRITE_DELAY_S = 0.3
 
 
 class WriteFault(enum.StrEnum):
@@ -38,12 +38,12 @@
     """Faults of one host.
 
     Attributes:
-        cut: The platform cannot be reached.
+        is_partitioned: The platform cannot be reached.
         write_faults: Faults of the next writes.
     """
 
     def __init__(self) -> None:
-        self.cut = False
+        self.is_partitioned = False
         self.write_faults: deque[WriteFault] = deque()
         self._running = asyncio.Event()
         self._running.set()
@@ -56,9 +56,9 @@
         """Lets the host go on, unaware of the time that passed."""
         self._running.set()
 
-    async def step(self) -> None:
+    async def wait_until_running(self) -> None:
         """Takes a moment, or as long as the host is paused."""
-        await asyncio.sleep(_STEP_S)
+        await asyncio.sleep(_CALL_DELAY_S)
         await self._running.wait()
 
 
@@ -68,21 +68,21 @@
     def __init__(self, store: MemoryStore, faults: HostFaults) -> None:
         self._store = store
         self._faults = faults
-        self._late: set[asyncio.Task[Result[int, Failure]]] = set()
+        self._late_writes: set[asyncio.Task[Result[int, Failure]]] = set()
 
     async def read(self, key: str) -> Result[StoredObject | None, Failure]:
         """See ``ObjectStore.read``."""
-        await self._faults.step()
+        await self._faults.wait_until_running()
         outcome = await self._store.read(key)
-        await self._faults.step()
-        return _unavailable() if self._faults.cut else outcome
+        await self._faults.wait_until_running()
+        return _unavailable() if self._faults.is_partitioned else outcome
 
     async def write(
         self, key: str, value: bytes, expected_version: int
     ) -> Result[int, Failure]:
         """See ``ObjectStore.write``."""
-        await self._faults.step()
-        if self._faults.cut:
+        await self._faults.wait_until_running()
+        if self._faults.is_partitioned:
             return _unavailable()
         fault = None
         if self._faults.write_faults:
@@ -91,19 +91,19 @@
             return _unknown()
         if fault is WriteFault.LATE:
             late = self._write_late(key, value, expected_version)
-            self._late.add(asyncio.create_task(late))
+            self._late_writes.add(asyncio.create_task(late))
             return _unknown()
         outcome = await self._store.write(key, value, expected_version)
-        await self._faults.step()
-        is_lost = fault is WriteFault.LOSE_ANSWER or self._faults.cut
+        await self._faults.wait_until_running()
+        is_lost = fault is WriteFault.LOSE_ANSWER or self._faults.is_partitioned
         return _unknown() if is_lost else outcome
 
     async def delete(
         self, key: str, expected_version: int
     ) -> Result[None, Failure]:
         """See ``ObjectStore.delete``."""
-        await self._faults.step()
-        if self._faults.cut:
+        await self._faults.wait_until_running()
+        if self._faults.is_partitioned:
             return _unavailable()
         return await self._store.delete(key, expected_version)
 
@@ -126,7 +126,7 @@
     async def _write_late(
         self, key: str, value: bytes, expected_version: int
     ) -> Result[int, Failure]:
-        await asyncio.sleep(_LATE_S)
+        await asyncio.sleep(_LATE_WRITE_DELAY_S)
         return await self._store.write(key, value, expected_version)
 
 
@@ -145,10 +145,10 @@
         self, call: ModelCall, sink: TextSink
     ) -> Result[ModelResult, Failure]:
         """See ``Executor.run_model``."""
-        await self._faults.step()
+        await self._faults.wait_until_running()
         self._run_count_by_request_id[call.request_id] += 1
         outcome = await self._shared.run_model(call, sink)
-        await self._faults.step()
+        await self._faults.wait_until_running()
         return outcome
 
     def run_count(self, request_id: str) -> int:
@@ -161,24 +161,24 @@
 
     async def call_service(self, call: ServiceCall) -> Result[str, Failure]:
         """See ``Executor.call_service``."""
-        await self._faults.step()
+        await self._faults.wait_until_running()
         is_refused = self._shared.faults.refuse > 0
         if not is_refused:
             self._run_count_by_request_id[call.request_id] += 1
         outcome = await self._shared.call_service(call)
-        await self._faults.step()
+        await self._faults.wait_until_running()
         return outcome
 
     async def look_up(self, call: ServiceCall) -> Result[str | None, Failure]:
         """See ``Executor.look_up``."""
-        await self._faults.step()
+        await self._faults.wait_until_running()
         return await self._shared.look_up(call)
 
     async def release(
         self, program_id: str, replica: str
     ) -> Result[None, Failure]:
         """See ``Executor.release``."""
-        await self._faults.step()
+        await self._faults.wait_until_running()
         return await self._shared.release(program_id, replica)
 
 
@@ -198,23 +198,23 @@
     def choose(self, shard: int, current: Sequence[str]) -> tuple[str, ...]:
         """See ``CopyHolders.choose``."""
         domain_by_host = {name: name for name in self.store_by_holder}
-        return copies.choose(shard, "", domain_by_host, current)
+        return copies.choose_holders(shard, "", domain_by_host, current)
 
     async def put(self, holder: str, batch: CopyBatch) -> Result[None, Failure]:
         """See ``CopyHolders.put``."""
-        await self._faults.step()
+        await self._faults.wait_until_running()
         store = self.store_by_holder.get(holder)
         if store is None:
             return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, holder))
         outcome = store.put(decode_batch(encode_batch(batch)))
-        await self._faults.step()
+        await self._faults.wait_until_running()
         return outcome
 
     async def seal(
         self, holder: str, shard: int, epoch: int
     ) -> Result[CopyBatch, Failure]:
         """See ``CopyHolders.seal``."""
-        await self._faults.step()
+        await self._faults.wait_until_running()
         store = self.store_by_holder.get(holder)
         if store is None:
             return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, holder))
--- a/libs/programs/src/masticdale_programs/testing_time.py
+++ b/libs/programs/src/masticdale_programs/testing_time.py
@@ -8,7 +8,7 @@
 ResultT = TypeVar("ResultT")
 
 
-class _JumpingSelector(selectors.DefaultSelector):
+class _TimeSkippingSelector(selectors.DefaultSelector):
     """Skips each wait and tells by how much the clock has to jump."""
 
     def __init__(self) -> None:
@@ -25,19 +25,19 @@
         return super().select(0)
 
 
-class JumpingLoop(asyncio.SelectorEventLoop):
+class TimeSkippingLoop(asyncio.SelectorEventLoop):
     """An event loop that never waits for its timers."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._time_selector = _TimeSkippingSelector()
+        super().__init__(self._time_selector)
 
     def time(self) -> float:
         """Returns the sum of the waits that were skipped."""
-        return self._jumping.skipped_s
+        return self._time_selector.skipped_s
 
 
 def run(work: Coroutine[Any, Any, ResultT]) -> ResultT:
     """Runs a coroutine on a loop of its own without real waits."""
-    with asyncio.Runner(loop_factory=JumpingLoop) as runner:
+    with asyncio.Runner(loop_factory=TimeSkippingLoop) as runner:
         return runner.run(work)
--- a/libs/programs/src/masticdale_programs/write_behind.py
+++ b/libs/programs/src/masticdale_programs/write_behind.py
@@ -30,11 +30,11 @@
         self._copies = copies
         self._shard = shard
 
-    def wanted(self, head: Head) -> tuple[str, ...]:
+    def choose_holders(self, head: Head) -> tuple[str, ...]:
         """Returns the holders that the shard should have now."""
         return self._copies.choose(self._shard, head.copy_holders)
 
-    async def hold(self, head: Head, entries: Sequence[CopyEntry]) -> bool:
+    async def replicate(self, head: Head, entries: Sequence[CopyEntry]) -> bool:
         """Gives the newest entry to both holders.
 
         Args:
@@ -54,21 +54,21 @@
         self.is_failing = not all(held)
         return not self.is_failing
 
-    async def confirm(
-        self, holders: Sequence[str], head: Head, last: int
+    async def confirm_holders(
+        self, holders: Sequence[str], head: Head, last_sequence: int
     ) -> bool:
         """Asks holders whether they have everything and tells what is drained.
 
         Args:
             holders: Present or future holders.
             head: The newest head that is known to be stored.
-            last: The newest commit.
+            last_sequence: Number of the newest commit.
 
         Returns:
             Whether each has. A holder without any copies begins with this
             batch where everything is drained.
         """
-        batch = CopyBatch(self._shard, head.epoch, head.sequence, last)
+        batch = CopyBatch(self._shard, head.epoch, head.sequence, last_sequence)
         outcomes = await asyncio.gather(
             *(self._copies.put(holder, batch) for holder in holders)
         )
--- a/libs/programs/tests/test_copies.py
+++ b/libs/programs/tests/test_copies.py
@@ -97,13 +97,13 @@
             **options,
         )
         if isinstance(opened, Success):
-            await opened.unwrap().renew_copies()
+            await opened.unwrap().refresh_copy_holders()
         return opened
 
     async def start(self):
         journal = (await self.open()).unwrap()
         await journal.commit([record("p1")])
-        self.faults.cut = True
+        self.faults.is_partitioned = True
         return journal
 
 
@@ -175,10 +175,10 @@
             names = [f"p{n}" for n in range(2, 9)]
             for name in names:
                 await journal.commit([record(name)])
-            world.faults.cut = False
+            world.faults.is_partitioned = False
             await asyncio.sleep(10)
-            self.assertEqual(journal.copied_bytes, 0)
-            await journal.renew_copies()
+            self.assertEqual(journal.backlog_bytes, 0)
+            await journal.refresh_copy_holders()
             held = [store.held_bytes for store in world.holders.values()]
             self.assertEqual(held, [0, 0, 0])
             await journal.close()
@@ -239,7 +239,7 @@
             intent = asyncio.create_task(
                 journal.commit([record("i")], needs_platform=True)
             )
-            world.faults.cut = True
+            world.faults.is_partitioned = True
             world.store.faults.delay_s = 0.0
             kind = (await intent).failure().kind
             self.assertIs(kind, ErrorKind.PLATFORM_UNAVAILABLE)
@@ -259,7 +259,7 @@
             commit = asyncio.create_task(journal.commit([record("p2")]))
             await asyncio.sleep(5)
             self.assertIsNotNone(journal.admission_failure())
-            world.faults.cut = False
+            world.faults.is_partitioned = False
             self.assertIsInstance(await commit, Success)
             await journal.probe_platform()
             self.assertIsNone(journal.admission_failure())
@@ -306,12 +306,12 @@
         async def check():
             world = World()
             journal = await world.start()
-            world.faults.cut = False
+            world.faults.is_partitioned = False
             for store in world.holders.values():
                 store.seal(SHARD, journal.epoch + 1)
             for _ in range(2):
-                await journal.renew_copies()
-            world.faults.cut = True
+                await journal.refresh_copy_holders()
+            world.faults.is_partitioned = True
             outcome = await journal.commit([record("p2")])
             self.assertIsInstance(outcome, Success)
             await journal.close()
--- a/libs/programs/tests/test_interleavings.py
+++ b/libs/programs/tests/test_interleavings.py
@@ -38,7 +38,7 @@
     REPEATABLE,
     UNREPEATABLE,
     FakeExecutor,
-    follow,
+    read_outcome,
     sample_kind,
 )
 from masticdale_programs.testing_hosts import (
@@ -135,7 +135,7 @@
         if not isinstance(accepted, Success):
             return
         key = RequestKey(operation.program_id, operation.request_id)
-        outcome = await follow(host.shard, key, WORKSPACE)
+        outcome = await read_outcome(host.shard, key, WORKSPACE)
         ran = host.executor.run_count(operation.request_id)
         self.answers.append(Answer(operation, host, outcome, ran))
         if isinstance(outcome, Success):
@@ -154,7 +154,7 @@
 
     async def recover(self):
         for host in self.hosts:
-            host.faults.cut = False
+            host.faults.is_partitioned = False
             host.faults.write_faults.clear()
             host.faults.resume()
         self.executor.faults.delay_s = 0.0
@@ -217,12 +217,12 @@
             world.submit(operation, world.hosts[-1])
             await asyncio.sleep(SHORT_S)
             for host in world.hosts:
-                host.faults.cut = True
+                host.faults.is_partitioned = True
             await asyncio.sleep(seconds)
             world.submit(then, world.hosts[-1])
             await asyncio.sleep(SHORT_S)
             for host in world.hosts:
-                host.faults.cut = False
+                host.faults.is_partitioned = False
 
         return run
 
@@ -230,7 +230,7 @@
     def die_in_outage(operations, is_killed):
         async def run(world):
             host = world.hosts[-1]
-            host.faults.cut = True
+            host.faults.is_partitioned = True
             for operation in operations:
                 world.submit(operation, host)
             await asyncio.sleep(OUTAGE_S)
@@ -287,7 +287,7 @@
             elif name == "resume":
                 host.faults.resume()
             else:
-                host.faults.cut = name == "cut"
+                host.faults.is_partitioned = name == "cut"
 
         return run
 
--- a/libs/programs/tests/test_shards.py
+++ b/libs/programs/tests/test_shards.py
@@ -31,7 +31,7 @@
     UNREPEATABLE,
     FakeExecutor,
     answer_to,
-    follow,
+    read_outcome,
     sample_kind,
 )
 
@@ -44,7 +44,9 @@
 
 
 async def wait_for_outcome(shard, request_id, program_id="p1"):
-    return await follow(shard, RequestKey(program_id, request_id), WORKSPACE)
+    return await read_outcome(
+        shard, RequestKey(program_id, request_id), WORKSPACE
+    )
 
 
 def turn(request_id, message="go", sequence=None, branch=MAIN_BRANCH):
