--- a/libs/programs/src/masticdale_programs/__init__.py
+++ b/libs/programs/src/masticdale_programs/__init__.py
@@ -5,10 +5,10 @@
     CopyBatch,
     CopyEntry,
     CopyHolders,
+    choose_holders,
     decode_batch,
     encode_batch,
 )
-from masticdale_programs.copies import choose as choose_holders
 from masticdale_programs.copy_store import CopyStore
 from masticdale_programs.executors import (
     Executor,
@@ -50,7 +50,7 @@
 from masticdale_programs.streams import StreamPart
 from masticdale_programs.types import (
     Caller,
-    KindInForce,
+    KindLookup,
     RequestKey,
     ShardSettings,
 )
@@ -72,7 +72,7 @@
     "Executor",
     "GetProgram",
     "Head",
-    "KindInForce",
+    "KindLookup",
     "ModelCall",
     "ModelResult",
     "OpenBranch",
--- a/libs/programs/src/masticdale_programs/executors.py
+++ b/libs/programs/src/masticdale_programs/executors.py
@@ -92,11 +92,11 @@
 class TextSink(Protocol):
     """Where an executor puts the text as it comes."""
 
-    def placed(self, replica: str) -> None:
+    def record_placement(self, replica: str) -> None:
         """Notes a replica that may hold engine memory from now on."""
         ...
 
-    def waits(self, reason: str) -> None:
+    def set_wait_reason(self, reason: str) -> None:
         """Notes what the call waits for, for operators."""
         ...
 
--- a/libs/programs/src/masticdale_programs/turns.py
+++ b/libs/programs/src/masticdale_programs/turns.py
@@ -8,7 +8,7 @@
 
 from masticdale_common import ErrorKind, Failure, Ran, hashing
 from masticdale_programs import budgets, views
-from masticdale_programs.budgets import Need
+from masticdale_programs.budgets import Reservation
 from masticdale_programs.executors import ModelCall, ModelResult
 from masticdale_programs.operations import CallService, SendTurn
 from masticdale_programs.records import (
@@ -18,10 +18,10 @@
 )
 from masticdale_programs.state import Branch, Program
 from masticdale_programs.streams import AnswerStream
-from masticdale_programs.types import CallEnd, OwnedShard
+from masticdale_programs.types import CallResult, OwnedShard
 
 
-def check_place(
+def check_sequence(
     branch: Branch, operation: SendTurn | CallService
 ) -> Failed[Failure] | None:
     """Refuses a call whose place in the branch is not the next one.
@@ -29,9 +29,9 @@
     A call that was accepted behind a predecessor that then failed would run
     without it: the history would lack a step that the caller built on.
     """
-    if operation.sequence in (None, branch.finished):
+    if operation.sequence in (None, branch.finished_count):
         return None
-    detail = f"sequence {operation.sequence}, next is {branch.finished}."
+    detail = f"sequence {operation.sequence}, next is {branch.finished_count}."
     return Failed(Failure(ErrorKind.OUT_OF_ORDER, detail))
 
 
@@ -42,7 +42,7 @@
     operation: SendTurn,
     stream: AnswerStream,
     deadline: float,
-) -> CallEnd:
+) -> CallResult:
     """Runs one turn behind its predecessor and commits it.
 
     Args:
@@ -57,38 +57,42 @@
         The committed answer, or the failure; after a failure nothing of the
         turn is in the history.
     """
-    order = shard.order_of(program, branch)
-    acquired = await budgets.acquire(order, deadline)
+    lock = shard.branch_lock(program, branch)
+    acquired = await budgets.acquire_lock(lock, deadline)
     if isinstance(acquired, Failed):
         return acquired
     try:
-        refused = check_place(branch, operation)
+        refused = check_sequence(branch, operation)
         if refused is not None:
             return refused
-        return await _run_reserved(
+        return await _reserve_and_run(
             shard, program, branch, operation, stream, deadline
         )
     finally:
-        order.release()
+        lock.release()
 
 
-async def _run_reserved(
+async def _reserve_and_run(
     shard: OwnedShard,
     program: Program,
     branch: Branch,
     operation: SendTurn,
     stream: AnswerStream,
     deadline: float,
-) -> CallEnd:
+) -> CallResult:
     kind = shard.kind_of(program)
     if operation.max_tokens < 0:
         detail = f"max_tokens is {operation.max_tokens}"
         return Failed(Failure(ErrorKind.BAD_REQUEST, detail))
     max_tokens = min(operation.max_tokens or kind.max_tokens, kind.max_tokens)
     message_tokens = budgets.count_tokens(operation.message)
-    need = Need(tokens=message_tokens + max_tokens, calls=1, turns=1)
-    stream.waits("budget")
-    reserved = await budgets.reserve(program, kind.budget, need, deadline)
+    reservation = Reservation(
+        tokens=message_tokens + max_tokens, calls=1, turns=1
+    )
+    stream.set_wait_reason("budget")
+    reserved = await budgets.reserve(
+        program, kind.budget, reservation, deadline
+    )
     if isinstance(reserved, Failed):
         return reserved
     try:
@@ -98,7 +102,7 @@
         outcome = await shard.executor.run_model(call, stream)
         if isinstance(outcome, Failed):
             return outcome
-        record = _record(
+        record = _turn_record(
             operation, program, stream, outcome.unwrap(), message_tokens
         )
         committed = await commit_finished(shard, record, stream, deadline)
@@ -106,7 +110,7 @@
             return committed
         return views.outcome_of(record)
     finally:
-        budgets.settle(program, need)
+        budgets.release_reservation(program, reservation)
 
 
 async def commit_finished(
@@ -132,7 +136,7 @@
         The commit's outcome. It never says that the call was not run.
     """
     stream.cancellable = False
-    stream.waits("commit")
+    stream.set_wait_reason("commit")
     commit = asyncio.ensure_future(shard.commit([record]))
     left_s = max(0.0, deadline - time.monotonic())
     done, _ = await asyncio.wait([commit], timeout=left_s)
@@ -183,7 +187,7 @@
 
 
 def _inherited_tokens(branch: Branch) -> int:
-    inherited = branch.entries[: branch.inherited]
+    inherited = branch.entries[: branch.inherited_count]
     return sum(
         budgets.count_tokens(part)
         for entry in inherited
@@ -197,7 +201,7 @@
     return (f"{entry.operation} {entry.payload}", entry.result)
 
 
-def _record(
+def _turn_record(
     operation: SendTurn,
     program: Program,
     stream: AnswerStream,
