--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -10,7 +10,7 @@
     CONFIGURATION_PREFIX,
     READINESS_PATH,
     REPLICA_PREFIX,
-    PlatformDialect,
+    PlatformHeaderCodec,
     PlatformObjects,
     read_configuration,
     read_replica,
@@ -180,7 +180,7 @@
                 configuration=lambda: self._configuration.current,
                 fleet=self._fleet,
                 ledger=self._ledger,
-                dialect=PlatformDialect(),
+                codec=PlatformHeaderCodec(),
                 metrics=self._metrics,
             )
         )
--- a/libs/gateway/src/masticdale_gateway/__init__.py
+++ b/libs/gateway/src/masticdale_gateway/__init__.py
@@ -4,7 +4,7 @@
 from masticdale_gateway.dialect import (
     AnswerTerms,
     CallTerms,
-    Dialect,
+    HeaderCodec,
     SendTerms,
 )
 from masticdale_gateway.messages import Header, Headers, Request, ResponseHead
@@ -14,8 +14,8 @@
     "AnswerTerms",
     "BudgetLedger",
     "CallTerms",
-    "Dialect",
     "Header",
+    "HeaderCodec",
     "Headers",
     "Relay",
     "RelayParts",
--- a/libs/gateway/src/masticdale_gateway/dialect.py
+++ b/libs/gateway/src/masticdale_gateway/dialect.py
@@ -66,30 +66,32 @@
     last_event_id: str = ""
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """Reads and writes the headers."""
 
-    def read_call(self, headers: Headers) -> CallTerms:
+    def parse_request(self, headers: Headers) -> CallTerms:
         """Returns the terms of a request; values of no use count as absent."""
         ...
 
-    def read_answer(self, head: ResponseHead) -> AnswerTerms:
+    def parse_response(self, head: ResponseHead) -> AnswerTerms:
         """Returns the terms of an answer."""
         ...
 
-    def answers(self, head: ResponseHead, request_id: str) -> bool:
+    def answers_request(self, head: ResponseHead, request_id: str) -> bool:
         """Returns whether an answer belongs to a request."""
         ...
 
-    def outgoing(self, headers: Headers, terms: SendTerms) -> list[Header]:
+    def request_headers(
+        self, headers: Headers, terms: SendTerms
+    ) -> list[Header]:
         """Returns the fields to send to a replica."""
         ...
 
-    def incoming(self, head: ResponseHead) -> Iterable[Header]:
+    def response_headers(self, head: ResponseHead) -> Iterable[Header]:
         """Returns the fields of an answer to hand to the caller."""
         ...
 
-    def refusal(
+    def error_headers(
         self, request_id: str, retry_after_s: float | None
     ) -> Iterable[Header]:
         """Returns the fields of an answer of our own."""
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -8,7 +8,7 @@
 
 from masticdale_common import Metrics, Ran, logs
 from masticdale_gateway.calls import Call
-from masticdale_gateway.dialect import AnswerTerms, Dialect, SendTerms
+from masticdale_gateway.dialect import AnswerTerms, HeaderCodec, SendTerms
 from masticdale_gateway.messages import ResponseHead, encode_request
 from masticdale_gateway.pools import ConnectFailedError, ConnectionPool
 from masticdale_gateway.streams import ConnectionLostError
@@ -134,10 +134,10 @@
     """
 
     def __init__(
-        self, pool: ConnectionPool, dialect: Dialect, metrics: Metrics
+        self, pool: ConnectionPool, codec: HeaderCodec, metrics: Metrics
     ) -> None:
         self.pool = pool
-        self._dialect = dialect
+        self._codec = codec
         self._metrics = metrics
 
     async def send(
@@ -155,7 +155,7 @@
         try:
             connection = await self.pool.take(state.replica, options.max_idle_s)
             head = await self._exchange(call, state, connection, options)
-            terms = self._dialect.read_answer(head)
+            terms = self._codec.parse_response(head)
             self._note_load(state, terms)
             if terms.is_genuine:
                 exchange = Exchange(self, state, connection, head, terms)
@@ -185,7 +185,7 @@
         options: SendOptions,
     ) -> ResponseHead:
         request = call.request
-        fields = self._dialect.outgoing(
+        fields = self._codec.request_headers(
             request.headers,
             SendTerms(
                 state.replica.id, call.remaining_s, options.last_event_id
@@ -208,7 +208,7 @@
             encode_request(
                 request.method, request.target, fields, request.body
             ),
-            lambda head: self._dialect.answers(head, request_id),
+            lambda head: self._codec.answers_request(head, request_id),
         )
         wait_s = min(options.answer_s, call.remaining_s)
         async with asyncio.timeout(wait_s):
--- a/libs/gateway/src/masticdale_gateway/relay.py
+++ b/libs/gateway/src/masticdale_gateway/relay.py
@@ -22,7 +22,7 @@
     RelaySettings,
     TurnClaim,
 )
-from masticdale_gateway.dialect import CallTerms, Dialect
+from masticdale_gateway.dialect import CallTerms, HeaderCodec
 from masticdale_gateway.exchanges import Sender
 from masticdale_gateway.messages import Request
 from masticdale_gateway.plain import PlainRelay, WholeAnswer
@@ -42,7 +42,7 @@
             first.
         fleet: The replicas.
         ledger: Keeps programs within their budgets.
-        dialect: Reads and writes the headers.
+        codec: Reads and writes the headers.
         metrics: Counts.
         settings: Limits.
     """
@@ -50,7 +50,7 @@
     configuration: Callable[[], Configuration | None]
     fleet: Fleet
     ledger: BudgetLedger
-    dialect: Dialect
+    codec: HeaderCodec
     metrics: Metrics
     settings: RelaySettings = dataclasses.field(default_factory=RelaySettings)
 
@@ -70,10 +70,10 @@
         self.pool = ConnectionPool(parts.metrics)
         self._parts = parts
         self._connections: set[CallerConnection] = set()
-        sender = Sender(self.pool, parts.dialect, parts.metrics)
+        sender = Sender(self.pool, parts.codec, parts.metrics)
         self._plain = PlainRelay(parts.fleet, sender, parts.settings)
         self._streams = StreamRelay(
-            parts.fleet, sender, parts.dialect, parts.settings
+            parts.fleet, sender, parts.codec, parts.settings
         )
 
     def create_connection(self) -> CallerConnection:
@@ -130,7 +130,7 @@
         self, connection: CallerConnection, request: Request
     ) -> bool:
         reply = Reply(connection, request.keeps_alive and not self.is_stopping)
-        terms = self._parts.dialect.read_call(request.headers)
+        terms = self._parts.codec.parse_request(request.headers)
         began = time.monotonic()
         routed = self._route(request, terms)
         call: Call | None = None
@@ -157,7 +157,7 @@
         elif outcome is not None:
             reply.send(
                 outcome.head.status,
-                self._parts.dialect.incoming(outcome.head),
+                self._parts.codec.response_headers(outcome.head),
                 outcome.body,
             )
         self._log(call, terms, reply, outcome, time.monotonic() - began)
@@ -205,7 +205,7 @@
 
     def _refuse(self, reply: Reply, request_id: str, failure: Failure) -> None:
         come_back_ms = failure.come_back_ms
-        fields = self._parts.dialect.refusal(
+        fields = self._parts.codec.error_headers(
             request_id, None if come_back_ms is None else come_back_ms / 1000
         )
         body = json.dumps(
--- a/libs/gateway/src/masticdale_gateway/streaming.py
+++ b/libs/gateway/src/masticdale_gateway/streaming.py
@@ -8,7 +8,7 @@
 from masticdale_common import ErrorKind, Failure, Ran, logs
 from masticdale_gateway.callers import Reply
 from masticdale_gateway.calls import Call, RelaySettings
-from masticdale_gateway.dialect import Dialect
+from masticdale_gateway.dialect import HeaderCodec
 from masticdale_gateway.events import (
     Event,
     EventSplitter,
@@ -44,12 +44,12 @@
         self,
         fleet: Fleet,
         sender: Sender,
-        dialect: Dialect,
+        codec: HeaderCodec,
         settings: RelaySettings,
     ) -> None:
         self._fleet = fleet
         self._sender = sender
-        self._dialect = dialect
+        self._codec = codec
         self._settings = settings
 
     async def run(
@@ -155,7 +155,7 @@
             if part is None:
                 if splitter.has_rest:
                     return _Cut("ended inside an event")
-                stream.start(self._dialect, exchange)
+                stream.start(self._codec, exchange)
                 stream.reply.finish()
                 return None
             try:
@@ -163,7 +163,7 @@
             except OversizedEventError:
                 return _Cut("oversized event")
             if events:
-                stream.start(self._dialect, exchange)
+                stream.start(self._codec, exchange)
                 await stream.hand_on(events)
                 wait_s = self._settings.next_event_s
 
@@ -205,12 +205,14 @@
         self.may_have_run = False
         self.last_event_id = ""
 
-    def start(self, dialect: Dialect, exchange: Exchange) -> None:
+    def start(self, codec: HeaderCodec, exchange: Exchange) -> None:
         """Sends the head, once: a continued stream keeps its first one."""
         if self.has_started:
             return
         self.has_started = True
-        self.reply.start(exchange.head.status, dialect.incoming(exchange.head))
+        self.reply.start(
+            exchange.head.status, codec.response_headers(exchange.head)
+        )
 
     async def hand_on(self, events: list[Event]) -> None:
         """Sends the events that the caller doesn't have yet."""
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -10,7 +10,7 @@
 
 from returns.result import Success
 
-from masticdale_adapter import PlatformDialect
+from masticdale_adapter import PlatformHeaderCodec
 from masticdale_common import Failure, Ran
 from masticdale_entry.entry import EntryHost
 from masticdale_entry.following import Follower
@@ -33,13 +33,13 @@
 
 
 def take_any_answer():
-    PlatformDialect.answers = lambda self, head, request_id: True
-    read = PlatformDialect.read_answer
+    PlatformHeaderCodec.answers_request = lambda self, head, request_id: True
+    read = PlatformHeaderCodec.parse_response
 
-    def read_answer(self, head):
+    def parse_response(self, head):
         return dataclasses.replace(read(self, head), is_genuine=True)
 
-    PlatformDialect.read_answer = read_answer
+    PlatformHeaderCodec.parse_response = parse_response
 
 
 def repeat_events():
