--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -23,8 +23,8 @@
     hashing,
     logs,
 )
-from masticdale_entry.following import Followed, Follower
-from masticdale_entry.knowledge import ConfigurationInForce, ReplicaList
+from masticdale_entry.following import Watcher, WatchTarget
+from masticdale_entry.knowledge import ActiveConfiguration, ReplicaList
 from masticdale_entry.peers import PeerClients
 from masticdale_entry.settings import Settings
 from masticdale_entry.status import StatusServer, dump_page, metrics_page
@@ -91,7 +91,7 @@
         self._is_stopping = False
         incarnation = f"{time.time_ns():x}-{uuid.uuid4().hex[:8]}"
         peers_at = _required(settings.peers)
-        reached_at = _required(settings.peers_reached_at)
+        reached_at = _required(settings.effective_peers_address)
         identity = Identity(
             settings.host,
             incarnation,
@@ -116,7 +116,7 @@
             self._direct.ping,
         )
         self._fleet = Fleet(settings.failure_domain)
-        self._configuration = ConfigurationInForce(
+        self._configuration = ActiveConfiguration(
             CONFIGURATION_KEY, read_configuration
         )
         self._replicas = ReplicaList(REPLICA_PREFIX, read_replica, self._fleet)
@@ -223,22 +223,24 @@
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until told to stop, then stops in order."""
         await self._listen()
-        self._follow(
-            Followed(
+        self._start_watch(
+            WatchTarget(
                 CONFIGURATION_PREFIX,
                 _WATCH_S,
                 self._configuration.apply,
             )
         )
-        self._follow(
-            Followed(
+        self._start_watch(
+            WatchTarget(
                 REPLICA_PREFIX,
                 _WATCH_S,
                 self._replicas.apply,
                 _REPLICAS_SETTLE_S,
             )
         )
-        self._follow(Followed(SHARD_PREFIX, _WATCH_S, self._apply_shards))
+        self._start_watch(
+            WatchTarget(SHARD_PREFIX, _WATCH_S, self._apply_shards)
+        )
         self._tasks.append(asyncio.create_task(self._ledger.run()))
         for name, period_s, callback in (
             ("shards", LOOK_EVERY_S, self._keeper.look),
@@ -280,12 +282,12 @@
     def _readiness(self) -> tuple[int, bytes]:
         return (200 if self.is_ready else 503), b""
 
-    def _follow(self, followed: Followed) -> None:
-        follower = Follower(self._store, followed, self._store.pause)
-        self._tasks.append(asyncio.create_task(follower.run()))
+    def _start_watch(self, target: WatchTarget) -> None:
+        watcher = Watcher(self._store, target, self._store.pause)
+        self._tasks.append(asyncio.create_task(watcher.run()))
 
-    def _apply_shards(self, batch: WatchBatch, was_away: bool) -> None:
-        del was_away
+    def _apply_shards(self, batch: WatchBatch, after_outage: bool) -> None:
+        del after_outage
         is_first = not self._shard_map.is_loaded
         self._shard_map.apply(batch)
         if is_first and self._shard_map.is_loaded:
--- a/apps/masticdale_entry/src/masticdale_entry/following.py
+++ b/apps/masticdale_entry/src/masticdale_entry/following.py
@@ -17,8 +17,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Followed:
-    """What is followed, and for whom.
+class WatchTarget:
+    """What to watch, and the consumer.
 
     Attributes:
         prefix: Keys of this prefix.
@@ -34,28 +34,28 @@
     settle_s: float = 0.0
 
 
-class Follower:
+class Watcher:
     """Keeps one consumer up to date with the store."""
 
     def __init__(
         self,
         store: ObjectStore,
-        followed: Followed,
+        target: WatchTarget,
         pause: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
         """Prepares to follow.
 
         Args:
-            store: What is followed.
-            followed: Which part, and for whom.
+            store: The store to watch.
+            target: What to watch, and the consumer.
             pause: Waits so many seconds after a failed watch, or less where
                 another one may succeed sooner.
         """
         self._store = store
-        self._followed = followed
+        self._target = target
         self._pause_after_failure = pause
         self._position = 0
-        self._was_away = False
+        self._after_outage = False
         self._pause_s = _FIRST_PAUSE_S
 
     async def run(self) -> None:
@@ -65,19 +65,19 @@
 
     async def _step(self) -> None:
         outcome = await self._store.watch(
-            self._followed.prefix, self._position, self._followed.wait_s
+            self._target.prefix, self._position, self._target.wait_s
         )
         if isinstance(outcome, Failed):
             failure = outcome.failure()
             if failure.kind is not ErrorKind.HISTORY_GONE:
-                self._was_away = True
+                self._after_outage = True
             # A store in trouble may let a watch go on from a position whose
             # next changes it has dropped, and the watch then waits for
             # changes that will never come. Only a fresh list is certain.
             asked_from, self._position = self._position, 0
             logs.write_bounded(
                 "watch_failed",
-                prefix=self._followed.prefix,
+                prefix=self._target.prefix,
                 position=asked_from,
                 reason=str(failure),
             )
@@ -86,10 +86,10 @@
         batch = outcome.unwrap()
         self._position = batch.position
         self._pause_s = _FIRST_PAUSE_S
-        was_away, self._was_away = self._was_away, False
-        self._followed.apply(batch, was_away)
+        after_outage, self._after_outage = self._after_outage, False
+        self._target.apply(batch, after_outage)
         if batch.changed or batch.deleted_keys:
-            await asyncio.sleep(self._followed.settle_s)
+            await asyncio.sleep(self._target.settle_s)
 
     async def _pause(self) -> None:
         await self._pause_after_failure(
--- a/apps/masticdale_entry/src/masticdale_entry/knowledge.py
+++ b/apps/masticdale_entry/src/masticdale_entry/knowledge.py
@@ -19,7 +19,7 @@
 _LAPSED_GRACE_S = 1.9
 
 
-class ConfigurationInForce:
+class ActiveConfiguration:
     """The newest configuration; never an older one than before."""
 
     def __init__(self, key: str, read: ReadConfiguration) -> None:
@@ -32,9 +32,9 @@
         """The configuration; None before the first."""
         return self._current
 
-    def apply(self, batch: WatchBatch, was_away: bool) -> None:
+    def apply(self, batch: WatchBatch, after_outage: bool) -> None:
         """Takes what a watch returned."""
-        del was_away
+        del after_outage
         for stored in batch.changed:
             if stored.key == self._key:
                 self._take(stored.value, stored.version)
@@ -74,7 +74,7 @@
         self._fleet = fleet
         self._pending: dict[str, asyncio.TimerHandle] = {}
 
-    def apply(self, batch: WatchBatch, was_away: bool) -> None:
+    def apply(self, batch: WatchBatch, after_outage: bool) -> None:
         """Takes what a watch returned."""
         named: set[str] = set()
         for stored in batch.changed:
@@ -86,7 +86,7 @@
             gone = {r.id for r in self._fleet.replicas()} - named
             self.is_loaded = True
         for replica_id in gone:
-            self._lapse(replica_id, was_away)
+            self._lapse(replica_id, after_outage)
 
     def _put(self, replica_id: str, value: bytes, revision: int) -> bool:
         outcome = self._read(replica_id, value)
@@ -112,8 +112,8 @@
         )
         return True
 
-    def _lapse(self, replica_id: str, was_away: bool) -> None:
-        if not was_away:
+    def _lapse(self, replica_id: str, after_outage: bool) -> None:
+        if not after_outage:
             self._remove(replica_id)
             return
         if replica_id in self._pending:
--- a/apps/masticdale_entry/src/masticdale_entry/peers.py
+++ b/apps/masticdale_entry/src/masticdale_entry/peers.py
@@ -34,7 +34,7 @@
         The seeds are the same for all hosts; they watch the store themselves,
         and follow nobody. The order differs, so that the others spread.
         """
-        own = self._settings.peers_reached_at
+        own = self._settings.effective_peers_address
         seeds = {(str(a.ip), a.port) for a in self._settings.seeds}
         if own is not None and (str(own.ip), own.port) in seeds:
             return []
@@ -51,7 +51,7 @@
             addresses.add((record.address, record.port))
             if record.standby_address:
                 addresses.add((record.standby_address, record.standby_port))
-        own = self._settings.peers_reached_at
+        own = self._settings.effective_peers_address
         if own is not None:
             addresses.discard((str(own.ip), own.port))
         return sorted(addresses)
--- a/apps/masticdale_entry/src/masticdale_entry/settings.py
+++ b/apps/masticdale_entry/src/masticdale_entry/settings.py
@@ -57,7 +57,7 @@
     seeds: tuple[HostPort, ...] = ()
 
     @property
-    def peers_reached_at(self) -> Address | None:
+    def effective_peers_address(self) -> Address | None:
         """Where other hosts connect; None for a role without peers."""
         return self.peers_advertised or self.peers
 
--- a/apps/masticdale_entry/src/masticdale_entry/storage.py
+++ b/apps/masticdale_entry/src/masticdale_entry/storage.py
@@ -8,7 +8,7 @@
     retirement_done,
 )
 from masticdale_common import Metrics, logs
-from masticdale_entry.following import Followed, Follower
+from masticdale_entry.following import Watcher, WatchTarget
 from masticdale_entry.settings import Settings
 from masticdale_platform import WatchBatch
 
@@ -32,14 +32,14 @@
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until told to stop."""
-        followed = Followed(RETIREMENT_PREFIX, _WATCH_S, self._apply)
-        follower = Follower(self._store, followed)
-        task = asyncio.create_task(follower.run())
+        target = WatchTarget(RETIREMENT_PREFIX, _WATCH_S, self._apply)
+        watcher = Watcher(self._store, target)
+        task = asyncio.create_task(watcher.run())
         await stop.wait()
         task.cancel()
 
-    def _apply(self, batch: WatchBatch, was_away: bool) -> None:
-        del was_away
+    def _apply(self, batch: WatchBatch, after_outage: bool) -> None:
+        del after_outage
         own = RETIREMENT_PREFIX + self._settings.host
         if any(stored.key == own for stored in batch.changed):
             answer = asyncio.create_task(self._answer(own))
--- a/apps/masticdale_entry/tests/test_following.py
+++ b/apps/masticdale_entry/tests/test_following.py
@@ -4,7 +4,7 @@
 import unittest
 
 from masticdale_common import Metrics
-from masticdale_entry.following import Followed, Follower
+from masticdale_entry.following import Watcher, WatchTarget
 from masticdale_ledger import FallbackStore
 from masticdale_platform.testing import MemoryStore
 from masticdale_programs import testing_time
@@ -43,8 +43,8 @@
     store = MemoryStore()
     seen_at = []
 
-    def note(batch, was_away):
-        if was_away:
+    def note(batch, after_outage):
+        if after_outage:
             seen_at.append(loop.time())
 
     for prefix in PREFIXES:
@@ -53,9 +53,9 @@
     for _ in range(HOSTS):
         host = FallbackStore(store, list, Metrics())
         for prefix in PREFIXES:
-            followed = Followed(prefix, WATCH_S, note)
-            follower = Follower(host, followed, host.pause)
-            tasks.append(asyncio.create_task(follower.run()))
+            target = WatchTarget(prefix, WATCH_S, note)
+            watcher = Watcher(host, target, host.pause)
+            tasks.append(asyncio.create_task(watcher.run()))
     await asyncio.sleep(0.1)
     store.faults.down = True
     await asyncio.sleep(OUTAGE_S)
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -13,8 +13,8 @@
 from masticdale_adapter import PlatformHeaderCodec
 from masticdale_common import Failure, Ran
 from masticdale_entry.entry import EntryHost
-from masticdale_entry.following import Follower
-from masticdale_entry.knowledge import ConfigurationInForce
+from masticdale_entry.following import Watcher
+from masticdale_entry.knowledge import ActiveConfiguration
 from masticdale_entry.main import main
 from masticdale_gateway import Relay
 from masticdale_gateway.exchanges import Sender, SendFailure
@@ -65,7 +65,7 @@
 
 
 def go_back_to_old_configurations():
-    take = ConfigurationInForce._take
+    take = ActiveConfiguration._take
     old = []
 
     def remember(self, value, revision):
@@ -74,11 +74,11 @@
         loop = asyncio.get_running_loop()
         loop.call_later(1.0, setattr, self, "_current", old[0])
 
-    ConfigurationInForce._take = remember
+    ActiveConfiguration._take = remember
 
 
 def take_changes_late():
-    take = ConfigurationInForce._take
+    take = ActiveConfiguration._take
 
     def later(self, value, revision):
         if self.current is None:
@@ -87,7 +87,7 @@
         loop = asyncio.get_running_loop()
         loop.call_later(4.0, take, self, value, revision)
 
-    ConfigurationInForce._take = later
+    ActiveConfiguration._take = later
 
 
 def ignore_drains():
@@ -133,13 +133,13 @@
 
 
 def stop_following_after_a_failure():
-    step = Follower._step
+    step = Watcher._step
 
     async def run(self):
-        while not self._was_away:
+        while not self._after_outage:
             await step(self)
 
-    Follower.run = run
+    Watcher.run = run
 
 
 def start_only_once():
