--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -23,11 +23,11 @@
     hashing,
     logs,
 )
-from masticdale_entry.following import Watcher, WatchTarget
-from masticdale_entry.knowledge import ActiveConfiguration, ReplicaList
 from masticdale_entry.peers import PeerClients
 from masticdale_entry.settings import Settings
 from masticdale_entry.status import StatusServer, dump_page, metrics_page
+from masticdale_entry.watched_state import ActiveConfiguration, ReplicaList
+from masticdale_entry.watching import Watcher, WatchTarget
 from masticdale_gateway import Relay, RelayParts, listen
 from masticdale_ledger import (
     COPY_EVERY_S,
--- a/apps/masticdale_entry/src/masticdale_entry/storage.py
+++ b/apps/masticdale_entry/src/masticdale_entry/storage.py
@@ -8,8 +8,8 @@
     retirement_done,
 )
 from masticdale_common import Metrics, logs
-from masticdale_entry.following import Watcher, WatchTarget
 from masticdale_entry.settings import Settings
+from masticdale_entry.watching import Watcher, WatchTarget
 from masticdale_platform import WatchBatch
 
 _WATCH_S = 28.0
--- a/apps/masticdale_entry/tests/test_following.py
+++ b/apps/masticdale_entry/tests/test_watching.py
@@ -4,7 +4,7 @@
 import unittest
 
 from masticdale_common import Metrics
-from masticdale_entry.following import Watcher, WatchTarget
+from masticdale_entry.watching import Watcher, WatchTarget
 from masticdale_ledger import FallbackStore
 from masticdale_platform.testing import MemoryStore
 from masticdale_programs import testing_time
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -65,7 +65,7 @@
     ),
     Edit(
         "lapse grace",
-        f"{_ENTRY}/knowledge.py",
+        f"{_ENTRY}/watched_state.py",
         "_LAPSED_GRACE_S = 1.9",
         "_LAPSED_GRACE_S = 0.0",
     ),
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -13,9 +13,9 @@
 from masticdale_adapter import PlatformHeaderCodec
 from masticdale_common import Failure, Ran
 from masticdale_entry.entry import EntryHost
-from masticdale_entry.following import Watcher
-from masticdale_entry.knowledge import ActiveConfiguration
 from masticdale_entry.main import main
+from masticdale_entry.watched_state import ActiveConfiguration
+from masticdale_entry.watching import Watcher
 from masticdale_gateway import Relay
 from masticdale_gateway.exchanges import Sender, SendFailure
 from masticdale_gateway.streaming import _Stream
