--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -28,7 +28,7 @@
 from masticdale_entry.status import StatusServer, dump_page, metrics_page
 from masticdale_entry.watched_state import ActiveConfiguration, ReplicaList
 from masticdale_entry.watching import Watcher, WatchTarget
-from masticdale_gateway import Relay, RelayParts, listen
+from masticdale_gateway import Relay, RelayDependencies, listen
 from masticdale_ledger import (
     COPY_EVERY_S,
     LEDGER,
@@ -176,7 +176,7 @@
         self._ledger.admit_here = service.admit
         self._peer_server = RpcServer(service, peers_at, LEDGER)
         self._relay = Relay(
-            RelayParts(
+            RelayDependencies(
                 configuration=lambda: self._configuration.current,
                 fleet=self._fleet,
                 ledger=self._ledger,
@@ -306,11 +306,11 @@
         self._relay.is_stopping = True
         self._ledger.is_stopping = True
         self._copies.is_stopping = True
-        logs.write("stopping", busy=self._relay.busy)
+        logs.write("stopping", busy=self._relay.active_requests)
         await self._keeper.hand_over_all()
         while time.monotonic() < began + _BALANCER_S:
             await asyncio.sleep(_POLL_S)
-        while self._relay.busy and time.monotonic() < end_at:
+        while self._relay.active_requests and time.monotonic() < end_at:
             await asyncio.sleep(_POLL_S)
         self._relay.close_idle()
         with contextlib.suppress(TimeoutError):
@@ -324,7 +324,7 @@
             server.close()
         logs.write(
             "stopped",
-            busy=self._relay.busy,
+            busy=self._relay.active_requests,
             took_s=round(time.monotonic() - began, 3),
         )
 
@@ -359,7 +359,7 @@
             "owned", lambda: [str(n) for n in self._owner.owned()]
         )
         self._dump.register("lease_age_s", lambda: self._lease.age_s)
-        self._dump.register("busy", lambda: self._relay.busy)
+        self._dump.register("busy", lambda: self._relay.active_requests)
 
 
 def _required(address: Address | None) -> Address:
--- a/apps/masticdale_entry/src/masticdale_entry/status.py
+++ b/apps/masticdale_entry/src/masticdale_entry/status.py
@@ -5,7 +5,11 @@
 from collections.abc import Callable
 
 from masticdale_common import Failure, Metrics, StateDump
-from masticdale_gateway.callers import CallerConnection, Reply, close_gently
+from masticdale_gateway.callers import (
+    CallerConnection,
+    ResponseWriter,
+    close_gracefully,
+)
 from masticdale_gateway.messages import Request
 from masticdale_gateway.streams import ConnectionLostError
 
@@ -34,14 +38,14 @@
                 self._answer(connection, request)
                 if not request.keeps_alive:
                     break
-            await close_gently(connection)
+            await close_gracefully(connection)
         except ConnectionLostError:
             connection.abort()
 
     def _answer(self, connection: CallerConnection, request: Request) -> None:
         page = self._page_by_path.get(request.path)
         status, body = page() if page else (404, b"")
-        Reply(connection, request.keeps_alive).send(status, [], body)
+        ResponseWriter(connection, request.keeps_alive).send(status, [], body)
 
 
 def metrics_page(metrics: Metrics) -> Page:
--- a/libs/gateway/src/masticdale_gateway/__init__.py
+++ b/libs/gateway/src/masticdale_gateway/__init__.py
@@ -2,27 +2,27 @@
 
 from masticdale_gateway.calls import BudgetLedger, RelaySettings, TurnClaim
 from masticdale_gateway.dialect import (
-    AnswerTerms,
-    CallTerms,
+    ForwardingMetadata,
     HeaderCodec,
-    SendTerms,
+    RequestMetadata,
+    ResponseMetadata,
 )
 from masticdale_gateway.messages import Header, Headers, Request, ResponseHead
-from masticdale_gateway.relay import Relay, RelayParts, listen
+from masticdale_gateway.relay import Relay, RelayDependencies, listen
 
 __all__ = [
-    "AnswerTerms",
     "BudgetLedger",
-    "CallTerms",
+    "ForwardingMetadata",
     "Header",
     "HeaderCodec",
     "Headers",
     "Relay",
-    "RelayParts",
+    "RelayDependencies",
     "RelaySettings",
     "Request",
+    "RequestMetadata",
     "ResponseHead",
-    "SendTerms",
+    "ResponseMetadata",
     "TurnClaim",
     "listen",
 ]
--- a/libs/gateway/src/masticdale_gateway/callers.py
+++ b/libs/gateway/src/masticdale_gateway/callers.py
@@ -21,7 +21,7 @@
 
 # Requests read ahead on one connection before reading pauses. Callers send
 # one at a time; two keep a pipelining one busy.
-_READ_AHEAD = 2
+_MAX_PIPELINED = 2
 # How long a closing connection may take to send what is written, in seconds:
 # longer than any round trip between failure domains.
 _LINGER_S = 1.0
@@ -130,7 +130,7 @@
             return self._failure
         request = self._requests.popleft()
         if (
-            len(self._requests) < _READ_AHEAD
+            len(self._requests) < _MAX_PIPELINED
             and not self.transport.is_closing()
         ):
             self.transport.resume_reading()
@@ -194,7 +194,7 @@
         self._message_began_at = None
         self._reset_message()
         self._arrived.set()
-        if len(self._requests) >= _READ_AHEAD:
+        if len(self._requests) >= _MAX_PIPELINED:
             self.transport.pause_reading()
 
     async def _run(self) -> None:
@@ -232,7 +232,7 @@
         return now + self.limits.idle_timeout_s
 
 
-class Reply:
+class ResponseWriter:
     """Writes the response to one request.
 
     Attributes:
@@ -277,7 +277,7 @@
         self._connection.abort()
 
 
-async def close_gently(connection: CallerConnection) -> None:
+async def close_gracefully(connection: CallerConnection) -> None:
     """Closes once the written bytes have gone out, within a bound.
 
     Closing while the caller still sends resets the connection, and a reset
--- a/libs/gateway/src/masticdale_gateway/calls.py
+++ b/libs/gateway/src/masticdale_gateway/calls.py
@@ -7,7 +7,7 @@
 from returns.result import Result
 
 from masticdale_common import Failure
-from masticdale_gateway.dialect import CallTerms
+from masticdale_gateway.dialect import RequestMetadata
 from masticdale_gateway.messages import Request
 from masticdale_routing.routes import Route, RouteKind, Service
 
@@ -27,7 +27,7 @@
     """
 
     request: Request
-    terms: CallTerms
+    metadata: RequestMetadata
     route: Route
     service: Service
     deadline_at: float
@@ -45,7 +45,7 @@
         return self.route.kind is RouteKind.STREAMING
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_retriable(self) -> bool:
         """Whether it may run more than once."""
         if self.is_stream:
             return self.route.is_resumable
@@ -56,7 +56,7 @@
         """What decides the replica of a stream; None for plain requests."""
         if not self.is_stream:
             return None
-        terms = self.terms
+        terms = self.metadata
         return terms.program_id or terms.prefix_key or terms.request_id
 
 
@@ -114,8 +114,8 @@
         sends: How often one request is sent, at most.
     """
 
-    first_event_s: float = 1.5
-    next_event_s: float = 1.0
-    repeatable_answer_s: float = 0.4
-    unsafe_idle_s: float = 1.0
-    sends: int = 5
+    first_event_timeout_s: float = 1.5
+    next_event_timeout_s: float = 1.0
+    retriable_response_timeout_s: float = 0.4
+    non_retriable_max_idle_s: float = 1.0
+    max_sends: int = 5
--- a/libs/gateway/src/masticdale_gateway/client.py
+++ b/libs/gateway/src/masticdale_gateway/client.py
@@ -17,9 +17,9 @@
 # end is silent. A watch waits far longer than any answer takes, so nothing
 # but these probes shows that something on the way has dropped it.
 _KEEP_ALIVE_IDLE_S = 1
-_KEEP_ALIVE_EVERY_S = 1
+_KEEP_ALIVE_INTERVAL_S = 1
 _KEEP_ALIVE_PROBES = 2
-_UNACKNOWLEDGED_MS = 2_000
+_TCP_USER_TIMEOUT_MS = 2_000
 # Opening a connection takes a round trip of some milliseconds, in seconds.
 _CONNECT_TIMEOUT_S = 0.8
 
@@ -28,12 +28,12 @@
     """The call surely had no effect: it was never sent."""
 
 
-class NoAnswerError(Exception):
+class NoResponseError(Exception):
     """The call was sent and no whole answer came."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """A whole answer.
 
     Attributes:
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HttpCall:
+class HttpRequest:
     """A request.
 
     Attributes:
@@ -76,14 +76,14 @@
             connection.close()
         self._idle.clear()
 
-    async def call(self, call: HttpCall) -> HttpAnswer:
+    async def send(self, call: HttpRequest) -> HttpResponse:
         """Makes a call.
 
         Raises:
             NotSentError: It surely had no effect.
             NoAnswerError: It may have had its effect.
         """
-        connection = await self._take()
+        connection = await self._acquire()
         try:
             connection.send(self._encode(call), matches_any)
         except ConnectionLostError as error:
@@ -92,13 +92,13 @@
         try:
             async with asyncio.timeout(call.timeout_s):
                 head = await connection.read_head()
-                answer = HttpAnswer(head.status, await _body(connection))
+                answer = HttpResponse(head.status, await _read_body(connection))
         except (
             ConnectionLostError,
             MalformedResponseError,
             TimeoutError,
         ) as error:
-            raise NoAnswerError(repr(error)) from error
+            raise NoResponseError(repr(error)) from error
         finally:
             if connection.is_reusable:
                 self._idle.append(connection)
@@ -106,7 +106,7 @@
                 connection.abort()
         return answer
 
-    def _encode(self, call: HttpCall) -> bytes:
+    def _encode(self, call: HttpRequest) -> bytes:
         fields: list[Header] = [
             (b"Host", f"{self._host}:{self._port}".encode())
         ]
@@ -116,7 +116,7 @@
             call.method.encode(), call.target.encode(), fields, call.body
         )
 
-    async def _take(self) -> UpstreamConnection:
+    async def _acquire(self) -> UpstreamConnection:
         while self._idle:
             connection = self._idle.pop()
             if connection.is_reusable:
@@ -130,24 +130,24 @@
                 )
         except (OSError, TimeoutError) as error:
             raise NotSentError(repr(error)) from error
-        _probe_when_silent(connection.transport.get_extra_info("socket"))
+        _enable_keep_alive(connection.transport.get_extra_info("socket"))
         return connection
 
 
-async def _body(connection: UpstreamConnection) -> bytes:
+async def _read_body(connection: UpstreamConnection) -> bytes:
     parts: list[bytes] = []
-    while (part := await connection.read_part()) is not None:
+    while (part := await connection.read_chunk()) is not None:
         parts.append(part)
     return b"".join(parts)
 
 
-def _probe_when_silent(sock: socket.socket) -> None:
+def _enable_keep_alive(sock: socket.socket) -> None:
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         for option, value in (
             (socket.TCP_KEEPIDLE, _KEEP_ALIVE_IDLE_S),
-            (socket.TCP_KEEPINTVL, _KEEP_ALIVE_EVERY_S),
+            (socket.TCP_KEEPINTVL, _KEEP_ALIVE_INTERVAL_S),
             (socket.TCP_KEEPCNT, _KEEP_ALIVE_PROBES),
-            (socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS),
+            (socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS),
         ):
             sock.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/libs/gateway/src/masticdale_gateway/dialect.py
+++ b/libs/gateway/src/masticdale_gateway/dialect.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallTerms:
+class RequestMetadata:
     """What a caller's headers say of its request.
 
     Attributes:
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerTerms:
+class ResponseMetadata:
     """What a replica's headers say of its answer.
 
     Attributes:
@@ -44,7 +44,7 @@
         retry_after_s: When it wants the request back; None if not told.
     """
 
-    is_not_run: bool
+    is_rejected: bool
     is_genuine: bool
     running: int | None = None
     waiting: int = 0
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendTerms:
+class ForwardingMetadata:
     """What a request sent to a replica has to say.
 
     Attributes:
@@ -69,11 +69,11 @@
 class HeaderCodec(Protocol):
     """Reads and writes the headers."""
 
-    def parse_request(self, headers: Headers) -> CallTerms:
+    def parse_request(self, headers: Headers) -> RequestMetadata:
         """Returns the terms of a request; values of no use count as absent."""
         ...
 
-    def parse_response(self, head: ResponseHead) -> AnswerTerms:
+    def parse_response(self, head: ResponseHead) -> ResponseMetadata:
         """Returns the terms of an answer."""
         ...
 
@@ -82,7 +82,7 @@
         ...
 
     def request_headers(
-        self, headers: Headers, terms: SendTerms
+        self, headers: Headers, terms: ForwardingMetadata
     ) -> list[Header]:
         """Returns the fields to send to a replica."""
         ...
--- a/libs/gateway/src/masticdale_gateway/events.py
+++ b/libs/gateway/src/masticdale_gateway/events.py
@@ -36,12 +36,12 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an event has begun and not ended."""
-        return bool(self._rest)
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Event]:
         """Takes bytes and returns the events that they complete.
@@ -49,18 +49,18 @@
         Raises:
             OversizedEventError: An event does not end.
         """
-        self._rest += data
+        self._buffer += data
         events = []
         start = 0
-        for match in _EVENT_END.finditer(self._rest):
-            events.append(_event(self._rest[start : match.end()]))
+        for match in _EVENT_END.finditer(self._buffer):
+            events.append(_parse_event(self._buffer[start : match.end()]))
             start = match.end()
-        self._rest = self._rest[start:]
-        if len(self._rest) > _MAX_EVENT_BYTES:
+        self._buffer = self._buffer[start:]
+        if len(self._buffer) > _MAX_EVENT_BYTES:
             raise OversizedEventError
         return events
 
 
-def _event(data: bytes) -> Event:
+def _parse_event(data: bytes) -> Event:
     match = _ID_LINE.search(data)
     return Event(data, match.group(1).decode("latin-1") if match else "")
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -8,7 +8,11 @@
 
 from masticdale_common import Metrics, Ran, logs
 from masticdale_gateway.calls import Call
-from masticdale_gateway.dialect import AnswerTerms, HeaderCodec, SendTerms
+from masticdale_gateway.dialect import (
+    ForwardingMetadata,
+    HeaderCodec,
+    ResponseMetadata,
+)
 from masticdale_gateway.messages import ResponseHead, encode_request
 from masticdale_gateway.pools import ConnectFailedError, ConnectionPool
 from masticdale_gateway.streams import ConnectionLostError
@@ -52,7 +56,7 @@
         last_event_id: Where a stream goes on; empty for its beginning.
     """
 
-    answer_s: float
+    response_timeout_s: float
     max_idle_s: float
     last_event_id: str = ""
 
@@ -71,21 +75,21 @@
         state: ReplicaState,
         connection: UpstreamConnection,
         head: ResponseHead,
-        terms: AnswerTerms,
+        metadata: ResponseMetadata,
     ) -> None:
         self.head = head
-        self.terms = terms
+        self.terms = metadata
         self._sender = sender
         self._state = state
         self._connection = connection
-        self._is_whole = False
+        self._is_complete = False
 
     @property
     def replica_id(self) -> str:
         """The replica that answers."""
         return self._state.replica.id
 
-    async def read_part(self, within_s: float) -> Result[bytes | None, str]:
+    async def read_chunk(self, within_s: float) -> Result[bytes | None, str]:
         """Waits for a part of the body.
 
         Args:
@@ -96,11 +100,11 @@
         """
         try:
             async with asyncio.timeout(within_s):
-                part = await self._connection.read_part()
+                part = await self._connection.read_chunk()
         except _CUT_ERRORS as error:
             self._state.circuit.failed(asyncio.get_running_loop().time())
             return Failed(_reason(error))
-        self._is_whole = part is None
+        self._is_complete = part is None
         return Success(part)
 
     async def read_body(self, deadline_at: float) -> Result[bytes, str]:
@@ -108,7 +112,7 @@
         parts: list[bytes] = []
         loop = asyncio.get_running_loop()
         while True:
-            outcome = await self.read_part(deadline_at - loop.time())
+            outcome = await self.read_chunk(deadline_at - loop.time())
             if isinstance(outcome, Failed):
                 return outcome
             part = outcome.unwrap()
@@ -118,9 +122,9 @@
 
     def close(self) -> None:
         """Ends it; a replica that is still at work sees its caller go."""
-        if self._is_whole:
+        if self._is_complete:
             self._state.circuit.succeeded()
-            self._sender.pool.give_back(self._state.replica, self._connection)
+            self._sender.pool.release(self._state.replica, self._connection)
         else:
             self._connection.abort()
         self._state.in_flight -= 1
@@ -153,15 +157,19 @@
         connection: UpstreamConnection | None = None
         exchange: Exchange | None = None
         try:
-            connection = await self.pool.take(state.replica, options.max_idle_s)
+            connection = await self.pool.acquire(
+                state.replica, options.max_idle_s
+            )
             head = await self._exchange(call, state, connection, options)
             terms = self._codec.parse_response(head)
-            self._note_load(state, terms)
+            self._record_load(state, terms)
             if terms.is_genuine:
                 exchange = Exchange(self, state, connection, head, terms)
                 return Success(exchange)
             return Failed(
-                await self._refused(call, state, connection, terms, head)
+                await self._handle_unusable_response(
+                    call, state, connection, terms, head
+                )
             )
         except ConnectFailedError as error:
             state.circuit.failed(loop.time())
@@ -175,7 +183,7 @@
             if exchange is None:
                 state.in_flight -= 1
                 if connection is not None:
-                    self.pool.give_back(state.replica, connection)
+                    self.pool.release(state.replica, connection)
 
     async def _exchange(
         self,
@@ -187,18 +195,18 @@
         request = call.request
         fields = self._codec.request_headers(
             request.headers,
-            SendTerms(
+            ForwardingMetadata(
                 state.replica.id, call.remaining_s, options.last_event_id
             ),
         )
-        request_id = call.terms.request_id
+        request_id = call.metadata.request_id
         call.replica_ids.append(state.replica.id)
         # The line of the request is written at its end, and never by a host
         # that is killed before; this one tells which replica had it.
         logs.write_bounded(
             "replica_chosen",
             request_id=request_id,
-            program_id=call.terms.program_id,
+            program_id=call.metadata.program_id,
             replica=state.replica.id,
             in_flight=state.in_flight,
             attempt=len(call.replica_ids),
@@ -210,19 +218,19 @@
             ),
             lambda head: self._codec.answers_request(head, request_id),
         )
-        wait_s = min(options.answer_s, call.remaining_s)
+        wait_s = min(options.response_timeout_s, call.remaining_s)
         async with asyncio.timeout(wait_s):
             return await connection.read_head()
 
-    async def _refused(
+    async def _handle_unusable_response(
         self,
         call: Call,
         state: ReplicaState,
         connection: UpstreamConnection,
-        terms: AnswerTerms,
+        terms: ResponseMetadata,
         head: ResponseHead,
     ) -> SendFailure:
-        if not terms.is_not_run:
+        if not terms.is_rejected:
             state.circuit.failed(asyncio.get_running_loop().time())
             return self._failure(
                 call, state, Ran.UNKNOWN, f"status {head.status}"
@@ -232,7 +240,7 @@
             state.circuit.failed(asyncio.get_running_loop().time())
         try:
             async with asyncio.timeout(_REFUSAL_BODY_S):
-                while await connection.read_part() is not None:
+                while await connection.read_chunk() is not None:
                     pass
         except _CUT_ERRORS:
             # What the head says holds without the body, and the request may
@@ -246,7 +254,9 @@
             terms.retry_after_s,
         )
 
-    def _note_load(self, state: ReplicaState, terms: AnswerTerms) -> None:
+    def _record_load(
+        self, state: ReplicaState, terms: ResponseMetadata
+    ) -> None:
         if terms.running is None:
             return
         now = asyncio.get_running_loop().time()
@@ -263,7 +273,7 @@
         self._metrics.count("upstream_failures_total", ran=ran.value)
         logs.write_bounded(
             "send_failed",
-            request_id=call.terms.request_id,
+            request_id=call.metadata.request_id,
             replica=state.replica.id,
             service=state.replica.service,
             ran=ran.value,
--- a/libs/gateway/src/masticdale_gateway/plain.py
+++ b/libs/gateway/src/masticdale_gateway/plain.py
@@ -18,11 +18,11 @@
 from masticdale_routing.fleet import Fleet, ReplicaState
 
 # Any fresh connection will do for what may be repeated.
-_ANY_IDLE_S = 60.0
+_RETRIABLE_MAX_IDLE_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class BufferedResponse:
     """A replica's answer, complete.
 
     Attributes:
@@ -34,7 +34,7 @@
     body: bytes
 
 
-def not_run_failure(
+def no_upstream_failure(
     call: Call, failure: SendFailure | None, retry_after_s: float
 ) -> Failure:
     """Returns the refusal of a call that no replica has run.
@@ -53,7 +53,7 @@
     )
 
 
-class PlainRelay:
+class UnaryRelay:
     """Sends plain requests until one has run."""
 
     # Full replicas of a plain service free a slot within some tens of
@@ -67,18 +67,18 @@
         self._sender = sender
         self._settings = settings
 
-    async def run(self, call: Call) -> WholeAnswer | Failure:
+    async def run(self, call: Call) -> BufferedResponse | Failure:
         """Returns a replica's whole answer, or why there is none."""
         excluded: set[str] = set()
         last: SendFailure | None = None
         runs = 0
-        for _ in range(self._settings.sends):
+        for _ in range(self._settings.max_sends):
             if call.remaining_s <= 0:
                 break
             state = self._choose(call, excluded)
             if state is None:
                 break
-            outcome = await self._try(call, state)
+            outcome = await self._attempt(call, state)
             if not isinstance(outcome, Failed):
                 return outcome.unwrap()
             last = outcome.failure()
@@ -86,10 +86,10 @@
             if last.ran is Ran.NO:
                 continue
             runs += 1
-            if not call.is_repeatable or runs >= call.route.max_attempts:
+            if not call.is_retriable or runs >= call.route.max_attempts:
                 break
         if runs == 0:
-            return not_run_failure(call, last, self._RETRY_AFTER_S)
+            return no_upstream_failure(call, last, self._RETRY_AFTER_S)
         if call.remaining_s <= 0:
             return Failure(ErrorKind.TIMED_OUT)
         return Failure(ErrorKind.UPSTREAM_FAILED, last.reason if last else "")
@@ -98,32 +98,34 @@
         now = asyncio.get_running_loop().time()
         return self._fleet.choose(call.service.name, None, now, excluded)
 
-    async def _try(
+    async def _attempt(
         self, call: Call, state: ReplicaState
-    ) -> Result[WholeAnswer, SendFailure]:
+    ) -> Result[BufferedResponse, SendFailure]:
         settings = self._settings
-        repeatable = call.is_repeatable
+        repeatable = call.is_retriable
         options = SendOptions(
-            answer_s=(
-                settings.repeatable_answer_s
+            response_timeout_s=(
+                settings.retriable_response_timeout_s
                 if repeatable and call.route.max_attempts > 1
                 else call.remaining_s
             ),
-            max_idle_s=_ANY_IDLE_S if repeatable else settings.unsafe_idle_s,
+            max_idle_s=_RETRIABLE_MAX_IDLE_S
+            if repeatable
+            else settings.non_retriable_max_idle_s,
         )
         outcome = await self._sender.send(call, state, options)
         if isinstance(outcome, Failed):
             return outcome
-        return await _read_whole(call, outcome.unwrap())
+        return await _buffer_response(call, outcome.unwrap())
 
 
-async def _read_whole(
+async def _buffer_response(
     call: Call, exchange: Exchange
-) -> Result[WholeAnswer, SendFailure]:
+) -> Result[BufferedResponse, SendFailure]:
     try:
         body = await exchange.read_body(call.deadline_at)
     finally:
         exchange.close()
-    return body.map(lambda whole: WholeAnswer(exchange.head, whole)).alt(
+    return body.map(lambda whole: BufferedResponse(exchange.head, whole)).alt(
         lambda reason: SendFailure(exchange.replica_id, Ran.UNKNOWN, reason)
     )
--- a/libs/gateway/src/masticdale_gateway/pools.py
+++ b/libs/gateway/src/masticdale_gateway/pools.py
@@ -33,7 +33,7 @@
             collections.defaultdict(collections.deque)
         )
 
-    async def take(
+    async def acquire(
         self, replica: Replica, max_idle_s: float
     ) -> UpstreamConnection:
         """Returns an idle connection, or a new one.
@@ -57,11 +57,9 @@
             if now - connection.idle_since > max_idle_s:
                 break
             return idle.pop()
-        return await self._open(replica)
+        return await self._connect(replica)
 
-    def give_back(
-        self, replica: Replica, connection: UpstreamConnection
-    ) -> None:
+    def release(self, replica: Replica, connection: UpstreamConnection) -> None:
         """Keeps a connection whose exchange is complete, or closes it."""
         if not connection.is_reusable:
             connection.abort()
@@ -84,7 +82,7 @@
                 connection.close()
         self._idle_by_key.clear()
 
-    async def _open(self, replica: Replica) -> UpstreamConnection:
+    async def _connect(self, replica: Replica) -> UpstreamConnection:
         loop = asyncio.get_running_loop()
         self._metrics.count("upstream_connections_total")
         try:
--- a/libs/gateway/src/masticdale_gateway/relay.py
+++ b/libs/gateway/src/masticdale_gateway/relay.py
@@ -13,8 +13,8 @@
 from masticdale_gateway.callers import (
     CallerConnection,
     ReadLimits,
-    Reply,
-    close_gently,
+    ResponseWriter,
+    close_gracefully,
 )
 from masticdale_gateway.calls import (
     BudgetLedger,
@@ -22,10 +22,10 @@
     RelaySettings,
     TurnClaim,
 )
-from masticdale_gateway.dialect import CallTerms, HeaderCodec
+from masticdale_gateway.dialect import HeaderCodec, RequestMetadata
 from masticdale_gateway.exchanges import Sender
 from masticdale_gateway.messages import Request
-from masticdale_gateway.plain import PlainRelay, WholeAnswer
+from masticdale_gateway.plain import BufferedResponse, UnaryRelay
 from masticdale_gateway.pools import ConnectionPool
 from masticdale_gateway.streaming import StreamRelay
 from masticdale_gateway.streams import ConnectionLostError
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RelayParts:
+class RelayDependencies:
     """What a relay works with.
 
     Attributes:
@@ -64,14 +64,14 @@
         pool: Connections to replicas.
     """
 
-    def __init__(self, parts: RelayParts) -> None:
-        self.busy = 0
+    def __init__(self, parts: RelayDependencies) -> None:
+        self.active_requests = 0
         self.is_stopping = False
         self.pool = ConnectionPool(parts.metrics)
         self._parts = parts
         self._connections: set[CallerConnection] = set()
         sender = Sender(self.pool, parts.codec, parts.metrics)
-        self._plain = PlainRelay(parts.fleet, sender, parts.settings)
+        self._unary = UnaryRelay(parts.fleet, sender, parts.settings)
         self._streams = StreamRelay(
             parts.fleet, sender, parts.codec, parts.settings
         )
@@ -103,7 +103,7 @@
         try:
             while await self._serve_next(connection):
                 pass
-            await close_gently(connection)
+            await close_gracefully(connection)
         except ConnectionLostError:
             connection.abort()
         finally:
@@ -115,27 +115,29 @@
         if arrived is None:
             return False
         if isinstance(arrived, Failure):
-            reply = Reply(connection, keeps_alive=False)
-            self._refuse(reply, "", arrived)
+            reply = ResponseWriter(connection, keeps_alive=False)
+            self._send_error(reply, "", arrived)
             return False
         connection.is_busy = True
-        self.busy += 1
+        self.active_requests += 1
         try:
             return await self._answer(connection, arrived)
         finally:
-            self.busy -= 1
+            self.active_requests -= 1
             connection.is_busy = False
 
     async def _answer(
         self, connection: CallerConnection, request: Request
     ) -> bool:
-        reply = Reply(connection, request.keeps_alive and not self.is_stopping)
+        reply = ResponseWriter(
+            connection, request.keeps_alive and not self.is_stopping
+        )
         terms = self._parts.codec.parse_request(request.headers)
         began = time.monotonic()
         routed = self._route(request, terms)
         call: Call | None = None
         if isinstance(routed, Failed):
-            outcome: WholeAnswer | Failure | None = routed.failure()
+            outcome: BufferedResponse | Failure | None = routed.failure()
         else:
             call = routed.unwrap()
             try:
@@ -153,18 +155,20 @@
                 raise
         reply.keeps_alive = reply.keeps_alive and not self.is_stopping
         if isinstance(outcome, Failure):
-            self._refuse(reply, terms.request_id, outcome)
+            self._send_error(reply, terms.request_id, outcome)
         elif outcome is not None:
             reply.send(
                 outcome.head.status,
                 self._parts.codec.response_headers(outcome.head),
                 outcome.body,
             )
-        self._log(call, terms, reply, outcome, time.monotonic() - began)
+        self._record_outcome(
+            call, terms, reply, outcome, time.monotonic() - began
+        )
         return reply.is_finished and reply.keeps_alive
 
     def _route(
-        self, request: Request, terms: CallTerms
+        self, request: Request, terms: RequestMetadata
     ) -> Result[Call, Failure]:
         configuration = self._parts.configuration()
         if configuration is None:
@@ -183,11 +187,11 @@
         )
 
     async def _run(
-        self, call: Call, reply: Reply
-    ) -> WholeAnswer | Failure | None:
+        self, call: Call, reply: ResponseWriter
+    ) -> BufferedResponse | Failure | None:
         if not call.is_stream:
-            return await self._plain.run(call)
-        claim = _claim(call)
+            return await self._unary.run(call)
+        claim = _turn_claim(call)
         if claim is None:
             return await self._streams.run(call, reply)
         try:
@@ -203,7 +207,9 @@
             used = call.events * call.service.tokens_per_event
             self._parts.ledger.settle(claim, used)
 
-    def _refuse(self, reply: Reply, request_id: str, failure: Failure) -> None:
+    def _send_error(
+        self, reply: ResponseWriter, request_id: str, failure: Failure
+    ) -> None:
         come_back_ms = failure.come_back_ms
         fields = self._parts.codec.error_headers(
             request_id, None if come_back_ms is None else come_back_ms / 1000
@@ -225,12 +231,12 @@
             limits.idle_timeout_s,
         )
 
-    def _log(
+    def _record_outcome(
         self,
         call: Call | None,
-        terms: CallTerms,
-        reply: Reply,
-        outcome: WholeAnswer | Failure | None,
+        terms: RequestMetadata,
+        reply: ResponseWriter,
+        outcome: BufferedResponse | Failure | None,
         took_s: float,
     ) -> None:
         failure = outcome if isinstance(outcome, Failure) else None
@@ -260,8 +266,8 @@
         )
 
 
-def _claim(call: Call) -> TurnClaim | None:
-    terms = call.terms
+def _turn_claim(call: Call) -> TurnClaim | None:
+    terms = call.metadata
     if not terms.program_id or terms.budget_tokens is None:
         return None
     return TurnClaim(
--- a/libs/gateway/src/masticdale_gateway/streaming.py
+++ b/libs/gateway/src/masticdale_gateway/streaming.py
@@ -6,7 +6,7 @@
 from returns.result import Failure as Failed
 
 from masticdale_common import ErrorKind, Failure, Ran, logs
-from masticdale_gateway.callers import Reply
+from masticdale_gateway.callers import ResponseWriter
 from masticdale_gateway.calls import Call, RelaySettings
 from masticdale_gateway.dialect import HeaderCodec
 from masticdale_gateway.events import (
@@ -20,7 +20,7 @@
     SendFailure,
     SendOptions,
 )
-from masticdale_gateway.plain import WholeAnswer, not_run_failure
+from masticdale_gateway.plain import BufferedResponse, no_upstream_failure
 from masticdale_routing.fleet import Fleet, ReplicaState
 
 # A new connection is cheap against a turn, and one that was idle for a while
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Cut:
+class _Interrupted:
     """An answer that broke off."""
 
     reason: str
@@ -53,8 +53,8 @@
         self._settings = settings
 
     async def run(
-        self, call: Call, reply: Reply
-    ) -> WholeAnswer | Failure | None:
+        self, call: Call, reply: ResponseWriter
+    ) -> BufferedResponse | Failure | None:
         """Streams an answer to the caller.
 
         Returns:
@@ -73,20 +73,20 @@
             )
             if isinstance(outcome, Failed):
                 last = outcome.failure()
-                stream.may_have_run |= last.ran is not Ran.NO
+                stream.may_have_executed |= last.ran is not Ran.NO
             else:
                 exchange = outcome.unwrap()
-                stream.may_have_run = True
-                result = await self._hand_on(stream, exchange)
-                if not isinstance(result, _Cut):
+                stream.may_have_executed = True
+                result = await self._forward(stream, exchange)
+                if not isinstance(result, _Interrupted):
                     return result
                 last = SendFailure(state.replica.id, Ran.YES, result.reason)
-            if sends >= self._settings.sends:
+            if sends >= self._settings.max_sends:
                 break
-            if last.ran is not Ran.NO and not call.is_repeatable:
+            if last.ran is not Ran.NO and not call.is_retriable:
                 break
-            state = self._next(call, state, last, excluded)
-        return self._give_up(call, stream, last)
+            state = self._choose_next(call, state, last, excluded)
+        return self._fail(call, stream, last)
 
     def _choose(self, call: Call, excluded: set[str]) -> ReplicaState | None:
         now = asyncio.get_running_loop().time()
@@ -94,7 +94,7 @@
             call.service.name, call.placement_key, now, excluded
         )
 
-    def _next(
+    def _choose_next(
         self,
         call: Call,
         state: ReplicaState,
@@ -116,72 +116,74 @@
 
     def _options(self, call: Call, stream: "_Stream") -> SendOptions:
         return SendOptions(
-            answer_s=self._settings.first_event_s,
-            max_idle_s=_MAX_IDLE_S if not stream.may_have_run else 0.0,
+            response_timeout_s=self._settings.first_event_timeout_s,
+            max_idle_s=_MAX_IDLE_S if not stream.may_have_executed else 0.0,
             last_event_id=stream.last_event_id,
         )
 
-    async def _hand_on(
+    async def _forward(
         self, stream: "_Stream", exchange: Exchange
-    ) -> WholeAnswer | Failure | _Cut | None:
+    ) -> BufferedResponse | Failure | _Interrupted | None:
         try:
             if exchange.head.status != 200:
-                return await self._hand_on_other(stream, exchange)
-            return await self._hand_on_events(stream, exchange)
+                return await self._forward_response(stream, exchange)
+            return await self._forward_events(stream, exchange)
         finally:
             exchange.close()
 
-    async def _hand_on_other(
+    async def _forward_response(
         self, stream: "_Stream", exchange: Exchange
-    ) -> WholeAnswer | _Cut:
+    ) -> BufferedResponse | _Interrupted:
         body = await exchange.read_body(stream.call.deadline_at)
         if isinstance(body, Failed):
-            return _Cut(body.failure())
+            return _Interrupted(body.failure())
         if stream.has_started:
-            return _Cut(f"status {exchange.head.status} in place of the rest")
-        return WholeAnswer(exchange.head, body.unwrap())
+            return _Interrupted(
+                f"status {exchange.head.status} in place of the rest"
+            )
+        return BufferedResponse(exchange.head, body.unwrap())
 
-    async def _hand_on_events(
+    async def _forward_events(
         self, stream: "_Stream", exchange: Exchange
-    ) -> _Cut | None:
+    ) -> _Interrupted | None:
         splitter = EventSplitter()
-        wait_s = self._settings.first_event_s
+        wait_s = self._settings.first_event_timeout_s
         while True:
             call = stream.call
-            outcome = await exchange.read_part(min(wait_s, call.remaining_s))
+            outcome = await exchange.read_chunk(min(wait_s, call.remaining_s))
             if isinstance(outcome, Failed):
-                return _Cut(outcome.failure())
+                return _Interrupted(outcome.failure())
             part = outcome.unwrap()
             if part is None:
-                if splitter.has_rest:
-                    return _Cut("ended inside an event")
+                if splitter.has_partial_event:
+                    return _Interrupted("ended inside an event")
                 stream.start(self._codec, exchange)
                 stream.reply.finish()
                 return None
             try:
                 events = splitter.feed(part)
             except OversizedEventError:
-                return _Cut("oversized event")
+                return _Interrupted("oversized event")
             if events:
                 stream.start(self._codec, exchange)
-                await stream.hand_on(events)
-                wait_s = self._settings.next_event_s
+                await stream.forward(events)
+                wait_s = self._settings.next_event_timeout_s
 
-    def _give_up(
+    def _fail(
         self, call: Call, stream: "_Stream", last: SendFailure | None
     ) -> Failure | None:
         reason = last.reason if last else "no replica"
         if stream.has_started:
             logs.write_bounded(
                 "stream_broken_off",
-                request_id=call.terms.request_id,
+                request_id=call.metadata.request_id,
                 events=call.events,
                 reason=reason,
             )
             stream.reply.abort()
             return None
-        if not stream.may_have_run:
-            return not_run_failure(call, last, _RETRY_AFTER_S)
+        if not stream.may_have_executed:
+            return no_upstream_failure(call, last, _RETRY_AFTER_S)
         if call.remaining_s <= 0:
             return Failure(ErrorKind.TIMED_OUT, reason)
         return Failure(ErrorKind.UPSTREAM_FAILED, reason)
@@ -198,11 +200,11 @@
         last_event_id: Id of the last event handed on; empty before.
     """
 
-    def __init__(self, call: Call, reply: Reply) -> None:
+    def __init__(self, call: Call, reply: ResponseWriter) -> None:
         self.call = call
         self.reply = reply
         self.has_started = False
-        self.may_have_run = False
+        self.may_have_executed = False
         self.last_event_id = ""
 
     def start(self, codec: HeaderCodec, exchange: Exchange) -> None:
@@ -214,7 +216,7 @@
             exchange.head.status, codec.response_headers(exchange.head)
         )
 
-    async def hand_on(self, events: list[Event]) -> None:
+    async def forward(self, events: list[Event]) -> None:
         """Sends the events that the caller doesn't have yet."""
         fresh = [e for e in events if self._is_new(e)]
         if not fresh:
@@ -225,7 +227,7 @@
     def _is_new(self, event: Event) -> bool:
         if not event.id:
             return True
-        if self.last_event_id and _number(event.id) <= _number(
+        if self.last_event_id and _event_number(event.id) <= _event_number(
             self.last_event_id
         ):
             return False
@@ -233,5 +235,5 @@
         return True
 
 
-def _number(event_id: str) -> int:
+def _event_number(event_id: str) -> int:
     return int(event_id) if event_id.isdigit() else 0
--- a/libs/gateway/src/masticdale_gateway/streams.py
+++ b/libs/gateway/src/masticdale_gateway/streams.py
@@ -46,7 +46,7 @@
         return self._transport
 
     @property
-    def has_unsent(self) -> bool:
+    def has_pending_writes(self) -> bool:
         """Whether bytes wait for the other end to read."""
         return self.transport.get_write_buffer_size() > 0
 
--- a/libs/gateway/src/masticdale_gateway/upstreams.py
+++ b/libs/gateway/src/masticdale_gateway/upstreams.py
@@ -11,9 +11,9 @@
 
 # Chunks of an answer held for a slow caller before reading pauses. A chunk
 # is at most one read of the socket, 256 KiB in asyncio.
-_CHUNKS_AHEAD = 8
+_MAX_BUFFERED_ITEMS = 8
 
-Matcher = Callable[[ResponseHead], bool]
+ResponseMatcher = Callable[[ResponseHead], bool]
 
 
 class MalformedResponseError(Exception):
@@ -38,9 +38,9 @@
         self.keep_alive_s: float | None = None
         self._is_dirty = False
         self._is_awaiting = False
-        self._is_skipping = False
-        self._unframed = False
-        self._matches: Matcher = matches_any
+        self._is_discarding = False
+        self._is_close_delimited = False
+        self._matches: ResponseMatcher = matches_any
         self._error: Exception | None = None
         self._items: collections.deque[ResponseHead | bytes | None] = (
             collections.deque()
@@ -58,7 +58,7 @@
             or self._items
             or self.lost.is_set()
             or self.transport.is_closing()
-            or self.has_unsent
+            or self.has_pending_writes
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -68,7 +68,11 @@
 
     def eof_received(self) -> bool:
         """See ``asyncio.Protocol``: an unframed body ends here, whole."""
-        if self._unframed and self._is_awaiting and not self._is_skipping:
+        if (
+            self._is_close_delimited
+            and self._is_awaiting
+            and not self._is_discarding
+        ):
             self._end_message()
         self._is_dirty = True
         return False
@@ -91,7 +95,7 @@
             self._arrived.set()
             self.abort()
 
-    def send(self, data: bytes, matches: Matcher) -> None:
+    def send(self, data: bytes, matches: ResponseMatcher) -> None:
         """Sends a whole request; the answer is then awaited.
 
         Args:
@@ -119,7 +123,7 @@
             if isinstance(item, ResponseHead):
                 return item
 
-    async def read_part(self) -> bytes | None:
+    async def read_chunk(self) -> bytes | None:
         """Waits for the next part of the body; None at its whole end.
 
         Raises:
@@ -140,7 +144,10 @@
             self._arrived.clear()
             await self._arrived.wait()
         item = self._items.popleft()
-        if len(self._items) < _CHUNKS_AHEAD and not self.transport.is_closing():
+        if (
+            len(self._items) < _MAX_BUFFERED_ITEMS
+            and not self.transport.is_closing()
+        ):
             self.transport.resume_reading()
         return item
 
@@ -158,7 +165,7 @@
         if status < 200:
             return
         headers = self._headers
-        self._unframed = (
+        self._is_close_delimited = (
             headers.get(b"content-length") is None
             and headers.get(b"transfer-encoding") is None
             and status not in (204, 304)
@@ -167,23 +174,23 @@
         self._is_dirty = self._is_dirty or not keeps_alive
         self.keep_alive_s = _keep_alive_s(headers)
         head = ResponseHead(status, headers, keeps_alive)
-        self._is_skipping = not self._matches(head)
-        if self._is_skipping:
+        self._is_discarding = not self._matches(head)
+        if self._is_discarding:
             self._is_dirty = True
             return
         self._put(head)
 
     def on_body(self, body: bytes) -> None:
         """Called by the parser."""
-        if self._is_skipping:
+        if self._is_discarding:
             return
         self._put(body)
-        if len(self._items) >= _CHUNKS_AHEAD:
+        if len(self._items) >= _MAX_BUFFERED_ITEMS:
             self.transport.pause_reading()
 
     def on_message_complete(self) -> None:
         """Called by the parser."""
-        if self._parser.get_status_code() >= 200 and not self._is_skipping:
+        if self._parser.get_status_code() >= 200 and not self._is_discarding:
             self._end_message()
 
     def _end_message(self) -> None:
--- a/libs/gateway/tests/test_events.py
+++ b/libs/gateway/tests/test_events.py
@@ -22,12 +22,12 @@
             events += splitter.feed(STREAM[start:end])
         self.assertEqual(b"".join(e.data for e in events), STREAM)
         self.assertEqual([e.id for e in events], [str(n) for n in range(20)])
-        self.assertFalse(splitter.has_rest)
+        self.assertFalse(splitter.has_partial_event)
 
     def test_a_beginning_is_kept_back(self):
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 1\ndata: hal"), [])
-        self.assertTrue(splitter.has_rest)
+        self.assertTrue(splitter.has_partial_event)
 
     def test_line_ends_of_both_kinds(self):
         events = EventSplitter().feed(b"id:7\r\ndata: a\r\n\r\n")
