--- a/libs/gateway/src/masticdale_gateway/calls.py
+++ b/libs/gateway/src/masticdale_gateway/calls.py
@@ -18,7 +18,7 @@
 
     Attributes:
         request: What the caller sent.
-        terms: What its headers say.
+        metadata: What its headers say.
         route: Its route.
         service: The service that runs it.
         deadline_at: Loop seconds of the final answer at the latest.
@@ -56,8 +56,8 @@
         """What decides the replica of a stream; None for plain requests."""
         if not self.is_stream:
             return None
-        terms = self.metadata
-        return terms.program_id or terms.prefix_key or terms.request_id
+        metadata = self.metadata
+        return metadata.program_id or metadata.prefix_key or metadata.request_id
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/libs/gateway/src/masticdale_gateway/client.py
+++ b/libs/gateway/src/masticdale_gateway/client.py
@@ -14,7 +14,7 @@
 )
 
 # Bounds, in seconds, after which the kernel gives up a connection whose other
-# end is silent. A watch waits far longer than any answer takes, so nothing
+# end is silent. A watch waits far longer than any response takes, so nothing
 # but these probes shows that something on the way has dropped it.
 _KEEP_ALIVE_IDLE_S = 1
 _KEEP_ALIVE_INTERVAL_S = 1
@@ -29,12 +29,12 @@
 
 
 class NoResponseError(Exception):
-    """The call was sent and no whole answer came."""
+    """The call was sent and no whole response came."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole answer.
+    """A whole response.
 
     Attributes:
         status: The status code.
@@ -53,7 +53,7 @@
         method: Such as GET.
         target: Path and query.
         body: JSON, or empty.
-        timeout_s: Until the whole answer.
+        timeout_s: Until the whole response.
     """
 
     method: str
@@ -92,7 +92,9 @@
         try:
             async with asyncio.timeout(call.timeout_s):
                 head = await connection.read_head()
-                answer = HttpResponse(head.status, await _read_body(connection))
+                response = HttpResponse(
+                    head.status, await _read_body(connection)
+                )
         except (
             ConnectionLostError,
             MalformedResponseError,
@@ -104,7 +106,7 @@
                 self._idle.append(connection)
             else:
                 connection.abort()
-        return answer
+        return response
 
     def _encode(self, call: HttpRequest) -> bytes:
         fields: list[Header] = [
@@ -135,10 +137,10 @@
 
 
 async def _read_body(connection: UpstreamConnection) -> bytes:
-    parts: list[bytes] = []
-    while (part := await connection.read_chunk()) is not None:
-        parts.append(part)
-    return b"".join(parts)
+    chunks: list[bytes] = []
+    while (chunk := await connection.read_chunk()) is not None:
+        chunks.append(chunk)
+    return b"".join(chunks)
 
 
 def _enable_keep_alive(sock: socket.socket) -> None:
--- a/libs/gateway/src/masticdale_gateway/dialect.py
+++ b/libs/gateway/src/masticdale_gateway/dialect.py
@@ -70,11 +70,11 @@
     """Reads and writes the headers."""
 
     def parse_request(self, headers: Headers) -> RequestMetadata:
-        """Returns the terms of a request; values of no use count as absent."""
+        """Returns the metadata of a request; invalid values count as absent."""
         ...
 
     def parse_response(self, head: ResponseHead) -> ResponseMetadata:
-        """Returns the terms of an answer."""
+        """Returns the metadata of an answer."""
         ...
 
     def answers_request(self, head: ResponseHead, request_id: str) -> bool:
@@ -82,7 +82,7 @@
         ...
 
     def request_headers(
-        self, headers: Headers, terms: ForwardingMetadata
+        self, headers: Headers, metadata: ForwardingMetadata
     ) -> list[Header]:
         """Returns the fields to send to a replica."""
         ...
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -24,9 +24,9 @@
 
 # The body of a refusal comes with its head or not at all, in seconds; read, so
 # that the connection can be used again.
-_REFUSAL_BODY_S = 0.1
+_REJECTION_BODY_TIMEOUT_S = 0.1
 
-_CUT_ERRORS = (ConnectionLostError, MalformedResponseError, TimeoutError)
+_CONNECTION_ERRORS = (ConnectionLostError, MalformedResponseError, TimeoutError)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
 
     Attributes:
         head: Status and headers of the answer.
-        terms: What they say.
+        metadata: What they say.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         metadata: ResponseMetadata,
     ) -> None:
         self.head = head
-        self.terms = metadata
+        self.metadata = metadata
         self._sender = sender
         self._state = state
         self._connection = connection
@@ -89,36 +89,36 @@
         """The replica that answers."""
         return self._state.replica.id
 
-    async def read_chunk(self, within_s: float) -> Result[bytes | None, str]:
-        """Waits for a part of the body.
+    async def read_chunk(self, timeout_s: float) -> Result[bytes | None, str]:
+        """Waits for a chunk of the body.
 
         Args:
-            within_s: How long to wait.
+            timeout_s: How long to wait.
 
         Returns:
             Bytes, or None at the end of a whole body; or why it broke off.
         """
         try:
-            async with asyncio.timeout(within_s):
-                part = await self._connection.read_chunk()
-        except _CUT_ERRORS as error:
+            async with asyncio.timeout(timeout_s):
+                chunk = await self._connection.read_chunk()
+        except _CONNECTION_ERRORS as error:
             self._state.circuit.failed(asyncio.get_running_loop().time())
             return Failed(_reason(error))
-        self._is_complete = part is None
-        return Success(part)
+        self._is_complete = chunk is None
+        return Success(chunk)
 
     async def read_body(self, deadline_at: float) -> Result[bytes, str]:
         """Reads the whole body by a deadline in loop seconds."""
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         loop = asyncio.get_running_loop()
         while True:
             outcome = await self.read_chunk(deadline_at - loop.time())
             if isinstance(outcome, Failed):
                 return outcome
-            part = outcome.unwrap()
-            if part is None:
-                return Success(b"".join(parts))
-            parts.append(part)
+            chunk = outcome.unwrap()
+            if chunk is None:
+                return Success(b"".join(chunks))
+            chunks.append(chunk)
 
     def close(self) -> None:
         """Ends it; a replica that is still at work sees its caller go."""
@@ -161,20 +161,20 @@
                 state.replica, options.max_idle_s
             )
             head = await self._exchange(call, state, connection, options)
-            terms = self._codec.parse_response(head)
-            self._record_load(state, terms)
-            if terms.is_genuine:
-                exchange = Exchange(self, state, connection, head, terms)
+            metadata = self._codec.parse_response(head)
+            self._record_load(state, metadata)
+            if metadata.is_genuine:
+                exchange = Exchange(self, state, connection, head, metadata)
                 return Success(exchange)
             return Failed(
                 await self._handle_unusable_response(
-                    call, state, connection, terms, head
+                    call, state, connection, metadata, head
                 )
             )
         except ConnectFailedError as error:
             state.circuit.failed(loop.time())
             return Failed(self._failure(call, state, Ran.NO, _reason(error)))
-        except _CUT_ERRORS as error:
+        except _CONNECTION_ERRORS as error:
             state.circuit.failed(loop.time())
             return Failed(
                 self._failure(call, state, Ran.UNKNOWN, _reason(error))
@@ -227,10 +227,10 @@
         call: Call,
         state: ReplicaState,
         connection: UpstreamConnection,
-        terms: ResponseMetadata,
+        metadata: ResponseMetadata,
         head: ResponseHead,
     ) -> SendFailure:
-        if not terms.is_rejected:
+        if not metadata.is_rejected:
             state.circuit.failed(asyncio.get_running_loop().time())
             return self._failure(
                 call, state, Ran.UNKNOWN, f"status {head.status}"
@@ -239,10 +239,10 @@
             # Another replica has the address: the list has not said so yet.
             state.circuit.failed(asyncio.get_running_loop().time())
         try:
-            async with asyncio.timeout(_REFUSAL_BODY_S):
+            async with asyncio.timeout(_REJECTION_BODY_TIMEOUT_S):
                 while await connection.read_chunk() is not None:
                     pass
-        except _CUT_ERRORS:
+        except _CONNECTION_ERRORS:
             # What the head says holds without the body, and the request may
             # go on elsewhere; only the connection is of no more use.
             connection.abort()
@@ -251,16 +251,16 @@
             state,
             Ran.NO,
             f"not run {head.status}",
-            terms.retry_after_s,
+            metadata.retry_after_s,
         )
 
     def _record_load(
-        self, state: ReplicaState, terms: ResponseMetadata
+        self, state: ReplicaState, metadata: ResponseMetadata
     ) -> None:
-        if terms.running is None:
+        if metadata.running is None:
             return
         now = asyncio.get_running_loop().time()
-        state.note_load(ReportedLoad(terms.running, terms.waiting, now))
+        state.note_load(ReportedLoad(metadata.running, metadata.waiting, now))
 
     def _failure(
         self,
--- a/libs/gateway/src/masticdale_gateway/plain.py
+++ b/libs/gateway/src/masticdale_gateway/plain.py
@@ -1,4 +1,4 @@
-"""Requests with one answer of known end: read whole, then handed on."""
+"""Requests with one answer of known end: read content, then handed on."""
 
 import asyncio
 import dataclasses
@@ -44,12 +44,12 @@
         failure: The last failed send, if there was one.
         retry_after_s: When to come back if the replica didn't say.
     """
-    told_s = failure.retry_after_s if failure else None
+    requested_s = failure.retry_after_s if failure else None
     detail = failure.reason if failure else f"no replica of {call.service.name}"
     return Failure(
         ErrorKind.NO_UPSTREAM,
         detail,
-        retry_after_ms=int(1000 * (told_s or retry_after_s)),
+        retry_after_ms=int(1000 * (requested_s or retry_after_s)),
     )
 
 
@@ -68,10 +68,10 @@
         self._settings = settings
 
     async def run(self, call: Call) -> BufferedResponse | Failure:
-        """Returns a replica's whole answer, or why there is none."""
+        """Returns a replica's content answer, or why there is none."""
         excluded: set[str] = set()
         last: SendFailure | None = None
-        runs = 0
+        possible_runs = 0
         for _ in range(self._settings.max_sends):
             if call.remaining_s <= 0:
                 break
@@ -85,10 +85,13 @@
             excluded.add(last.replica_id)
             if last.ran is Ran.NO:
                 continue
-            runs += 1
-            if not call.is_retriable or runs >= call.route.max_attempts:
+            possible_runs += 1
+            if (
+                not call.is_retriable
+                or possible_runs >= call.route.max_attempts
+            ):
                 break
-        if runs == 0:
+        if possible_runs == 0:
             return no_upstream_failure(call, last, self._RETRY_AFTER_S)
         if call.remaining_s <= 0:
             return Failure(ErrorKind.TIMED_OUT)
@@ -102,15 +105,15 @@
         self, call: Call, state: ReplicaState
     ) -> Result[BufferedResponse, SendFailure]:
         settings = self._settings
-        repeatable = call.is_retriable
+        retriable = call.is_retriable
         options = SendOptions(
             response_timeout_s=(
                 settings.retriable_response_timeout_s
-                if repeatable and call.route.max_attempts > 1
+                if retriable and call.route.max_attempts > 1
                 else call.remaining_s
             ),
             max_idle_s=_RETRIABLE_MAX_IDLE_S
-            if repeatable
+            if retriable
             else settings.non_retriable_max_idle_s,
         )
         outcome = await self._sender.send(call, state, options)
@@ -126,6 +129,6 @@
         body = await exchange.read_body(call.deadline_at)
     finally:
         exchange.close()
-    return body.map(lambda whole: BufferedResponse(exchange.head, whole)).alt(
-        lambda reason: SendFailure(exchange.replica_id, Ran.UNKNOWN, reason)
-    )
+    return body.map(
+        lambda content: BufferedResponse(exchange.head, content)
+    ).alt(lambda reason: SendFailure(exchange.replica_id, Ran.UNKNOWN, reason))
--- a/libs/gateway/src/masticdale_gateway/pools.py
+++ b/libs/gateway/src/masticdale_gateway/pools.py
@@ -102,5 +102,5 @@
 def _is_fresh(connection: UpstreamConnection, now: float) -> bool:
     if not connection.is_reusable:
         return False
-    told_s = connection.keep_alive_s or _DEFAULT_KEEP_ALIVE_S
-    return now - connection.idle_since < told_s - _KEEP_ALIVE_MARGIN_S
+    keep_alive_s = connection.keep_alive_s or _DEFAULT_KEEP_ALIVE_S
+    return now - connection.idle_since < keep_alive_s - _KEEP_ALIVE_MARGIN_S
--- a/libs/gateway/src/masticdale_gateway/relay.py
+++ b/libs/gateway/src/masticdale_gateway/relay.py
@@ -64,16 +64,21 @@
         pool: Connections to replicas.
     """
 
-    def __init__(self, parts: RelayDependencies) -> None:
+    def __init__(self, dependencies: RelayDependencies) -> None:
         self.active_requests = 0
         self.is_stopping = False
-        self.pool = ConnectionPool(parts.metrics)
-        self._parts = parts
+        self.pool = ConnectionPool(dependencies.metrics)
+        self._dependencies = dependencies
         self._connections: set[CallerConnection] = set()
-        sender = Sender(self.pool, parts.codec, parts.metrics)
-        self._unary = UnaryRelay(parts.fleet, sender, parts.settings)
+        sender = Sender(self.pool, dependencies.codec, dependencies.metrics)
+        self._unary = UnaryRelay(
+            dependencies.fleet, sender, dependencies.settings
+        )
         self._streams = StreamRelay(
-            parts.fleet, sender, parts.codec, parts.settings
+            dependencies.fleet,
+            sender,
+            dependencies.codec,
+            dependencies.settings,
         )
 
     def create_connection(self) -> CallerConnection:
@@ -115,8 +120,8 @@
         if arrived is None:
             return False
         if isinstance(arrived, Failure):
-            reply = ResponseWriter(connection, keeps_alive=False)
-            self._send_error(reply, "", arrived)
+            writer = ResponseWriter(connection, keeps_alive=False)
+            self._send_error(writer, "", arrived)
             return False
         connection.is_busy = True
         self.active_requests += 1
@@ -129,98 +134,102 @@
     async def _answer(
         self, connection: CallerConnection, request: Request
     ) -> bool:
-        reply = ResponseWriter(
+        writer = ResponseWriter(
             connection, request.keeps_alive and not self.is_stopping
         )
-        terms = self._parts.codec.parse_request(request.headers)
+        metadata = self._dependencies.codec.parse_request(request.headers)
         began = time.monotonic()
-        routed = self._route(request, terms)
+        routed = self._route(request, metadata)
         call: Call | None = None
         if isinstance(routed, Failed):
             outcome: BufferedResponse | Failure | None = routed.failure()
         else:
             call = routed.unwrap()
             try:
-                outcome = await self._run(call, reply)
+                outcome = await self._run(call, writer)
             except asyncio.CancelledError:
                 logs.write_bounded(
                     "caller_left",
-                    request_id=terms.request_id,
-                    program_id=terms.program_id,
+                    request_id=metadata.request_id,
+                    program_id=metadata.program_id,
                     route=call.route.name,
                     replicas=call.replica_ids,
                     events=call.events,
                     took_ms=round(1000 * (time.monotonic() - began), 1),
                 )
                 raise
-        reply.keeps_alive = reply.keeps_alive and not self.is_stopping
+        writer.keeps_alive = writer.keeps_alive and not self.is_stopping
         if isinstance(outcome, Failure):
-            self._send_error(reply, terms.request_id, outcome)
+            self._send_error(writer, metadata.request_id, outcome)
         elif outcome is not None:
-            reply.send(
+            writer.send(
                 outcome.head.status,
-                self._parts.codec.response_headers(outcome.head),
+                self._dependencies.codec.response_headers(outcome.head),
                 outcome.body,
             )
         self._record_outcome(
-            call, terms, reply, outcome, time.monotonic() - began
+            call, metadata, writer, outcome, time.monotonic() - began
         )
-        return reply.is_finished and reply.keeps_alive
+        return writer.is_finished and writer.keeps_alive
 
     def _route(
-        self, request: Request, terms: RequestMetadata
+        self, request: Request, metadata: RequestMetadata
     ) -> Result[Call, Failure]:
-        configuration = self._parts.configuration()
+        configuration = self._dependencies.configuration()
         if configuration is None:
             return Failed(Failure(ErrorKind.NOT_CONFIGURED))
         route = configuration.table.find(request.host, request.path)
         if route is None:
             detail = f"version {configuration.version}"
             return Failed(Failure(ErrorKind.NO_ROUTE, detail))
-        name = route.service_for(terms.program_id or terms.request_id)
+        name = route.service_for(metadata.program_id or metadata.request_id)
         service = configuration.service_by_name.get(name) or Service(name, 0)
         limit_s = route.timeout_s
-        if terms.deadline_s is not None:
-            limit_s = min(limit_s, terms.deadline_s)
+        if metadata.deadline_s is not None:
+            limit_s = min(limit_s, metadata.deadline_s)
         return Success(
-            Call(request, terms, route, service, request.received_at + limit_s)
+            Call(
+                request, metadata, route, service, request.received_at + limit_s
+            )
         )
 
     async def _run(
-        self, call: Call, reply: ResponseWriter
+        self, call: Call, writer: ResponseWriter
     ) -> BufferedResponse | Failure | None:
         if not call.is_stream:
             return await self._unary.run(call)
         claim = _turn_claim(call)
         if claim is None:
-            return await self._streams.run(call, reply)
+            return await self._streams.run(call, writer)
         try:
-            admitted = await self._parts.ledger.admit(claim, call.deadline_at)
+            admitted = await self._dependencies.ledger.admit(
+                claim, call.deadline_at
+            )
             if isinstance(admitted, Failed):
                 failure: Failure = admitted.failure()
                 return failure
-            return await self._streams.run(call, reply)
+            return await self._streams.run(call, writer)
         finally:
             # Also after a refusal, and where the caller left before an
             # answer: the owner may have reserved the turn's tokens, and the
             # program would reach its budget too early.
             used = call.events * call.service.tokens_per_event
-            self._parts.ledger.settle(claim, used)
+            self._dependencies.ledger.settle(claim, used)
 
     def _send_error(
-        self, reply: ResponseWriter, request_id: str, failure: Failure
+        self, writer: ResponseWriter, request_id: str, failure: Failure
     ) -> None:
         come_back_ms = failure.come_back_ms
-        fields = self._parts.codec.error_headers(
+        fields = self._dependencies.codec.error_headers(
             request_id, None if come_back_ms is None else come_back_ms / 1000
         )
         body = json.dumps(
             {"error": failure.kind.value, "message": str(failure)}
         ).encode()
-        reply.send(failure.answer.status, fields, body)
+        writer.send(failure.answer.status, fields, body)
 
     def _read_limits(self) -> ReadLimits:
-        configuration = self._parts.configuration()
+        configuration = self._dependencies.configuration()
         if configuration is None:
             return ReadLimits()
         limits = configuration.limits
@@ -234,30 +243,30 @@
     def _record_outcome(
         self,
         call: Call | None,
-        terms: RequestMetadata,
-        reply: ResponseWriter,
+        metadata: RequestMetadata,
+        writer: ResponseWriter,
         outcome: BufferedResponse | Failure | None,
         took_s: float,
     ) -> None:
         failure = outcome if isinstance(outcome, Failure) else None
         kind = failure.kind.value if failure else "answered"
-        if outcome is None and not reply.is_finished:
+        if outcome is None and not writer.is_finished:
             kind = ErrorKind.BROKEN_OFF.value
         route = call.route if call else None
-        metrics = self._parts.metrics
+        metrics = self._dependencies.metrics
         metrics.count("requests_total", outcome=kind)
         metrics.observe(
             "request_seconds", took_s, kind=route.kind if route else "none"
         )
-        configuration = self._parts.configuration()
+        configuration = self._dependencies.configuration()
         logs.write_bounded(
             "request",
-            request_id=terms.request_id,
-            program_id=terms.program_id,
-            prompt_parts=terms.prompt_parts,
+            request_id=metadata.request_id,
+            program_id=metadata.program_id,
+            prompt_parts=metadata.prompt_parts,
             route=route.name if route else "",
             version=configuration.version if configuration else 0,
-            status=reply.status,
+            status=writer.status,
             outcome=kind,
             detail=failure.detail if failure else "",
             replicas=call.replica_ids if call else [],
@@ -267,14 +276,14 @@
 
 
 def _turn_claim(call: Call) -> TurnClaim | None:
-    terms = call.metadata
-    if not terms.program_id or terms.budget_tokens is None:
+    metadata = call.metadata
+    if not metadata.program_id or metadata.budget_tokens is None:
         return None
     return TurnClaim(
-        program_id=terms.program_id,
-        request_id=terms.request_id,
-        budget_tokens=terms.budget_tokens,
-        turn_tokens=terms.turn_tokens,
+        program_id=metadata.program_id,
+        request_id=metadata.request_id,
+        budget_tokens=metadata.budget_tokens,
+        turn_tokens=metadata.turn_tokens,
     )
 
 
--- a/libs/gateway/src/masticdale_gateway/streaming.py
+++ b/libs/gateway/src/masticdale_gateway/streaming.py
@@ -53,7 +53,7 @@
         self._settings = settings
 
     async def run(
-        self, call: Call, reply: ResponseWriter
+        self, call: Call, writer: ResponseWriter
     ) -> BufferedResponse | Failure | None:
         """Streams an answer to the caller.
 
@@ -61,7 +61,7 @@
             None once the stream is complete or was broken off; else the
             answer or failure that is still to be sent.
         """
-        stream = _Stream(call, reply)
+        stream = _Stream(call, writer)
         excluded: set[str] = set()
         last: SendFailure | None = None
         state = self._choose(call, excluded)
@@ -153,15 +153,15 @@
             outcome = await exchange.read_chunk(min(wait_s, call.remaining_s))
             if isinstance(outcome, Failed):
                 return _Interrupted(outcome.failure())
-            part = outcome.unwrap()
-            if part is None:
+            chunk = outcome.unwrap()
+            if chunk is None:
                 if splitter.has_partial_event:
                     return _Interrupted("ended inside an event")
                 stream.start(self._codec, exchange)
-                stream.reply.finish()
+                stream.writer.finish()
                 return None
             try:
-                events = splitter.feed(part)
+                events = splitter.feed(chunk)
             except OversizedEventError:
                 return _Interrupted("oversized event")
             if events:
@@ -180,7 +180,7 @@
                 events=call.events,
                 reason=reason,
             )
-            stream.reply.abort()
+            stream.writer.abort()
             return None
         if not stream.may_have_executed:
             return no_upstream_failure(call, last, _RETRY_AFTER_S)
@@ -194,15 +194,15 @@
 
     Attributes:
         call: The call.
-        reply: Where the events go.
+        writer: Where the events go.
         has_started: Whether the head has been sent.
         may_have_run: Whether any replica may have begun to run it.
         last_event_id: Id of the last event handed on; empty before.
     """
 
-    def __init__(self, call: Call, reply: ResponseWriter) -> None:
+    def __init__(self, call: Call, writer: ResponseWriter) -> None:
         self.call = call
-        self.reply = reply
+        self.writer = writer
         self.has_started = False
         self.may_have_executed = False
         self.last_event_id = ""
@@ -212,7 +212,7 @@
         if self.has_started:
             return
         self.has_started = True
-        self.reply.start(
+        self.writer.start(
             exchange.head.status, codec.response_headers(exchange.head)
         )
 
@@ -222,7 +222,7 @@
         if not fresh:
             return
         self.call.events += len(fresh)
-        await self.reply.send_chunk(b"".join(e.data for e in fresh))
+        await self.writer.send_chunk(b"".join(e.data for e in fresh))
 
     def _is_new(self, event: Event) -> bool:
         if not event.id:
