--- a/apps/masticdale_entry/src/masticdale_entry/status.py
+++ b/apps/masticdale_entry/src/masticdale_entry/status.py
@@ -11,7 +11,7 @@
     close_gracefully,
 )
 from masticdale_gateway.messages import Request
-from masticdale_gateway.streams import ConnectionLostError
+from masticdale_gateway.transports import ConnectionLostError
 
 Page = Callable[[], tuple[int, bytes]]
 
--- a/libs/gateway/src/masticdale_gateway/__init__.py
+++ b/libs/gateway/src/masticdale_gateway/__init__.py
@@ -1,7 +1,7 @@
 """The HTTP data path: callers on one side, replicas on the other."""
 
 from masticdale_gateway.calls import BudgetLedger, RelaySettings, TurnClaim
-from masticdale_gateway.dialect import (
+from masticdale_gateway.codec import (
     ForwardingMetadata,
     HeaderCodec,
     RequestMetadata,
--- a/libs/gateway/src/masticdale_gateway/callers.py
+++ b/libs/gateway/src/masticdale_gateway/callers.py
@@ -17,7 +17,7 @@
     encode_chunk,
     encode_head,
 )
-from masticdale_gateway.streams import TransportProtocol
+from masticdale_gateway.transports import TransportProtocol
 
 # Requests read ahead on one connection before reading pauses. Callers send
 # one at a time; two keep a pipelining one busy.
--- a/libs/gateway/src/masticdale_gateway/calls.py
+++ b/libs/gateway/src/masticdale_gateway/calls.py
@@ -7,7 +7,7 @@
 from returns.result import Result
 
 from masticdale_common import Failure
-from masticdale_gateway.dialect import RequestMetadata
+from masticdale_gateway.codec import RequestMetadata
 from masticdale_gateway.messages import Request
 from masticdale_routing.routes import Route, RouteKind, Service
 
--- a/libs/gateway/src/masticdale_gateway/client.py
+++ b/libs/gateway/src/masticdale_gateway/client.py
@@ -6,7 +6,7 @@
 import socket
 
 from masticdale_gateway.messages import Header, encode_request
-from masticdale_gateway.streams import ConnectionLostError
+from masticdale_gateway.transports import ConnectionLostError
 from masticdale_gateway.upstreams import (
     MalformedResponseError,
     UpstreamConnection,
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -8,14 +8,14 @@
 
 from masticdale_common import Metrics, Ran, logs
 from masticdale_gateway.calls import Call
-from masticdale_gateway.dialect import (
+from masticdale_gateway.codec import (
     ForwardingMetadata,
     HeaderCodec,
     ResponseMetadata,
 )
 from masticdale_gateway.messages import ResponseHead, encode_request
 from masticdale_gateway.pools import ConnectFailedError, ConnectionPool
-from masticdale_gateway.streams import ConnectionLostError
+from masticdale_gateway.transports import ConnectionLostError
 from masticdale_gateway.upstreams import (
     MalformedResponseError,
     UpstreamConnection,
--- a/libs/gateway/src/masticdale_gateway/relay.py
+++ b/libs/gateway/src/masticdale_gateway/relay.py
@@ -22,13 +22,13 @@
     RelaySettings,
     TurnClaim,
 )
-from masticdale_gateway.dialect import HeaderCodec, RequestMetadata
+from masticdale_gateway.codec import HeaderCodec, RequestMetadata
 from masticdale_gateway.exchanges import Sender
 from masticdale_gateway.messages import Request
-from masticdale_gateway.plain import BufferedResponse, UnaryRelay
 from masticdale_gateway.pools import ConnectionPool
 from masticdale_gateway.streaming import StreamRelay
-from masticdale_gateway.streams import ConnectionLostError
+from masticdale_gateway.transports import ConnectionLostError
+from masticdale_gateway.unary import BufferedResponse, UnaryRelay
 from masticdale_routing.fleet import Fleet
 from masticdale_routing.routes import Configuration, Service
 
--- a/libs/gateway/src/masticdale_gateway/streaming.py
+++ b/libs/gateway/src/masticdale_gateway/streaming.py
@@ -8,7 +8,7 @@
 from masticdale_common import ErrorKind, Failure, Ran, logs
 from masticdale_gateway.callers import ResponseWriter
 from masticdale_gateway.calls import Call, RelaySettings
-from masticdale_gateway.dialect import HeaderCodec
+from masticdale_gateway.codec import HeaderCodec
 from masticdale_gateway.events import (
     Event,
     EventSplitter,
@@ -20,7 +20,7 @@
     SendFailure,
     SendOptions,
 )
-from masticdale_gateway.plain import BufferedResponse, no_upstream_failure
+from masticdale_gateway.unary import BufferedResponse, no_upstream_failure
 from masticdale_routing.fleet import Fleet, ReplicaState
 
 # A new connection is cheap against a turn, and one that was idle for a while
--- a/libs/gateway/src/masticdale_gateway/upstreams.py
+++ b/libs/gateway/src/masticdale_gateway/upstreams.py
@@ -7,7 +7,7 @@
 import httptools
 
 from masticdale_gateway.messages import Headers, ResponseHead
-from masticdale_gateway.streams import ConnectionLostError, TransportProtocol
+from masticdale_gateway.transports import ConnectionLostError, TransportProtocol
 
 # Chunks of an answer held for a slow caller before reading pauses. A chunk
 # is at most one read of the socket, 256 KiB in asyncio.
