--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -11,7 +11,7 @@
     READINESS_PATH,
     REPLICA_PREFIX,
     PlatformHeaderCodec,
-    PlatformObjects,
+    PlatformObjectStore,
     read_configuration,
     read_replica,
 )
@@ -60,22 +60,22 @@
 _BACKLOG = 1024
 # How long one watch waits, in seconds: nearly the most that the store allows.
 # Each is a priced call; probes of the kernel show a dead connection sooner.
-_WATCH_S = 28.0
+_WATCH_TIMEOUT_S = 28.0
 # Pause after changes of the list of replicas, in seconds: a replica that
 # leaves is to get no new work two seconds later.
 _REPLICAS_SETTLE_S = 0.3
 # How often a host whose watches others follow asks whether the store answers,
 # in seconds: with its timeout, and what those others do then, a change still is
 # in force two seconds after it.
-_CHECK_STORE_EVERY_S = 0.5
+_STORE_CHECK_INTERVAL_S = 0.5
 # From SIGTERM until the balancer sends no more connections, in seconds: it
 # asks each second and leaves a host out after two misses.
-_BALANCER_S = 2.6
+_BALANCER_DRAIN_S = 2.6
 # Kept of the grace for the end itself, in seconds.
-_END_S = 0.7
-_CLOSE_IDLE_EVERY_S = 5.0
-_FORGET_EVERY_S = 60.0
-_POLL_S = 0.05
+_SHUTDOWN_RESERVE_S = 0.7
+_CLOSE_IDLE_INTERVAL_S = 5.0
+_PURGE_INTERVAL_S = 60.0
+_POLL_INTERVAL_S = 0.05
 
 
 class EntryHost:
@@ -90,17 +90,17 @@
         self._servers: list[asyncio.Server] = []
         self._is_stopping = False
         incarnation = f"{time.time_ns():x}-{uuid.uuid4().hex[:8]}"
-        peers_at = _required(settings.peers)
-        reached_at = _required(settings.effective_peers_address)
+        peers_bind = _required(settings.peers)
+        peers_address = _required(settings.effective_peers_address)
         identity = Identity(
             settings.host,
             incarnation,
-            str(reached_at.ip),
-            reached_at.port,
+            str(peers_address.ip),
+            peers_address.port,
             settings.failure_domain,
         )
         seen = SeenHosts(identity.reached_at)
-        self._direct = PlatformObjects(
+        self._direct = PlatformObjectStore(
             str(settings.store.ip), settings.store.port, self._metrics
         )
         self._shard_map = ShardMap()
@@ -174,7 +174,7 @@
             shared,
         )
         self._ledger.admit_here = service.admit
-        self._peer_server = RpcServer(service, peers_at, LEDGER)
+        self._peer_server = RpcServer(service, peers_bind, LEDGER)
         self._relay = Relay(
             RelayDependencies(
                 configuration=lambda: self._configuration.current,
@@ -226,29 +226,29 @@
         self._start_watch(
             WatchTarget(
                 CONFIGURATION_PREFIX,
-                _WATCH_S,
+                _WATCH_TIMEOUT_S,
                 self._configuration.apply,
             )
         )
         self._start_watch(
             WatchTarget(
                 REPLICA_PREFIX,
-                _WATCH_S,
+                _WATCH_TIMEOUT_S,
                 self._replicas.apply,
                 _REPLICAS_SETTLE_S,
             )
         )
         self._start_watch(
-            WatchTarget(SHARD_PREFIX, _WATCH_S, self._apply_shards)
+            WatchTarget(SHARD_PREFIX, _WATCH_TIMEOUT_S, self._apply_shards)
         )
         self._tasks.append(asyncio.create_task(self._ledger.run()))
         for name, period_s, callback in (
             ("shards", LOOK_EVERY_S, self._keeper.look),
             ("lease", RENEW_EVERY_S, self._keeper.renew),
             ("copies", COPY_EVERY_S, self._owner.copy_changed),
-            ("store", _CHECK_STORE_EVERY_S, self._store.check),
-            ("idle-connections", _CLOSE_IDLE_EVERY_S, self._close_idle),
-            ("old-programs", _FORGET_EVERY_S, self._owner.forget_old),
+            ("store", _STORE_CHECK_INTERVAL_S, self._store.check),
+            ("idle-connections", _CLOSE_IDLE_INTERVAL_S, self._close_idle),
+            ("old-programs", _PURGE_INTERVAL_S, self._owner.forget_old),
         ):
             self._timers.subscribe(Subscription(name, period_s, callback))
         await stop.wait()
@@ -300,21 +300,23 @@
         self._peers.close_idle()
 
     async def _stop(self) -> None:
-        began = time.monotonic()
-        end_at = began + self._settings.grace_s - _END_S
+        started_at = time.monotonic()
+        drain_deadline = (
+            started_at + self._settings.grace_s - _SHUTDOWN_RESERVE_S
+        )
         self._is_stopping = True
         self._relay.is_stopping = True
         self._ledger.is_stopping = True
         self._copies.is_stopping = True
         logs.write("stopping", busy=self._relay.active_requests)
         await self._keeper.hand_over_all()
-        while time.monotonic() < began + _BALANCER_S:
-            await asyncio.sleep(_POLL_S)
-        while self._relay.active_requests and time.monotonic() < end_at:
-            await asyncio.sleep(_POLL_S)
+        while time.monotonic() < started_at + _BALANCER_DRAIN_S:
+            await asyncio.sleep(_POLL_INTERVAL_S)
+        while self._relay.active_requests and time.monotonic() < drain_deadline:
+            await asyncio.sleep(_POLL_INTERVAL_S)
         self._relay.close_idle()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_END_S / 2):
+            async with asyncio.timeout(_SHUTDOWN_RESERVE_S / 2):
                 await self._ledger.flush()
         await self._timers.close()
         for task in self._tasks:
@@ -325,7 +327,7 @@
         logs.write(
             "stopped",
             busy=self._relay.active_requests,
-            took_s=round(time.monotonic() - began, 3),
+            took_s=round(time.monotonic() - started_at, 3),
         )
 
     def _register_dumps(self) -> None:
--- a/apps/masticdale_entry/src/masticdale_entry/main.py
+++ b/apps/masticdale_entry/src/masticdale_entry/main.py
@@ -56,16 +56,16 @@
     if settings.role is Role.ENTRY:
         from masticdale_entry.entry import EntryHost
 
-        _collect_from_now()
+        _enable_gc()
         await EntryHost(settings).run(stop)
     else:
         from masticdale_entry.storage import StorageHost
 
-        _collect_from_now()
+        _enable_gc()
         await StorageHost(settings).run(stop)
 
 
-def _collect_from_now() -> None:
+def _enable_gc() -> None:
     """Leaves out what was loaded, so that each collection walks over less."""
     gc.freeze()
     gc.enable()
--- a/apps/masticdale_entry/src/masticdale_entry/peers.py
+++ b/apps/masticdale_entry/src/masticdale_entry/peers.py
@@ -10,7 +10,7 @@
 # A turn that waits for a record at a slow store holds a connection to the owner
 # for most of that time. With 8, some ten such turns leave none to the others at
 # their host, and the owner counts as lost; 64 are more than a host has waiting.
-_LIMITS = PoolLimits(connections=64, call_timeout_s=1.0, idle_s=30.0)
+_POOL_LIMITS = PoolLimits(connections=64, call_timeout_s=1.0, idle_s=30.0)
 
 
 class PeerClients(Hosts):
@@ -70,6 +70,6 @@
                 address=Address.model_validate({"ip": address, "port": port}),
                 domain="unknown",
             )
-            client = RpcClient(peer, None, _LIMITS, self._metrics, LEDGER)
+            client = RpcClient(peer, None, _POOL_LIMITS, self._metrics, LEDGER)
             self._client_by_address[(address, port)] = client
         return client
--- a/apps/masticdale_entry/src/masticdale_entry/settings.py
+++ b/apps/masticdale_entry/src/masticdale_entry/settings.py
@@ -16,14 +16,14 @@
     STORAGE = "storage"
 
 
-def _to_address(value: object) -> object:
+def _parse_address(value: object) -> object:
     if not isinstance(value, str):
         return value
     ip, _, port = value.rpartition(":")
     return {"ip": ip, "port": port}
 
 
-HostPort = Annotated[Address, pydantic.BeforeValidator(_to_address)]
+HostPort = Annotated[Address, pydantic.BeforeValidator(_parse_address)]
 
 
 class Settings(StrictModel):
--- a/apps/masticdale_entry/src/masticdale_entry/status.py
+++ b/apps/masticdale_entry/src/masticdale_entry/status.py
@@ -35,14 +35,14 @@
                 request = await connection.next_request()
                 if request is None or isinstance(request, Failure):
                     break
-                self._answer(connection, request)
+                self._respond(connection, request)
                 if not request.keeps_alive:
                     break
             await close_gracefully(connection)
         except ConnectionLostError:
             connection.abort()
 
-    def _answer(self, connection: CallerConnection, request: Request) -> None:
+    def _respond(self, connection: CallerConnection, request: Request) -> None:
         page = self._page_by_path.get(request.path)
         status, body = page() if page else (404, b"")
         ResponseWriter(connection, request.keeps_alive).send(status, [], body)
--- a/apps/masticdale_entry/src/masticdale_entry/storage.py
+++ b/apps/masticdale_entry/src/masticdale_entry/storage.py
@@ -4,15 +4,15 @@
 
 from masticdale_adapter import (
     RETIREMENT_PREFIX,
-    PlatformObjects,
-    retirement_done,
+    PlatformObjectStore,
+    confirm_retirement,
 )
 from masticdale_common import Metrics, logs
 from masticdale_entry.settings import Settings
 from masticdale_entry.watching import Watcher, WatchTarget
 from masticdale_platform import WatchBatch
 
-_WATCH_S = 28.0
+_WATCH_TIMEOUT_S = 28.0
 
 
 class StorageHost:
@@ -25,14 +25,14 @@
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self._metrics = Metrics()
-        self._store = PlatformObjects(
+        self._store = PlatformObjectStore(
             str(settings.store.ip), settings.store.port, self._metrics
         )
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until told to stop."""
-        target = WatchTarget(RETIREMENT_PREFIX, _WATCH_S, self._apply)
+        target = WatchTarget(RETIREMENT_PREFIX, _WATCH_TIMEOUT_S, self._apply)
         watcher = Watcher(self._store, target)
         task = asyncio.create_task(watcher.run())
         await stop.wait()
@@ -42,10 +42,10 @@
         del after_outage
         own = RETIREMENT_PREFIX + self._settings.host
         if any(stored.key == own for stored in batch.changed):
-            answer = asyncio.create_task(self._answer(own))
-            self._tasks.add(answer)
-            answer.add_done_callback(self._tasks.discard)
+            confirmation = asyncio.create_task(self._confirm_retirement(own))
+            self._tasks.add(confirmation)
+            confirmation.add_done_callback(self._tasks.discard)
 
-    async def _answer(self, key: str) -> None:
-        outcome = await retirement_done(self._store, key)
+    async def _confirm_retirement(self, key: str) -> None:
+        outcome = await confirm_retirement(self._store, key)
         logs.write("retirement_answered", key=key, outcome=str(outcome))
--- a/apps/masticdale_entry/src/masticdale_entry/watched_state.py
+++ b/apps/masticdale_entry/src/masticdale_entry/watched_state.py
@@ -72,20 +72,20 @@
         self._prefix = prefix
         self._read = read
         self._fleet = fleet
-        self._pending: dict[str, asyncio.TimerHandle] = {}
+        self._removal_timer_by_id: dict[str, asyncio.TimerHandle] = {}
 
     def apply(self, batch: WatchBatch, after_outage: bool) -> None:
         """Takes what a watch returned."""
-        named: set[str] = set()
+        listed: set[str] = set()
         for stored in batch.changed:
             replica_id = stored.key.removeprefix(self._prefix)
             if self._put(replica_id, stored.value, stored.version):
-                named.add(replica_id)
-        gone = {k.removeprefix(self._prefix) for k in batch.deleted_keys}
+                listed.add(replica_id)
+        removed = {k.removeprefix(self._prefix) for k in batch.deleted_keys}
         if batch.is_snapshot:
-            gone = {r.id for r in self._fleet.replicas()} - named
+            removed = {r.id for r in self._fleet.replicas()} - listed
             self.is_loaded = True
-        for replica_id in gone:
+        for replica_id in removed:
             self._lapse(replica_id, after_outage)
 
     def _put(self, replica_id: str, value: bytes, revision: int) -> bool:
@@ -98,7 +98,7 @@
             )
             self._remove(replica_id)
             return False
-        handle = self._pending.pop(replica_id, None)
+        handle = self._removal_timer_by_id.pop(replica_id, None)
         if handle is not None:
             handle.cancel()
         replica = outcome.unwrap()
@@ -116,17 +116,17 @@
         if not after_outage:
             self._remove(replica_id)
             return
-        if replica_id in self._pending:
+        if replica_id in self._removal_timer_by_id:
             return
         # Replicas can't renew their entries while the store is away. Taken as
-        # gone at once, the whole fleet would vanish with every outage.
+        # removed at once, the whole fleet would vanish with every outage.
         loop = asyncio.get_running_loop()
-        self._pending[replica_id] = loop.call_later(
+        self._removal_timer_by_id[replica_id] = loop.call_later(
             _LAPSED_GRACE_S, self._remove, replica_id
         )
 
     def _remove(self, replica_id: str) -> None:
-        handle = self._pending.pop(replica_id, None)
+        handle = self._removal_timer_by_id.pop(replica_id, None)
         if handle is not None:
             handle.cancel()
         self._fleet.remove(replica_id)
--- a/apps/masticdale_entry/src/masticdale_entry/watching.py
+++ b/apps/masticdale_entry/src/masticdale_entry/watching.py
@@ -12,8 +12,8 @@
 
 # After a failed watch, in seconds; doubles to the second value. All hosts
 # lose the store in the same moment, so each waits a random part more.
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 1.0
+_INITIAL_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
         self._pause_after_failure = pause
         self._position = 0
         self._after_outage = False
-        self._pause_s = _FIRST_PAUSE_S
+        self._backoff_s = _INITIAL_BACKOFF_S
 
     async def run(self) -> None:
         """Follows until cancelled."""
@@ -74,25 +74,25 @@
             # A store in trouble may let a watch go on from a position whose
             # next changes it has dropped, and the watch then waits for
             # changes that will never come. Only a fresh list is certain.
-            asked_from, self._position = self._position, 0
+            failed_position, self._position = self._position, 0
             logs.write_bounded(
                 "watch_failed",
                 prefix=self._target.prefix,
-                position=asked_from,
+                position=failed_position,
                 reason=str(failure),
             )
-            await self._pause()
+            await self._back_off()
             return
         batch = outcome.unwrap()
         self._position = batch.position
-        self._pause_s = _FIRST_PAUSE_S
+        self._backoff_s = _INITIAL_BACKOFF_S
         after_outage, self._after_outage = self._after_outage, False
         self._target.apply(batch, after_outage)
         if batch.changed or batch.deleted_keys:
             await asyncio.sleep(self._target.settle_s)
 
-    async def _pause(self) -> None:
+    async def _back_off(self) -> None:
         await self._pause_after_failure(
-            self._pause_s * random.uniform(0.5, 1.5)
+            self._backoff_s * random.uniform(0.5, 1.5)
         )
-        self._pause_s = min(_LONGEST_PAUSE_S, 2 * self._pause_s)
+        self._backoff_s = min(_MAX_BACKOFF_S, 2 * self._backoff_s)
