--- a/apps/masticdale_entry/src/masticdale_entry/peers.py
+++ b/apps/masticdale_entry/src/masticdale_entry/peers.py
@@ -10,7 +10,7 @@
 # A turn that waits for a record at a slow store holds a connection to the owner
 # for most of that time. With 8, some ten such turns leave none to the others at
 # their host, and the owner counts as lost; 64 are more than a host has waiting.
-_LIMITS = PoolLimits(connections=64, call_timeout_s=1.0, idle_s=30.0)
+_POOL_LIMITS = PoolLimits(connections=64, call_timeout_s=1.0, idle_s=30.0)
 
 
 class PeerClients(Hosts):
@@ -34,7 +34,7 @@
         The seeds are the same for all hosts; they watch the store themselves,
         and follow nobody. The order differs, so that the others spread.
         """
-        own = self._settings.peers_reached_at
+        own = self._settings.effective_peers_address
         seeds = {(str(a.ip), a.port) for a in self._settings.seeds}
         if own is not None and (str(own.ip), own.port) in seeds:
             return []
@@ -51,7 +51,7 @@
             addresses.add((record.address, record.port))
             if record.standby_address:
                 addresses.add((record.standby_address, record.standby_port))
-        own = self._settings.peers_reached_at
+        own = self._settings.effective_peers_address
         if own is not None:
             addresses.discard((str(own.ip), own.port))
         return sorted(addresses)
@@ -70,6 +70,6 @@
                 address=Address.model_validate({"ip": address, "port": port}),
                 domain="unknown",
             )
-            client = RpcClient(peer, None, _LIMITS, self._metrics, LEDGER)
+            client = RpcClient(peer, None, _POOL_LIMITS, self._metrics, LEDGER)
             self._client_by_address[(address, port)] = client
         return client
--- a/apps/masticdale_entry/src/masticdale_entry/settings.py
+++ b/apps/masticdale_entry/src/masticdale_entry/settings.py
@@ -16,14 +16,14 @@
     STORAGE = "storage"
 
 
-def _to_address(value: object) -> object:
+def _parse_address(value: object) -> object:
     if not isinstance(value, str):
         return value
     ip, _, port = value.rpartition(":")
     return {"ip": ip, "port": port}
 
 
-HostPort = Annotated[Address, pydantic.BeforeValidator(_to_address)]
+HostPort = Annotated[Address, pydantic.BeforeValidator(_parse_address)]
 
 
 class Settings(StrictModel):
@@ -57,7 +57,7 @@
     seeds: tuple[HostPort, ...] = ()
 
     @property
-    def peers_reached_at(self) -> Address | None:
+    def effective_peers_address(self) -> Address | None:
         """Where other hosts connect; None for a role without peers."""
         return self.peers_advertised or self.peers
 
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -8,10 +8,14 @@
 
 from masticdale_common import Metrics, Ran, logs
 from masticdale_gateway.calls import Call
-from masticdale_gateway.dialect import AnswerTerms, Dialect, SendTerms
+from masticdale_gateway.codec import (
+    ForwardingMetadata,
+    HeaderCodec,
+    ResponseMetadata,
+)
 from masticdale_gateway.messages import ResponseHead, encode_request
 from masticdale_gateway.pools import ConnectFailedError, ConnectionPool
-from masticdale_gateway.streams import ConnectionLostError
+from masticdale_gateway.transports import ConnectionLostError
 from masticdale_gateway.upstreams import (
     MalformedResponseError,
     UpstreamConnection,
@@ -20,9 +24,9 @@
 
 # The body of a refusal comes with its head or not at all, in seconds; read, so
 # that the connection can be used again.
-_REFUSAL_BODY_S = 0.1
+_REJECTION_BODY_TIMEOUT_S = 0.1
 
-_CUT_ERRORS = (ConnectionLostError, MalformedResponseError, TimeoutError)
+_CONNECTION_ERRORS = (ConnectionLostError, MalformedResponseError, TimeoutError)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -52,7 +56,7 @@
         last_event_id: Where a stream goes on; empty for its beginning.
     """
 
-    answer_s: float
+    response_timeout_s: float
     max_idle_s: float
     last_event_id: str = ""
 
@@ -62,7 +66,7 @@
 
     Attributes:
         head: Status and headers of the answer.
-        terms: What they say.
+        metadata: What they say.
     """
 
     def __init__(
@@ -71,58 +75,58 @@
         state: ReplicaState,
         connection: UpstreamConnection,
         head: ResponseHead,
-        terms: AnswerTerms,
+        metadata: ResponseMetadata,
     ) -> None:
         self.head = head
-        self.terms = terms
+        self.metadata = metadata
         self._sender = sender
         self._state = state
         self._connection = connection
-        self._is_whole = False
+        self._is_complete = False
 
     @property
     def replica_id(self) -> str:
         """The replica that answers."""
         return self._state.replica.id
 
-    async def read_part(self, within_s: float) -> Result[bytes | None, str]:
-        """Waits for a part of the body.
+    async def read_chunk(self, timeout_s: float) -> Result[bytes | None, str]:
+        """Waits for a chunk of the body.
 
         Args:
-            within_s: How long to wait.
+            timeout_s: How long to wait.
 
         Returns:
             Bytes, or None at the end of a whole body; or why it broke off.
         """
         try:
-            async with asyncio.timeout(within_s):
-                part = await self._connection.read_part()
-        except _CUT_ERRORS as error:
+            async with asyncio.timeout(timeout_s):
+                chunk = await self._connection.read_chunk()
+        except _CONNECTION_ERRORS as error:
             self._state.circuit.record_failure(
                 asyncio.get_running_loop().time()
             )
             return Failed(_reason(error))
-        self._is_whole = part is None
-        return Success(part)
+        self._is_complete = chunk is None
+        return Success(chunk)
 
     async def read_body(self, deadline_at: float) -> Result[bytes, str]:
         """Reads the whole body by a deadline in loop seconds."""
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         loop = asyncio.get_running_loop()
         while True:
-            outcome = await self.read_part(deadline_at - loop.time())
+            outcome = await self.read_chunk(deadline_at - loop.time())
             if isinstance(outcome, Failed):
                 return outcome
-            part = outcome.unwrap()
-            if part is None:
-                return Success(b"".join(parts))
-            parts.append(part)
+            chunk = outcome.unwrap()
+            if chunk is None:
+                return Success(b"".join(chunks))
+            chunks.append(chunk)
 
     def close(self) -> None:
         """Ends it; a replica that is still at work sees its caller go."""
-        if self._is_whole:
+        if self._is_complete:
             self._state.circuit.record_success()
-            self._sender.pool.give_back(self._state.replica, self._connection)
+            self._sender.pool.release(self._state.replica, self._connection)
         else:
             self._connection.abort()
         self._state.in_flight -= 1
@@ -136,10 +140,10 @@
     """
 
     def __init__(
-        self, pool: ConnectionPool, dialect: Dialect, metrics: Metrics
+        self, pool: ConnectionPool, codec: HeaderCodec, metrics: Metrics
     ) -> None:
         self.pool = pool
-        self._dialect = dialect
+        self._codec = codec
         self._metrics = metrics
 
     async def send(
@@ -155,20 +159,24 @@
         connection: UpstreamConnection | None = None
         exchange: Exchange | None = None
         try:
-            connection = await self.pool.take(state.replica, options.max_idle_s)
+            connection = await self.pool.acquire(
+                state.replica, options.max_idle_s
+            )
             head = await self._exchange(call, state, connection, options)
-            terms = self._dialect.read_answer(head)
-            self._note_load(state, terms)
-            if terms.is_genuine:
-                exchange = Exchange(self, state, connection, head, terms)
+            metadata = self._codec.parse_response(head)
+            self._record_load(state, metadata)
+            if metadata.is_genuine:
+                exchange = Exchange(self, state, connection, head, metadata)
                 return Success(exchange)
             return Failed(
-                await self._refused(call, state, connection, terms, head)
+                await self._handle_unusable_response(
+                    call, state, connection, metadata, head
+                )
             )
         except ConnectFailedError as error:
             state.circuit.record_failure(loop.time())
             return Failed(self._failure(call, state, Ran.NO, _reason(error)))
-        except _CUT_ERRORS as error:
+        except _CONNECTION_ERRORS as error:
             state.circuit.record_failure(loop.time())
             return Failed(
                 self._failure(call, state, Ran.UNKNOWN, _reason(error))
@@ -177,7 +185,7 @@
             if exchange is None:
                 state.in_flight -= 1
                 if connection is not None:
-                    self.pool.give_back(state.replica, connection)
+                    self.pool.release(state.replica, connection)
 
     async def _exchange(
         self,
@@ -187,20 +195,20 @@
         options: SendOptions,
     ) -> ResponseHead:
         request = call.request
-        fields = self._dialect.outgoing(
+        fields = self._codec.request_headers(
             request.headers,
-            SendTerms(
+            ForwardingMetadata(
                 state.replica.id, call.remaining_s, options.last_event_id
             ),
         )
-        request_id = call.terms.request_id
+        request_id = call.metadata.request_id
         call.replica_ids.append(state.replica.id)
         # The line of the request is written at its end, and never by a host
         # that is killed before; this one tells which replica had it.
         logs.write_bounded(
             "replica_chosen",
             request_id=request_id,
-            program_id=call.terms.program_id,
+            program_id=call.metadata.program_id,
             replica=state.replica.id,
             in_flight=state.in_flight,
             attempt=len(call.replica_ids),
@@ -210,21 +218,21 @@
             encode_request(
                 request.method, request.target, fields, request.body
             ),
-            lambda head: self._dialect.answers(head, request_id),
+            lambda head: self._codec.answers_request(head, request_id),
         )
-        wait_s = min(options.answer_s, call.remaining_s)
+        wait_s = min(options.response_timeout_s, call.remaining_s)
         async with asyncio.timeout(wait_s):
             return await connection.read_head()
 
-    async def _refused(
+    async def _handle_unusable_response(
         self,
         call: Call,
         state: ReplicaState,
         connection: UpstreamConnection,
-        terms: AnswerTerms,
+        metadata: ResponseMetadata,
         head: ResponseHead,
     ) -> SendFailure:
-        if not terms.is_not_run:
+        if not metadata.is_rejected:
             state.circuit.record_failure(asyncio.get_running_loop().time())
             return self._failure(
                 call, state, Ran.UNKNOWN, f"status {head.status}"
@@ -233,10 +241,10 @@
             # Another replica has the address: the list has not said so yet.
             state.circuit.record_failure(asyncio.get_running_loop().time())
         try:
-            async with asyncio.timeout(_REFUSAL_BODY_S):
-                while await connection.read_part() is not None:
+            async with asyncio.timeout(_REJECTION_BODY_TIMEOUT_S):
+                while await connection.read_chunk() is not None:
                     pass
-        except _CUT_ERRORS:
+        except _CONNECTION_ERRORS:
             # What the head says holds without the body, and the request may
             # go on elsewhere; only the connection is of no more use.
             connection.abort()
@@ -245,14 +253,16 @@
             state,
             Ran.NO,
             f"not run {head.status}",
-            terms.retry_after_s,
+            metadata.retry_after_s,
         )
 
-    def _note_load(self, state: ReplicaState, terms: AnswerTerms) -> None:
-        if terms.running is None:
+    def _record_load(
+        self, state: ReplicaState, metadata: ResponseMetadata
+    ) -> None:
+        if metadata.running is None:
             return
         now = asyncio.get_running_loop().time()
-        state.record_load(ReportedLoad(terms.running, terms.waiting, now))
+        state.record_load(ReportedLoad(metadata.running, metadata.waiting, now))
 
     def _failure(
         self,
@@ -265,7 +275,7 @@
         self._metrics.count("upstream_failures_total", ran=ran.value)
         logs.write_bounded(
             "send_failed",
-            request_id=call.terms.request_id,
+            request_id=call.metadata.request_id,
             replica=state.replica.id,
             service=state.replica.service,
             ran=ran.value,
--- a/libs/gateway/src/masticdale_gateway/plain.py
+++ b/libs/gateway/src/masticdale_gateway/unary.py
@@ -1,4 +1,4 @@
-"""Requests with one answer of known end: read whole, then handed on."""
+"""Requests with one answer of known end: read content, then handed on."""
 
 import asyncio
 import dataclasses
@@ -18,11 +18,11 @@
 from masticdale_routing.fleet import Fleet, ReplicaState
 
 # Any fresh connection will do for what may be repeated.
-_ANY_IDLE_S = 60.0
+_RETRIABLE_MAX_IDLE_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class BufferedResponse:
     """A replica's answer, complete.
 
     Attributes:
@@ -34,7 +34,7 @@
     body: bytes
 
 
-def not_run_failure(
+def no_upstream_failure(
     call: Call, failure: SendFailure | None, retry_after_s: float
 ) -> Failure:
     """Returns the refusal of a call that no replica has run.
@@ -44,16 +44,16 @@
         failure: The last failed send, if there was one.
         retry_after_s: When to come back if the replica didn't say.
     """
-    told_s = failure.retry_after_s if failure else None
+    requested_s = failure.retry_after_s if failure else None
     detail = failure.reason if failure else f"no replica of {call.service.name}"
     return Failure(
         ErrorKind.NO_UPSTREAM,
         detail,
-        retry_after_ms=int(1000 * (told_s or retry_after_s)),
+        retry_after_ms=int(1000 * (requested_s or retry_after_s)),
     )
 
 
-class PlainRelay:
+class UnaryRelay:
     """Sends plain requests until one has run."""
 
     # Full replicas of a plain service free a slot within some tens of
@@ -67,29 +67,32 @@
         self._sender = sender
         self._settings = settings
 
-    async def run(self, call: Call) -> WholeAnswer | Failure:
-        """Returns a replica's whole answer, or why there is none."""
+    async def run(self, call: Call) -> BufferedResponse | Failure:
+        """Returns a replica's content answer, or why there is none."""
         excluded: set[str] = set()
         last: SendFailure | None = None
-        runs = 0
-        for _ in range(self._settings.sends):
+        possible_runs = 0
+        for _ in range(self._settings.max_sends):
             if call.remaining_s <= 0:
                 break
             state = self._choose(call, excluded)
             if state is None:
                 break
-            outcome = await self._try(call, state)
+            outcome = await self._attempt(call, state)
             if not isinstance(outcome, Failed):
                 return outcome.unwrap()
             last = outcome.failure()
             excluded.add(last.replica_id)
             if last.ran is Ran.NO:
                 continue
-            runs += 1
-            if not call.is_repeatable or runs >= call.route.max_attempts:
+            possible_runs += 1
+            if (
+                not call.is_retriable
+                or possible_runs >= call.route.max_attempts
+            ):
                 break
-        if runs == 0:
-            return not_run_failure(call, last, self._RETRY_AFTER_S)
+        if possible_runs == 0:
+            return no_upstream_failure(call, last, self._RETRY_AFTER_S)
         if call.remaining_s <= 0:
             return Failure(ErrorKind.TIMED_OUT)
         return Failure(ErrorKind.UPSTREAM_FAILED, last.reason if last else "")
@@ -98,32 +101,34 @@
         now = asyncio.get_running_loop().time()
         return self._fleet.choose(call.service.name, None, now, excluded)
 
-    async def _try(
+    async def _attempt(
         self, call: Call, state: ReplicaState
-    ) -> Result[WholeAnswer, SendFailure]:
+    ) -> Result[BufferedResponse, SendFailure]:
         settings = self._settings
-        repeatable = call.is_repeatable
+        retriable = call.is_retriable
         options = SendOptions(
-            answer_s=(
-                settings.repeatable_answer_s
-                if repeatable and call.route.max_attempts > 1
+            response_timeout_s=(
+                settings.retriable_response_timeout_s
+                if retriable and call.route.max_attempts > 1
                 else call.remaining_s
             ),
-            max_idle_s=_ANY_IDLE_S if repeatable else settings.unsafe_idle_s,
+            max_idle_s=_RETRIABLE_MAX_IDLE_S
+            if retriable
+            else settings.non_retriable_max_idle_s,
         )
         outcome = await self._sender.send(call, state, options)
         if isinstance(outcome, Failed):
             return outcome
-        return await _read_whole(call, outcome.unwrap())
+        return await _buffer_response(call, outcome.unwrap())
 
 
-async def _read_whole(
+async def _buffer_response(
     call: Call, exchange: Exchange
-) -> Result[WholeAnswer, SendFailure]:
+) -> Result[BufferedResponse, SendFailure]:
     try:
         body = await exchange.read_body(call.deadline_at)
     finally:
         exchange.close()
-    return body.map(lambda whole: WholeAnswer(exchange.head, whole)).alt(
-        lambda reason: SendFailure(exchange.replica_id, Ran.UNKNOWN, reason)
-    )
+    return body.map(
+        lambda content: BufferedResponse(exchange.head, content)
+    ).alt(lambda reason: SendFailure(exchange.replica_id, Ran.UNKNOWN, reason))
