--- a/libs/ledger/src/masticdale_ledger/accounts.py
+++ b/libs/ledger/src/masticdale_ledger/accounts.py
@@ -13,7 +13,7 @@
 
 # Share of a budget up to which no record is written: most programs end below
 # it, and cost the store nothing.
-_FIRST_STEP = 0.5
+_UNRECORDED_SHARE = 0.5
 # How far a record reaches beyond the turn that needs it, in turns at their
 # most. A turn uses a part of its most, so that one record lasts for some turns.
 # One that reached further would count as spent after a loss of all memory, and
@@ -21,14 +21,14 @@
 _RECORD_AHEAD_TURNS = 1
 # A program without a turn for this long is forgotten, in seconds; twice the
 # time within which programs come back.
-_FORGET_AFTER_S = 120.0
+_IDLE_TIMEOUT_S = 120.0
 # Most programs held; the longest unused go first.
 _MAX_ACCOUNTS = 20_000
 
 
-def first_step_tokens(budget_tokens: int) -> int:
+def unrecorded_limit_tokens(budget_tokens: int) -> int:
     """Returns how much of a budget is spent without a record in the store."""
-    return int(_FIRST_STEP * budget_tokens)
+    return int(_UNRECORDED_SHARE * budget_tokens)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spent:
+class BudgetExceeded:
     """The budget does not hold the turn.
 
     Attributes:
@@ -64,7 +64,7 @@
     version: int
 
 
-Verdict = Admitted | Spent | NeedsRecord
+Verdict = Admitted | BudgetExceeded | NeedsRecord
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -92,9 +92,9 @@
         counts_from_start: Whether every turn has been counted here, so that
             no record is needed below the first step.
         reserved_by_request_id: The most that each turn under way may use.
-        used_at: When it was last asked for, in seconds.
+        last_used_at: When it was last asked for, in seconds.
         most_tokens: The most that any of its turns might have used.
-        awaits_standby: Whether no standby has agreed to any of its turns yet.
+        awaits_standby_ack: Whether no standby has acknowledged it yet.
     """
 
     program_id: str
@@ -103,9 +103,9 @@
     bound: Bound | None
     counts_from_start: bool
     reserved_by_request_id: dict[str, int]
-    used_at: float
+    last_used_at: float
     most_tokens: int = 0
-    awaits_standby: bool = False
+    awaits_standby_ack: bool = False
 
     @property
     def reserved_tokens(self) -> int:
@@ -113,7 +113,7 @@
         return sum(self.reserved_by_request_id.values())
 
     @property
-    def taken_tokens(self) -> int:
+    def committed_tokens(self) -> int:
         """What is spent, or may still be by turns under way."""
         return self.spent_tokens + self.reserved_tokens
 
@@ -122,13 +122,13 @@
         """What counts as spent after the loss of all memory."""
         if self.bound is not None:
             return self.bound.tokens
-        return first_step_tokens(self.budget_tokens)
+        return unrecorded_limit_tokens(self.budget_tokens)
 
-    def judge(self, claim: TurnClaim) -> Verdict:
+    def evaluate(self, claim: TurnClaim) -> Verdict:
         """Decides on a turn; takes nothing."""
         if claim.request_id in self.reserved_by_request_id:
             return Admitted()
-        needed = self.taken_tokens + claim.turn_tokens
+        needed = self.committed_tokens + claim.turn_tokens
         # A bound is rarely reached. Where it stands in for the true count,
         # one turn may go beyond the budget, which the promise allows; without
         # it, programs with tokens left were told 402 after a loss of all hosts.
@@ -136,7 +136,9 @@
         limit = self.budget_tokens + slack
         if needed > limit:
             is_final = self.spent_tokens + claim.turn_tokens > limit
-            return Spent(self.spent_tokens, self.reserved_tokens, is_final)
+            return BudgetExceeded(
+                self.spent_tokens, self.reserved_tokens, is_final
+            )
         is_counted = self.bound is not None or self.counts_from_start
         if is_counted and needed <= self.ceiling_tokens:
             return Admitted()
@@ -170,7 +172,7 @@
         """Returns every account."""
         return list(self._account_by_id.values())
 
-    def open(
+    def get_or_create(
         self, claim: TurnClaim, record: str, is_new: bool, now: float
     ) -> Account:
         """Returns the account of a claim's program; makes it if need be.
@@ -188,7 +190,7 @@
             self._account_by_id[claim.program_id] = account
             if len(self._account_by_id) > _MAX_ACCOUNTS:
                 self._account_by_id.popitem(last=False)
-        account.used_at = now
+        account.last_used_at = now
         account.most_tokens = max(account.most_tokens, claim.turn_tokens)
         self._account_by_id.move_to_end(claim.program_id)
         return account
@@ -217,12 +219,12 @@
         if account is not None:
             account.bound = bound
 
-    def adopt(self, accounts: list[Account]) -> None:
+    def restore(self, accounts: list[Account]) -> None:
         """Takes over the accounts of the shard's last owner."""
         for account in accounts:
             self._account_by_id[account.program_id] = account
 
-    def forget_old(self, now: float) -> list[Account]:
+    def evict_idle(self, now: float) -> list[Account]:
         """Drops the programs that were not asked for in a long time.
 
         Returns:
@@ -231,7 +233,7 @@
         forgotten: list[Account] = []
         while self._account_by_id:
             oldest = next(iter(self._account_by_id.values()))
-            if now - oldest.used_at < _FORGET_AFTER_S:
+            if now - oldest.last_used_at < _IDLE_TIMEOUT_S:
                 break
             self._account_by_id.popitem(last=False)
             forgotten.append(oldest)
@@ -245,7 +247,7 @@
         if bound is not None:
             spent = bound.tokens
         elif not is_new:
-            spent = first_step_tokens(claim.budget_tokens)
+            spent = unrecorded_limit_tokens(claim.budget_tokens)
         return Account(
             program_id=claim.program_id,
             budget_tokens=claim.budget_tokens,
@@ -253,5 +255,5 @@
             bound=bound,
             counts_from_start=bound is None and is_new,
             reserved_by_request_id={},
-            used_at=now,
+            last_used_at=now,
         )
--- a/libs/ledger/src/masticdale_ledger/acting.py
+++ b/libs/ledger/src/masticdale_ledger/acting.py
@@ -21,7 +21,7 @@
 from masticdale_ledger.owner import OwnedShard, ShardOwner
 from masticdale_ledger.shards import Previous, ShardMap, ShardView
 from masticdale_ledger.standby import StandbyCopies
-from masticdale_ledger.states import account_of
+from masticdale_ledger.states import account_from_state
 
 # One question to the owner whether it lives, in seconds: a hundred round trips
 # between failure domains. Whoever asked the standby has waited for the owner
@@ -169,7 +169,7 @@
         self._claims.partners.avoid(record.address, record.port)
         copy = self._copies.seal(SealRequest(number, record.epoch))
         accounts = Accounts()
-        accounts.adopt([account_of(state) for state in copy.accounts])
+        accounts.restore([account_from_state(state) for state in copy.accounts])
         shard = OwnedShard(
             number,
             view,
--- a/libs/ledger/src/masticdale_ledger/apart.py
+++ b/libs/ledger/src/masticdale_ledger/apart.py
@@ -2,10 +2,10 @@
 
 import dataclasses
 
-from masticdale_ledger.accounts import Account, first_step_tokens
+from masticdale_ledger.accounts import Account, unrecorded_limit_tokens
 from masticdale_ledger.arbiter import Side
 from masticdale_ledger.messages import AccountState
-from masticdale_ledger.states import account_of
+from masticdale_ledger.states import account_from_state
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -68,9 +68,9 @@
         # would still count as spent after each loss of an owner.
         return Share(account.spent_tokens, 0)
     most = account.most_tokens
-    free = max(0, account.ceiling_tokens - account.taken_tokens)
+    free = max(0, account.ceiling_tokens - account.committed_tokens)
     most_free = max(0, account.ceiling_tokens - account.spent_tokens)
-    if account.awaits_standby:
+    if account.awaits_standby_ack:
         # Whoever seals the standby learns of no such program and counts it from
         # zero. An owner that had been replaced without knowing it admitted some
         # of its turns a second time.
@@ -101,7 +101,7 @@
         state: The account as its standby held it.
         holder: See ``shares_of``.
     """
-    shares = shares_of([account_of(state)], acting=True, holder=holder)
+    shares = shares_of([account_from_state(state)], acting=True, holder=holder)
     return with_elsewhere(state, shares[state.program_id])
 
 
@@ -118,7 +118,7 @@
     standby next, which takes the program; counted by the account it began from
     zero here, and got a part of its budget twice.
     """
-    unseen_tokens = first_step_tokens(state.budget_tokens)
+    unseen_tokens = unrecorded_limit_tokens(state.budget_tokens)
     return dataclasses.replace(
         state,
         spent_tokens=max(state.spent_tokens, unseen_tokens),
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -33,7 +33,7 @@
     read_shard,
     shard_key,
 )
-from masticdale_ledger.states import account_of
+from masticdale_ledger.states import account_from_state
 from masticdale_platform import ObjectStore, StoredObject
 
 # After the accounts of a shard are lost, a program of before may come back
@@ -202,7 +202,9 @@
         if shard is not None:
             # It has gone on here until now, or until it was sealed.
             inheritance = self.kept(shard)
-        accounts.adopt([account_of(state) for state in inheritance.accounts])
+        accounts.restore(
+            [account_from_state(state) for state in inheritance.accounts]
+        )
         self._own(number, view, accounts, inheritance)
         logs.write(
             "shard_taken",
@@ -360,7 +362,9 @@
             return None
         inheritance = self.kept(shard)
         accounts = shard.accounts
-        accounts.adopt([account_of(state) for state in inheritance.accounts])
+        accounts.restore(
+            [account_from_state(state) for state in inheritance.accounts]
+        )
         view = ShardView(record, written.unwrap())
         self._own(shard.number, view, accounts, inheritance)
         return None
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -14,8 +14,8 @@
     Account,
     Accounts,
     Admitted,
+    BudgetExceeded,
     NeedsRecord,
-    Spent,
 )
 from masticdale_ledger.apart import Alone, acted_states
 from masticdale_ledger.copier import AccountSource, Copier, CopyState
@@ -23,7 +23,7 @@
 from masticdale_ledger.messages import AccountState, Settlement
 from masticdale_ledger.records import ProgramRecords, record_name
 from masticdale_ledger.shards import ShardView
-from masticdale_ledger.states import state_of
+from masticdale_ledger.states import account_to_state
 
 # How often settled turns are copied, in seconds; as often as they arrive.
 COPY_EVERY_S = 0.15
@@ -105,7 +105,7 @@
             return True
         if claim.request_id in account.reserved_by_request_id:
             return False
-        needed = account.taken_tokens + claim.turn_tokens
+        needed = account.committed_tokens + claim.turn_tokens
         return needed > share.limit_tokens
 
     @property
@@ -116,22 +116,22 @@
     def open(self, claim: TurnClaim) -> Account:
         """Returns the account of a claim's program."""
         is_known = self.accounts.get(claim.program_id) is not None
-        account = self.accounts.open(
+        account = self.accounts.get_or_create(
             claim,
             record_name(claim.program_id),
             self.incomplete_for_s == 0,
             time.monotonic(),
         )
         if not is_known:
-            account.awaits_standby = True
+            account.awaits_standby_ack = True
         return account
 
     def states(self, program_ids: list[str] | None) -> tuple[AccountState, ...]:
         """See ``AccountSource.states``."""
         if program_ids is None:
-            return tuple(state_of(a) for a in self.accounts.all())
+            return tuple(account_to_state(a) for a in self.accounts.all())
         found = (self.accounts.get(i) for i in program_ids)
-        return tuple(state_of(a) for a in found if a is not None)
+        return tuple(account_to_state(a) for a in found if a is not None)
 
     @property
     def lacks_copy(self) -> bool:
@@ -163,7 +163,9 @@
 
     def waiting_ids(self) -> set[str]:
         """Returns the programs that no standby has agreed to yet."""
-        return {a.program_id for a in self.accounts.all() if a.awaits_standby}
+        return {
+            a.program_id for a in self.accounts.all() if a.awaits_standby_ack
+        }
 
     def acted_states(self) -> tuple[AccountState, ...]:
         """Returns all accounts, with what another host may have given."""
@@ -194,7 +196,7 @@
     """A turn that the budget does not hold now."""
 
     account: Account
-    verdict: Spent
+    verdict: BudgetExceeded
 
 
 class ShardOwner:
@@ -257,10 +259,10 @@
             if shard.declines(claim):
                 return _alone_failure(number)
             account = shard.open(claim)
-            verdict = account.judge(claim)
+            verdict = account.evaluate(claim)
             if isinstance(verdict, Admitted):
                 return await self._reserve(shard, claim)
-            if isinstance(verdict, Spent):
+            if isinstance(verdict, BudgetExceeded):
                 return _NoRoom(account, verdict)
             if shard.alone is not None:
                 # A higher bound would count what the other may have handed
@@ -301,7 +303,7 @@
     async def forget_old(self) -> None:
         """Drops programs that will not come back, and their records."""
         for shard in list(self._shard_by_number.values()):
-            for account in shard.accounts.forget_old(time.monotonic()):
+            for account in shard.accounts.evict_idle(time.monotonic()):
                 self._write_lock_by_program.pop(account.program_id, None)
                 if account.bound is not None:
                     await self._records.delete(
@@ -325,7 +327,7 @@
             return Failed(Failure(ErrorKind.NOT_OWNER, detail))
         if not isinstance(copied, Failed):
             if shard.alone is None:
-                account.awaits_standby = False
+                account.awaits_standby_ack = False
             return Success(None)
         self.failure_by_broken_copy[shard.number] = copied.failure()
         shard.accounts.settle(claim.program_id, claim.request_id, 0)
@@ -336,7 +338,7 @@
         self, shard: OwnedShard, claim: TurnClaim, account: Account
     ) -> Result[None, Failure]:
         async with self._write_lock_by_program[claim.program_id]:
-            verdict = account.judge(claim)
+            verdict = account.evaluate(claim)
             if not isinstance(verdict, NeedsRecord):
                 return Success(None)
             outcome = await self._records.raise_bound(
--- a/libs/ledger/src/masticdale_ledger/states.py
+++ b/libs/ledger/src/masticdale_ledger/states.py
@@ -6,7 +6,7 @@
 from masticdale_ledger.messages import AccountState
 
 
-def state_of(account: Account) -> AccountState:
+def account_to_state(account: Account) -> AccountState:
     """Returns an account for another host."""
     bound = account.bound or Bound(0, 0)
     reserved = account.reserved_by_request_id
@@ -23,7 +23,7 @@
     )
 
 
-def account_of(state: AccountState) -> Account:
+def account_from_state(state: AccountState) -> Account:
     """Returns the account that another host has held."""
     bound = None
     if state.bound_version:
@@ -37,6 +37,6 @@
         reserved_by_request_id=dict(
             zip(state.reserved_ids, state.reserved_tokens, strict=True)
         ),
-        used_at=time.monotonic(),
+        last_used_at=time.monotonic(),
         most_tokens=state.most_tokens,
     )
--- a/libs/ledger/tests/test_accounts.py
+++ b/libs/ledger/tests/test_accounts.py
@@ -10,8 +10,8 @@
     Accounts,
     Admitted,
     Bound,
+    BudgetExceeded,
     NeedsRecord,
-    Spent,
 )
 
 RECORD = "record"
@@ -40,12 +40,14 @@
     def admit(self, request_id):
         turn = claim(request_id, self.budget, self.most)
         while True:
-            account = self.accounts.open(turn, RECORD, self.is_complete, 0.0)
-            verdict = account.judge(turn)
+            account = self.accounts.get_or_create(
+                turn, RECORD, self.is_complete, 0.0
+            )
+            verdict = account.evaluate(turn)
             if isinstance(verdict, Admitted):
                 self.accounts.reserve(turn)
                 return True
-            if isinstance(verdict, Spent):
+            if isinstance(verdict, BudgetExceeded):
                 return False
             self.writes += 1
             self.bound = Bound(verdict.bound_tokens, self.writes)
@@ -156,13 +158,13 @@
         self.assertTrue(ledger.admit("a"))
         self.assertTrue(ledger.admit("b"))
         account = ledger.accounts.get("program")
-        waits = account.judge(claim("c", 250, 100))
+        waits = account.evaluate(claim("c", 250, 100))
         self.assertFalse(waits.is_final)
         ledger.accounts.settle("program", "a", 20)
         self.assertTrue(ledger.admit("c"))
         ledger.accounts.settle("program", "b", 100)
         ledger.accounts.settle("program", "c", 100)
-        self.assertTrue(account.judge(claim("d", 250, 100)).is_final)
+        self.assertTrue(account.evaluate(claim("d", 250, 100)).is_final)
 
     def test_asking_again_for_one_turn_reserves_once(self):
         ledger = Ledger(budget=300, most=100)
@@ -173,8 +175,8 @@
         ledger = Ledger(budget=1600, most=100)
         ledger.lose_memory()
         turn = claim("a", 1600, 100)
-        account = ledger.accounts.open(turn, RECORD, False, 0.0)
-        self.assertIsInstance(account.judge(turn), NeedsRecord)
+        account = ledger.accounts.get_or_create(turn, RECORD, False, 0.0)
+        self.assertIsInstance(account.evaluate(turn), NeedsRecord)
 
 
 if __name__ == "__main__":
--- a/libs/ledger/tests/test_acting.py
+++ b/libs/ledger/tests/test_acting.py
@@ -208,7 +208,7 @@
         account = shard.accounts.get("known")
         # 40 before, two turns here, and a half of 560 that the owner may
         # have given when it was alone.
-        self.assertGreaterEqual(account.taken_tokens, 40 + 200 + 280)
+        self.assertGreaterEqual(account.committed_tokens, 40 + 200 + 280)
 
 
 class UnknownClaimTest(ActingCase):
--- a/libs/ledger/tests/test_any_order.py
+++ b/libs/ledger/tests/test_any_order.py
@@ -315,7 +315,7 @@
         account = shard.accounts.get("new")
         self.assertIsNotNone(account)
         given = self.world.given_by_program["new"]
-        self.assertEqual(account.taken_tokens, sum(given.values()))
+        self.assertEqual(account.committed_tokens, sum(given.values()))
 
 
 class TakeoverTest(HostsCase):
--- a/libs/ledger/tests/test_apart.py
+++ b/libs/ledger/tests/test_apart.py
@@ -20,7 +20,7 @@
 from masticdale_ledger.records import ProgramRecords, record_name
 from masticdale_ledger.shards import Previous, ShardRecord, ShardView
 from masticdale_ledger.standby import StandbyCopies
-from masticdale_ledger.states import account_of
+from masticdale_ledger.states import account_from_state
 from masticdale_platform.testing import MemoryStore
 
 SHARD = 1
@@ -138,7 +138,7 @@
             return
         copy = self.link.copies.seal(SealRequest(SHARD, self.epoch))
         accounts = Accounts()
-        accounts.adopt([account_of(state) for state in copy.accounts])
+        accounts.restore([account_from_state(state) for state in copy.accounts])
         self.acting = self.host(accounts, copy.incomplete_for_s, None)
         shares = shares_of(accounts.all(), acting=True)
         self.acting[1].alone = Alone(shares, takes_new=True)
@@ -162,7 +162,7 @@
         self.ghosts.append(old)
         self.acting = None
         accounts = Accounts(await self.bounds())
-        accounts.adopt([account_of(state) for state in states])
+        accounts.restore([account_from_state(state) for state in states])
         self.own(accounts, incomplete_s)
 
     async def lose_all(self):
@@ -296,7 +296,7 @@
             given = sum(world.used.values())
             await world.step("meet", 0)
             account = world.owner[1].accounts.get(PROGRAM)
-            self.assertGreaterEqual(account.taken_tokens, given)
+            self.assertGreaterEqual(account.committed_tokens, given)
 
         asyncio.run(play())
 
@@ -307,7 +307,7 @@
         """
         accounts = Accounts()
         claim = TurnClaim(PROGRAM, "r", 1000, 100)
-        account = accounts.open(claim, "record", True, 0.0)
+        account = accounts.get_or_create(claim, "record", True, 0.0)
         account.spent_tokens = 600
         account.bound = Bound(900, 1)
         for acting in (False, True):
@@ -319,7 +319,7 @@
         """Programs of few turns would wait for the end of an outage."""
         accounts = Accounts()
         claim = TurnClaim(PROGRAM, "r", 400, 100)
-        account = accounts.open(claim, "record", True, 0.0)
+        account = accounts.get_or_create(claim, "record", True, 0.0)
         account.spent_tokens = 80
         standby = shares_of([account], acting=True)[PROGRAM]
         owner = shares_of([account], acting=False)[PROGRAM]
--- a/libs/ledger/tests/test_seals.py
+++ b/libs/ledger/tests/test_seals.py
@@ -73,7 +73,7 @@
         await self.acting.claim(shard)
         accounts = self.owner.owned()[SHARD].accounts
         self.assertIsNotNone(accounts.get("new"))
-        self.assertEqual(accounts.get("new").taken_tokens, 100)
+        self.assertEqual(accounts.get("new").committed_tokens, 100)
         known = accounts.get("known")
         self.assertEqual(known.spent_tokens, given["known"].spent_tokens)
 
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -108,8 +108,8 @@
     Edit(
         "half spent after a loss",
         f"{_LEDGER}/accounts.py",
-        "FIRST_STEP = 0.5",
-        "FIRST_STEP = 0.35",
+        "_UNRECORDED_SHARE = 0.5",
+        "_UNRECORDED_SHARE = 0.35",
     ),
 )
 
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -20,7 +20,7 @@
 from masticdale_gateway.exchanges import Sender, SendFailure
 from masticdale_gateway.streaming import _Stream
 from masticdale_ledger import LedgerClient
-from masticdale_ledger.accounts import Account, Spent
+from masticdale_ledger.accounts import Account, BudgetExceeded
 from masticdale_routing.fleet import Fleet
 
 
@@ -54,14 +54,14 @@
 
 
 def spend_budgets_early():
-    judge = Account.judge
+    judge = Account.evaluate
 
     def early(self, claim):
         if self.spent_tokens:
-            return Spent(self.spent_tokens, 0, True)
+            return BudgetExceeded(self.spent_tokens, 0, True)
         return judge(self, claim)
 
-    Account.judge = early
+    Account.evaluate = early
 
 
 def go_back_to_old_configurations():
