--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -30,10 +30,10 @@
 from masticdale_entry.status import StatusServer, dump_page, metrics_page
 from masticdale_gateway import Relay, RelayParts, listen
 from masticdale_ledger import (
-    COPY_EVERY_S,
     LEDGER,
     LOOK_EVERY_S,
     RENEW_EVERY_S,
+    REPLICATION_INTERVAL_S,
     SHARD_COUNT,
     SHARD_PREFIX,
     ActingStandby,
@@ -243,10 +243,10 @@
         for name, period_s, callback in (
             ("shards", LOOK_EVERY_S, self._keeper.look),
             ("lease", RENEW_EVERY_S, self._keeper.renew),
-            ("copies", COPY_EVERY_S, self._owner.copy_changed),
+            ("copies", REPLICATION_INTERVAL_S, self._owner.replicate_changes),
             ("store", _CHECK_STORE_EVERY_S, self._store.check),
             ("idle-connections", _CLOSE_IDLE_EVERY_S, self._close_idle),
-            ("old-programs", _FORGET_EVERY_S, self._owner.forget_old),
+            ("old-programs", _FORGET_EVERY_S, self._owner.evict_idle_programs),
         ):
             self._timers.subscribe(Subscription(name, period_s, callback))
         await stop.wait()
--- a/libs/ledger/src/masticdale_ledger/__init__.py
+++ b/libs/ledger/src/masticdale_ledger/__init__.py
@@ -11,7 +11,7 @@
 )
 from masticdale_ledger.leases import Lease, boot_time_s
 from masticdale_ledger.messages import LEDGER
-from masticdale_ledger.owner import COPY_EVERY_S, ShardOwner
+from masticdale_ledger.owner import REPLICATION_INTERVAL_S, ShardOwner
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.service import LedgerService
 from masticdale_ledger.shards import SHARD_PREFIX, ShardMap, ShardRecord
@@ -20,10 +20,10 @@
 from masticdale_ledger.store_relay import FallbackStore
 
 __all__ = [
-    "COPY_EVERY_S",
     "LEDGER",
     "LOOK_EVERY_S",
     "RENEW_EVERY_S",
+    "REPLICATION_INTERVAL_S",
     "SHARD_COUNT",
     "SHARD_PREFIX",
     "ActingStandby",
--- a/libs/ledger/src/masticdale_ledger/acting.py
+++ b/libs/ledger/src/masticdale_ledger/acting.py
@@ -115,14 +115,17 @@
         arbiter to let this host go on. In both cases an owner that lives counts
         programs that it does not know as half spent.
         """
-        if shard.alone is None or shard.alone.takes_new:
+        if shard.isolation is None or shard.isolation.takes_new:
             return
         record = shard.view.record
-        if not shard.has_decision and not self._copies.owner_was_without_store(
-            shard.number, record.epoch
+        if (
+            not shard.won_arbitration
+            and not self._copies.owner_was_without_store(
+                shard.number, record.epoch
+            )
         ):
             return
-        shard.alone = dataclasses.replace(shard.alone, takes_new=True)
+        shard.isolation = dataclasses.replace(shard.isolation, takes_new=True)
         logs.write("shard_takes_new", shard=shard.number, epoch=record.epoch)
 
     def seal(self, request: SealRequest) -> SealReply:
@@ -141,7 +144,7 @@
                 self._copies.keep_acted(
                     request.shard,
                     epoch,
-                    shard.acted_states(),
+                    shard.states_with_peer_spending(),
                     shard.incomplete_for_s,
                 )
         return self._copies.seal(request)
@@ -180,14 +183,14 @@
             record.incarnation,
         )
         shard.is_acting = True
-        shard.has_decision = has_decision
+        shard.won_arbitration = has_decision
         is_holder = has_decision or not record.arbiter_address
         shares = shares_of(
             accounts.all(),
             acting=True,
             holder=Side.STANDBY if is_holder else Side.OWNER,
         )
-        shard.alone = Alone(shares, takes_new=False)
+        shard.isolation = Alone(shares, takes_new=False)
         self._owner.take(shard)
         logs.write(
             "shard_acted_for",
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -274,26 +274,26 @@
 
         The write fails where another host has taken the shard over.
         """
-        if shard.is_moving:
+        if shard.is_handing_over:
             return
         with self._sole_writer(shard.number) as is_sole:
             if is_sole:
                 await self._replace_standby(shard)
 
     async def _replace_standby(self, shard: OwnedShard) -> None:
-        copied = await shard.copy_now()
-        if _is_sealed(copied) and shard.alone is None:
+        copied = await shard.replicate_now()
+        if _is_sealed(copied) and shard.isolation is None:
             # Whoever sealed the standby counts what may be given here, and is
             # about to write that it owns the shard.
             self._go_alone(shard)
             return
         if isinstance(copied, Failed):
             failure = await self._write_standby(shard)
-            if _is_away(failure) and shard.alone is None:
+            if _is_away(failure) and shard.isolation is None:
                 self._go_alone(shard)
             return
-        shard.alone = None
-        self._owner.failure_by_broken_copy.pop(shard.number, None)
+        shard.isolation = None
+        self._owner.replication_failure_by_shard.pop(shard.number, None)
         if shard.is_standby_leaving:
             await self._write_standby(shard)
 
@@ -321,12 +321,12 @@
 
     async def ask_arbiter(self, shard: OwnedShard) -> None:
         """Finds out whether the standby may have gone on with new programs."""
-        if shard.has_decision or not shard.may_be_acted_for_new:
+        if shard.won_arbitration or not shard.standby_may_admit_new:
             return
         side = await self.arbitration.decide(
             Side.OWNER, shard.number, shard.view.record
         )
-        shard.has_decision = side is Side.OWNER
+        shard.won_arbitration = side is Side.OWNER
 
     async def holder(self, number: int, record: ShardRecord) -> Side:
         """Returns who may have gone on with what only one of two may do.
@@ -377,14 +377,14 @@
         known here, those count as half spent when they come.
         """
         states = shard.states(None)
-        if shard.alone is not None:
-            states = shard.acted_states()
-        elif shard.may_be_acted_for and not shard.is_standby_leaving:
+        if shard.isolation is not None:
+            states = shard.states_with_peer_spending()
+        elif shard.standby_may_act and not shard.is_standby_leaving:
             states = acted_states(states, _owner_shares(shard))
         incomplete_for_s = shard.incomplete_for_s
-        if shard.may_be_acted_for_new:
+        if shard.standby_may_admit_new:
             incomplete_for_s = max(incomplete_for_s, LOST_PROGRAMS_S)
-            waiting = shard.waiting_ids()
+            waiting = shard.unacknowledged_program_ids()
             states = tuple(
                 unknown_here(s) if s.program_id in waiting else s
                 for s in states
@@ -395,7 +395,7 @@
 
     def _go_alone(self, shard: OwnedShard) -> None:
         shares = _owner_shares(shard)
-        shard.alone = Alone(shares, takes_new=False)
+        shard.isolation = Alone(shares, takes_new=False)
         logs.write("shard_alone", shard=shard.number, programs=len(shares))
 
     async def _write(
@@ -403,10 +403,10 @@
     ) -> Result[int, Failure]:
         key = shard_key(number)
         value = record.model_dump_json().encode()
-        asked_at = self._lease.now()
+        sent_at = self._lease.now()
         outcome = await self._store.write(key, value, version)
         if not isinstance(outcome, Failed):
-            self._lease.confirm(asked_at)
+            self._lease.renew(sent_at)
             return outcome
         kind = outcome.failure().kind
         if kind not in (ErrorKind.WRITE_UNKNOWN, ErrorKind.CONFLICT):
@@ -422,14 +422,14 @@
             return outcome
         view = read_shard(stored)
         if view is not None and view.record == record:
-            self._lease.confirm(asked_at)
+            self._lease.renew(sent_at)
             return Success(view.version)
         self._map.put(stored)
         return outcome
 
 
 def _owner_shares(shard: OwnedShard) -> dict[str, Share]:
-    holder = Side.OWNER if shard.has_decision else Side.STANDBY
+    holder = Side.OWNER if shard.won_arbitration else Side.STANDBY
     return shares_of(shard.accounts.all(), acting=False, holder=holder)
 
 
--- a/libs/ledger/src/masticdale_ledger/keeper.py
+++ b/libs/ledger/src/masticdale_ledger/keeper.py
@@ -124,7 +124,7 @@
             age_s is not None and age_s < _RENEW_AFTER_S
         ):
             return
-        asked_at = self._lease.now()
+        sent_at = self._lease.now()
         outcome = await self._store.list(SHARD_PREFIX)
         if isinstance(outcome, Failed):
             logs.write_bounded(
@@ -134,7 +134,7 @@
         for stored in outcome.unwrap():
             self._map.put(stored)
         await self._drop_lost()
-        self._lease.confirm(asked_at)
+        self._lease.renew(sent_at)
 
     async def accept(self, offer: HandOver) -> HandOverReply:
         """Takes over a shard that its owner offers."""
@@ -320,8 +320,8 @@
         return reply
 
     def _needs_standby(self, shard: OwnedShard) -> bool:
-        is_broken = shard.number in self._owner.failure_by_broken_copy
-        if is_broken or shard.alone is not None or shard.is_standby_leaving:
+        is_broken = shard.number in self._owner.replication_failure_by_shard
+        if is_broken or shard.isolation is not None or shard.is_standby_leaving:
             return True
         return (
             shard.copier is None
@@ -334,12 +334,12 @@
             # Nobody could write that the shard is theirs. The standby consents
             # until the end here, and acts afterwards.
             return
-        shard.is_moving = True
+        shard.is_handing_over = True
         inheritance = await self._stop_standby(shard)
         for target in self._targets()[:_OFFERS]:
             if not await self._offer(shard, target, inheritance):
                 return
-        shard.is_moving = False
+        shard.is_handing_over = False
         if shard.copier is not None:
             await self._claims.name_standby(shard)
 
@@ -355,7 +355,7 @@
         )
         if shard.copier is None and not shard.is_acting:
             return exact
-        if shard.alone is None:
+        if shard.isolation is None:
             reply = await self._seal(shard.number, shard.view.record)
             if reply is not None and reply.held and not reply.acted:
                 return exact
--- a/libs/ledger/src/masticdale_ledger/leases.py
+++ b/libs/ledger/src/masticdale_ledger/leases.py
@@ -35,21 +35,21 @@
         """
         self._now = now
         self._is_store_lost = is_store_lost
-        self._confirmed_at: float | None = None
+        self._renewed_at: float | None = None
 
     def now(self) -> float:
         """Returns present seconds of the lease's clock."""
         return self._now()
 
-    def confirm(self, asked_at: float) -> None:
+    def renew(self, sent_at: float) -> None:
         """Notes an answer of the store.
 
         Args:
-            asked_at: When the call was sent: the answer may have lain unread
+            sent_at: When the call was sent: the answer may have lain unread
                 for any time, the call can't have been seen before it.
         """
-        if self._confirmed_at is None or asked_at > self._confirmed_at:
-            self._confirmed_at = asked_at
+        if self._renewed_at is None or sent_at > self._renewed_at:
+            self._renewed_at = sent_at
 
     @property
     def is_store_lost(self) -> bool:
@@ -59,9 +59,9 @@
     @property
     def age_s(self) -> float | None:
         """Seconds since the last confirmed call; None before the first."""
-        if self._confirmed_at is None:
+        if self._renewed_at is None:
             return None
-        return self._now() - self._confirmed_at
+        return self._now() - self._renewed_at
 
     @property
     def is_valid(self) -> bool:
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -26,20 +26,20 @@
 from masticdale_ledger.states import account_to_state
 
 # How often settled turns are copied, in seconds; as often as they arrive.
-COPY_EVERY_S = 0.15
+REPLICATION_INTERVAL_S = 0.15
 # The owner of this shard looks for records that nobody deletes, this often in
 # seconds.
-_CLEANING_SHARD = 0
-_CLEAN_EVERY_S = 3600.0
+_CLEANUP_SHARD = 0
+_CLEANUP_INTERVAL_S = 3600.0
 # Rounds of judging and writing for one turn. Each conflict raises the bound
 # to another owner's, so that three rounds pass every step.
-_ROUNDS = 4
+_MAX_ATTEMPTS = 4
 # A turn that only fits once others of its program have ended waits so long, in
 # seconds: three turns as they usually last. They reserve their most and use a
 # fifth to a half of it, and 402 ends a program at once: sub-agents that started
 # together told their own program that its budget was spent.
-_TURNS_END_WITHIN_S = 1.0
-_LOOK_AGAIN_S = 0.03
+_RESERVATION_WAIT_S = 1.0
+_RETRY_INTERVAL_S = 0.03
 
 
 class OwnedShard(AccountSource):
@@ -52,11 +52,11 @@
         copier: Keeps the standby up to date; None without a standby.
         predecessor: The process whose accounts these exactly are; empty where
             they may lack something of the last owner's.
-        is_moving: Whether it is being handed over.
+        is_handing_over: Whether it is being handed over.
         is_acting: Whether this host is the standby, in place of the owner.
-        alone: Set while there is neither a standby nor a store.
-        has_decision: Whether the arbiter lets this host go on, and so not the
-            standby.
+        isolation: Set while there is neither a standby nor a store.
+        won_arbitration: Whether the arbiter lets this host, and so no other,
+            go on.
     """
 
     def __init__(
@@ -86,20 +86,20 @@
         self.accounts = accounts
         self.copier = copier
         self.predecessor = predecessor
-        self.is_moving = False
+        self.is_handing_over = False
         self.is_acting = False
-        self.alone: Alone | None = None
-        self.has_decision = False
+        self.isolation: Alone | None = None
+        self.won_arbitration = False
         self._complete_from = lease.now() + incomplete_for_s
         self._lease = lease
 
-    def declines(self, claim: TurnClaim) -> bool:
+    def is_blocked_by_isolation(self, claim: TurnClaim) -> bool:
         """Returns whether a turn has to wait until the shard isn't alone."""
-        if self.alone is None:
+        if self.isolation is None:
             return False
-        share = self.alone.share_by_id.get(claim.program_id)
+        share = self.isolation.share_by_id.get(claim.program_id)
         if share is None:
-            return not self.alone.takes_new
+            return not self.isolation.takes_new
         account = self.accounts.get(claim.program_id)
         if account is None:
             return True
@@ -113,7 +113,7 @@
         """How long programs of before may yet be missing."""
         return max(0.0, self._complete_from - self._lease.now())
 
-    def open(self, claim: TurnClaim) -> Account:
+    def get_or_create(self, claim: TurnClaim) -> Account:
         """Returns the account of a claim's program."""
         is_known = self.accounts.get(claim.program_id) is not None
         account = self.accounts.get_or_create(
@@ -134,7 +134,7 @@
         return tuple(account_to_state(a) for a in found if a is not None)
 
     @property
-    def lacks_copy(self) -> bool:
+    def needs_replication(self) -> bool:
         """Whether the standby has to be told something."""
         has_store = not self._lease.is_store_lost
         return self.copier is not None and self.copier.is_due(
@@ -142,17 +142,19 @@
         )
 
     @property
-    def may_be_acted_for_new(self) -> bool:
+    def standby_may_admit_new(self) -> bool:
         """Whether the standby may have taken programs not known here."""
         if self.copier is None or not self.copier.may_be_held:
             return False
         has_arbiter = bool(self.view.record.arbiter_address)
         return self.copier.may_take_new or (
-            has_arbiter and not self.has_decision and not self.copier.is_leaving
+            has_arbiter
+            and not self.won_arbitration
+            and not self.copier.is_leaving
         )
 
     @property
-    def may_be_acted_for(self) -> bool:
+    def standby_may_act(self) -> bool:
         """Whether the standby may go on without this host."""
         return self.copier is not None and self.copier.may_be_held
 
@@ -161,24 +163,24 @@
         """Whether the standby is about to end."""
         return self.copier is not None and self.copier.is_leaving
 
-    def waiting_ids(self) -> set[str]:
+    def unacknowledged_program_ids(self) -> set[str]:
         """Returns the programs that no standby has agreed to yet."""
         return {
             a.program_id for a in self.accounts.all() if a.awaits_standby_ack
         }
 
-    def acted_states(self) -> tuple[AccountState, ...]:
+    def states_with_peer_spending(self) -> tuple[AccountState, ...]:
         """Returns all accounts, with what another host may have given."""
-        shares = self.alone.share_by_id if self.alone else {}
+        shares = self.isolation.share_by_id if self.isolation else {}
         return acted_states(self.states(None), shares)
 
-    async def copy(self) -> Result[None, Failure]:
+    async def replicate(self) -> Result[None, Failure]:
         """Returns once the standby holds every account as it is now."""
-        if self.copier is None or self.alone is not None:
+        if self.copier is None or self.isolation is not None:
             return Success(None)
-        return await self.copy_now()
+        return await self.replicate_now()
 
-    async def copy_now(self) -> Result[None, Failure]:
+    async def replicate_now(self) -> Result[None, Failure]:
         """Does the same also while the shard is alone."""
         if self.copier is None:
             return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, "no standby"))
@@ -192,7 +194,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _NoRoom:
+class _OverBudget:
     """A turn that the budget does not hold now."""
 
     account: Account
@@ -203,13 +205,13 @@
     """The shards of this host.
 
     Attributes:
-        failure_by_broken_copy: Why the standby of a shard is to be replaced.
+        replication_failure_by_shard: Why a shard needs another standby.
     """
 
     def __init__(
         self, records: ProgramRecords, lease: Lease, metrics: Metrics
     ) -> None:
-        self.failure_by_broken_copy: dict[int, Failure] = {}
+        self.replication_failure_by_shard: dict[int, Failure] = {}
         self._records = records
         self._lease = lease
         self._metrics = metrics
@@ -226,49 +228,49 @@
     def take(self, shard: OwnedShard) -> None:
         """Begins to own a shard."""
         self._shard_by_number[shard.number] = shard
-        self.failure_by_broken_copy.pop(shard.number, None)
+        self.replication_failure_by_shard.pop(shard.number, None)
 
     def drop(self, number: int) -> None:
         """Stops to own a shard."""
         self._shard_by_number.pop(number, None)
-        self.failure_by_broken_copy.pop(number, None)
+        self.replication_failure_by_shard.pop(number, None)
 
     async def admit(
         self, number: int, claim: TurnClaim
     ) -> Result[None, Failure]:
         """Reserves what a turn may use; see ``BudgetLedger.admit``."""
-        wait_until = time.monotonic() + _TURNS_END_WITHIN_S
+        wait_until = time.monotonic() + _RESERVATION_WAIT_S
         while True:
             outcome = await self._decide(number, claim)
-            if not isinstance(outcome, _NoRoom):
+            if not isinstance(outcome, _OverBudget):
                 return outcome
             if outcome.verdict.is_final or time.monotonic() >= wait_until:
-                return Failed(self._spent(number, claim, outcome))
-            await asyncio.sleep(_LOOK_AGAIN_S)
+                return Failed(self._over_budget_failure(number, claim, outcome))
+            await asyncio.sleep(_RETRY_INTERVAL_S)
 
     async def _decide(
         self, number: int, claim: TurnClaim
-    ) -> "Result[None, Failure] | _NoRoom":
-        for _ in range(_ROUNDS):
+    ) -> "Result[None, Failure] | _OverBudget":
+        for _ in range(_MAX_ATTEMPTS):
             shard = self._shard_by_number.get(number)
-            if shard is None or shard.is_moving:
+            if shard is None or shard.is_handing_over:
                 return Failed(Failure(ErrorKind.NOT_OWNER, f"shard {number}"))
             if not self._lease.is_valid and not shard.is_acting:
                 detail = f"lease of shard {number}, age {self._lease.age_s}"
                 return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
-            if shard.declines(claim):
-                return _alone_failure(number)
-            account = shard.open(claim)
+            if shard.is_blocked_by_isolation(claim):
+                return _isolated_failure(number)
+            account = shard.get_or_create(claim)
             verdict = account.evaluate(claim)
             if isinstance(verdict, Admitted):
                 return await self._reserve(shard, claim)
             if isinstance(verdict, BudgetExceeded):
-                return _NoRoom(account, verdict)
-            if shard.alone is not None:
+                return _OverBudget(account, verdict)
+            if shard.isolation is not None:
                 # A higher bound would count what the other may have handed
                 # out as unspent.
-                return _alone_failure(number)
-            written = await self._write(shard, claim, account)
+                return _isolated_failure(number)
+            written = await self._write_record(shard, claim, account)
             if isinstance(written, Failed):
                 return written
         return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, "contended"))
@@ -276,7 +278,7 @@
     def settle(self, settlement: Settlement) -> bool:
         """Notes what a turn used; False where another host owns the shard."""
         shard = self._shard_by_number.get(settlement.shard)
-        if shard is None or shard.is_moving:
+        if shard is None or shard.is_handing_over:
             return False
         shard.accounts.settle(
             settlement.program_id,
@@ -287,20 +289,22 @@
             shard.copier.note(settlement.program_id)
         return True
 
-    async def copy_changed(self) -> None:
+    async def replicate_changes(self) -> None:
         """Brings the standbys up to date with settled turns.
 
         A turn whose end the standby does not know counts at its most after a
         takeover, and its program would reach its budget too early.
         """
         for shard in list(self._shard_by_number.values()):
-            if not shard.lacks_copy:
+            if not shard.needs_replication:
                 continue
-            copied = await shard.copy()
+            copied = await shard.replicate()
             if isinstance(copied, Failed):
-                self.failure_by_broken_copy[shard.number] = copied.failure()
+                self.replication_failure_by_shard[shard.number] = (
+                    copied.failure()
+                )
 
-    async def forget_old(self) -> None:
+    async def evict_idle_programs(self) -> None:
         """Drops programs that will not come back, and their records."""
         for shard in list(self._shard_by_number.values()):
             for account in shard.accounts.evict_idle(time.monotonic()):
@@ -309,8 +313,8 @@
                     await self._records.delete(
                         account.program_id, account.bound.version
                     )
-        is_due = time.monotonic() - self._cleaned_at >= _CLEAN_EVERY_S
-        if is_due and _CLEANING_SHARD in self._shard_by_number:
+        is_due = time.monotonic() - self._cleaned_at >= _CLEANUP_INTERVAL_S
+        if is_due and _CLEANUP_SHARD in self._shard_by_number:
             self._cleaned_at = time.monotonic()
             await self._records.delete_old(time.time_ns() // 1_000_000)
 
@@ -320,21 +324,21 @@
         account = shard.accounts.reserve(claim)
         if shard.copier is not None:
             shard.copier.note(claim.program_id)
-        copied = await shard.copy()
+        copied = await shard.replicate()
         # The host may have been suspended meanwhile, or the shard be gone.
         if self._shard_by_number.get(shard.number) is not shard:
             detail = f"shard {shard.number}"
             return Failed(Failure(ErrorKind.NOT_OWNER, detail))
         if not isinstance(copied, Failed):
-            if shard.alone is None:
+            if shard.isolation is None:
                 account.awaits_standby_ack = False
             return Success(None)
-        self.failure_by_broken_copy[shard.number] = copied.failure()
+        self.replication_failure_by_shard[shard.number] = copied.failure()
         shard.accounts.settle(claim.program_id, claim.request_id, 0)
         detail = f"standby of shard {shard.number}: {copied.failure()}"
         return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
 
-    async def _write(
+    async def _write_record(
         self, shard: OwnedShard, claim: TurnClaim, account: Account
     ) -> Result[None, Failure]:
         async with self._write_lock_by_program[claim.program_id]:
@@ -351,9 +355,9 @@
             if outcome.failure().kind is not ErrorKind.CONFLICT:
                 detail = f"record: {outcome.failure()}"
                 return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
-            return await self._take_stored(shard, claim, account)
+            return await self._adopt_stored_bound(shard, claim, account)
 
-    async def _take_stored(
+    async def _adopt_stored_bound(
         self, shard: OwnedShard, claim: TurnClaim, account: Account
     ) -> Result[None, Failure]:
         found = await self._records.read(claim.program_id)
@@ -379,8 +383,8 @@
         )
         return Success(None)
 
-    def _spent(
-        self, number: int, claim: TurnClaim, outcome: "_NoRoom"
+    def _over_budget_failure(
+        self, number: int, claim: TurnClaim, outcome: "_OverBudget"
     ) -> Failure:
         account, verdict = outcome.account, outcome.verdict
         self._metrics.count("ledger_refusals_total")
@@ -399,6 +403,6 @@
         return Failure(ErrorKind.BUDGET_EXCEEDED)
 
 
-def _alone_failure(number: int) -> Result[None, Failure]:
+def _isolated_failure(number: int) -> Result[None, Failure]:
     detail = f"shard {number} has neither standby nor store"
     return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -376,7 +376,7 @@
             case "learn" if process:
                 await process.read_map()
             case "copy" if process:
-                await process.owner.copy_changed()
+                await process.owner.replicate_changes()
             case "cut":
                 self.cuts.add(frozenset((name, other)))
             case "isolate":
@@ -436,7 +436,7 @@
     with (
         mock.patch("masticdale_common.logs.write", write),
         mock.patch("masticdale_common.logs.write_bounded", write),
-        mock.patch("masticdale_ledger.owner._TURNS_END_WITHIN_S", 0.0),
+        mock.patch("masticdale_ledger.owner._RESERVATION_WAIT_S", 0.0),
         mock.patch("masticdale_ledger.keeper._CLAIM_SPREAD_S", 0.0),
         mock.patch("masticdale_ledger.standby.boot_time_s", world.clock),
         mock.patch("masticdale_ledger.keeper.SHARD_COUNT", 1),
--- a/libs/ledger/tests/test_admissions.py
+++ b/libs/ledger/tests/test_admissions.py
@@ -65,7 +65,7 @@
 
     def own(self, peer=None, predecessor=""):
         lease = Lease()
-        lease.confirm(lease.now())
+        lease.renew(lease.now())
         records = ProgramRecords(self.store, "writer")
         self.owner = ShardOwner(records, lease, Metrics())
         record = ShardRecord(
--- a/libs/ledger/tests/test_any_order.py
+++ b/libs/ledger/tests/test_any_order.py
@@ -53,10 +53,10 @@
         self.owner = self.world.process_by_name["a"]
         standby = self.world.names[record.standby_port]
         self.standby = self.world.process_by_name[standby]
-        await self.owner.owner.copy_changed()
+        await self.owner.owner.replicate_changes()
         await self.world.turn("a", "old")
         await self.world.end_turn(20)
-        await self.owner.owner.copy_changed()
+        await self.owner.owner.replicate_changes()
 
     def cut(self, *names):
         self.world.cuts.add(frozenset(names))
@@ -174,7 +174,7 @@
         self,
     ):
         self.world.store.faults.down = True
-        await self.owner.owner.copy_changed()
+        await self.owner.owner.replicate_changes()
         await self.ask(self.owner, "old", 1)
         self.cut("a", self.standby.name)
         await self.ask(self.standby, "new", 2)
@@ -192,9 +192,9 @@
     async def test_once_the_outage_is_over_new_programs_count_from_zero(self):
         """Each loss of a standby would cost new programs half of a budget."""
         self.world.store.faults.down = True
-        await self.owner.owner.copy_changed()
+        await self.owner.owner.replicate_changes()
         self.world.store.faults.down = False
-        await self.owner.owner.copy_changed()
+        await self.owner.owner.replicate_changes()
         self.world.kill(self.standby.name)
         await self.ask(self.owner, "old", 1)
         for _ in range(3):
@@ -216,7 +216,7 @@
         self.standby.stop()
         await self.ask(self.owner, "old", 1)
         await self.world.end_turn(20)
-        await self.owner.owner.copy_changed()
+        await self.owner.owner.replicate_changes()
         self.assertTrue(self.owner.owner.owned()[SHARD].is_standby_leaving)
         self.standby.store.is_cut = True
         await self.owner.keeper.look()
@@ -243,7 +243,7 @@
         self.assertEqual(await self.ask(self.owner, "new", 1), 0)
         self.owner.store.is_cut = True
         await self.owner.keeper.look()
-        self.assertIsNotNone(self.owner.owner.owned()[SHARD].alone)
+        self.assertIsNotNone(self.owner.owner.owned()[SHARD].isolation)
         self.assertEqual(await self.ask(self.owner, "new", 6), 0)
         self.assertGreater(await self.ask(self.owner, "old", 3), 0)
 
@@ -327,14 +327,14 @@
         once more, also for programs that the owner had never known.
         """
         self.world.store.faults.down = True
-        await self.owner.owner.copy_changed()
+        await self.owner.owner.replicate_changes()
         self.world.kill("a")
         await self.ask(self.standby, "new", 3)
         await self.standby.keeper.look()
         self.assertGreater(await self.ask(self.standby, "new", 1), 0)
         self.standby.store.is_cut = True
         self.world.store.faults.down = False
-        acted = self.standby.owner.owned()[SHARD].acted_states()
+        acted = self.standby.owner.owned()[SHARD].states_with_peer_spending()
         taker = next(
             p
             for p in self.world.process_by_name.values()
--- a/libs/ledger/tests/test_apart.py
+++ b/libs/ledger/tests/test_apart.py
@@ -95,13 +95,13 @@
         """A new owner with a new standby."""
         self.epoch += 1
         self.link = Link()
-        self.lease.confirm(self.lease.now())
+        self.lease.renew(self.lease.now())
         self.owner = self.host(accounts, incomplete_s, Copier(self.link))
 
     async def admit(self, host):
         if host is None:
             return
-        self.lease.confirm(self.lease.now())
+        self.lease.renew(self.lease.now())
         self.asked += 1
         request_id = str(self.asked)
         claim = TurnClaim(PROGRAM, request_id, self.budget, self.most)
@@ -126,9 +126,9 @@
         shard = self.owner[1]
         self.link.is_cut = True
         self.store.faults.down = True
-        if shard.alone is None:
+        if shard.isolation is None:
             shares = shares_of(shard.accounts.all(), acting=False)
-            shard.alone = Alone(shares, takes_new=False)
+            shard.isolation = Alone(shares, takes_new=False)
 
     def act(self):
         """The standby goes on in place of the owner."""
@@ -141,16 +141,16 @@
         accounts.restore([account_from_state(state) for state in copy.accounts])
         self.acting = self.host(accounts, copy.incomplete_for_s, None)
         shares = shares_of(accounts.all(), acting=True)
-        self.acting[1].alone = Alone(shares, takes_new=True)
+        self.acting[1].isolation = Alone(shares, takes_new=True)
 
     async def meet(self):
         """The store is back; somebody owns the shard by a new record."""
         self.store.faults.down = False
         old = self.owner
         if self.acting is not None:
-            states = self.acting[1].acted_states()
+            states = self.acting[1].states_with_peer_spending()
             incomplete_s = self.acting[1].incomplete_for_s
-        elif old[1].alone is not None and self.link.is_cut:
+        elif old[1].isolation is not None and self.link.is_cut:
             reply = self.link.copies.seal(SealRequest(SHARD, self.epoch))
             if not reply.held:
                 return
@@ -190,7 +190,7 @@
             case "settle":
                 self.settle(amount)
             case "copy":
-                await self.owner[0].copy_changed()
+                await self.owner[0].replicate_changes()
             case "answers":
                 self.link.loses_answers = not self.link.loses_answers
             case "part":
@@ -221,7 +221,7 @@
 
 
 # No turn ends by itself here, so that waiting for one decides nothing.
-@mock.patch("masticdale_ledger.owner._TURNS_END_WITHIN_S", 0.0)
+@mock.patch("masticdale_ledger.owner._RESERVATION_WAIT_S", 0.0)
 class ApartTest(unittest.TestCase):
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=400)
     @hypothesis.given(
--- a/libs/ledger/tests/test_keeper.py
+++ b/libs/ledger/tests/test_keeper.py
@@ -85,7 +85,7 @@
         """Gives shard 0 away; returns how a turn is judged here after it."""
         store = MemoryStore()
         lease = Lease()
-        lease.confirm(lease.now())
+        lease.renew(lease.now())
         owner = ShardOwner(ProgramRecords(store, "a"), lease, Metrics())
         view = ShardView(record("a", 1), 1)
         owner.take(OwnedShard(0, view, Accounts(), 0.0, lease, None))
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -78,8 +78,8 @@
     Edit(
         "waiting for turns",
         f"{_LEDGER}/owner.py",
-        "_TURNS_END_WITHIN_S = 1.0",
-        "_TURNS_END_WITHIN_S = 0.0",
+        "_RESERVATION_WAIT_S = 1.0",
+        "_RESERVATION_WAIT_S = 0.0",
     ),
     Edit(
         "watches through seeds",
