--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -30,9 +30,9 @@
 from masticdale_entry.status import StatusServer, dump_page, metrics_page
 from masticdale_gateway import Relay, RelayParts, listen
 from masticdale_ledger import (
+    LEASE_CHECK_INTERVAL_S,
     LEDGER,
-    LOOK_EVERY_S,
-    RENEW_EVERY_S,
+    RECONCILE_INTERVAL_S,
     REPLICATION_INTERVAL_S,
     SHARD_COUNT,
     SHARD_PREFIX,
@@ -45,9 +45,9 @@
     ProgramRecords,
     SeenHosts,
     ShardClaims,
-    ShardKeeper,
     ShardMap,
     ShardOwner,
+    ShardReconciler,
     SharedWatches,
     StandbyCopies,
 )
@@ -151,7 +151,7 @@
             claims,
             self._peers,
         )
-        self._keeper = ShardKeeper(
+        self._keeper = ShardReconciler(
             identity,
             self._store,
             self._shard_map,
@@ -241,8 +241,8 @@
         self._follow(Followed(SHARD_PREFIX, _WATCH_S, self._apply_shards))
         self._tasks.append(asyncio.create_task(self._ledger.run()))
         for name, period_s, callback in (
-            ("shards", LOOK_EVERY_S, self._keeper.look),
-            ("lease", RENEW_EVERY_S, self._keeper.renew),
+            ("shards", RECONCILE_INTERVAL_S, self._keeper.reconcile),
+            ("lease", LEASE_CHECK_INTERVAL_S, self._keeper.renew_lease),
             ("copies", REPLICATION_INTERVAL_S, self._owner.replicate_changes),
             ("store", _CHECK_STORE_EVERY_S, self._store.check),
             ("idle-connections", _CLOSE_IDLE_EVERY_S, self._close_idle),
@@ -291,7 +291,7 @@
         if is_first and self._shard_map.is_loaded:
             # After the loss of all hosts programs wait for this look; the
             # next one by the timer would come a period later.
-            self._tasks.append(asyncio.create_task(self._keeper.look()))
+            self._tasks.append(asyncio.create_task(self._keeper.reconcile()))
 
     async def _close_idle(self) -> None:
         self._relay.pool.close_idle()
--- a/libs/ledger/src/masticdale_ledger/__init__.py
+++ b/libs/ledger/src/masticdale_ledger/__init__.py
@@ -5,9 +5,9 @@
 from masticdale_ledger.client import SHARD_COUNT, LedgerClient
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
 from masticdale_ledger.keeper import (
-    LOOK_EVERY_S,
-    RENEW_EVERY_S,
-    ShardKeeper,
+    LEASE_CHECK_INTERVAL_S,
+    RECONCILE_INTERVAL_S,
+    ShardReconciler,
 )
 from masticdale_ledger.leases import Lease, boot_time_s
 from masticdale_ledger.messages import LEDGER
@@ -20,9 +20,9 @@
 from masticdale_ledger.store_relay import FallbackStore
 
 __all__ = [
+    "LEASE_CHECK_INTERVAL_S",
     "LEDGER",
-    "LOOK_EVERY_S",
-    "RENEW_EVERY_S",
+    "RECONCILE_INTERVAL_S",
     "REPLICATION_INTERVAL_S",
     "SHARD_COUNT",
     "SHARD_PREFIX",
@@ -36,9 +36,9 @@
     "ProgramRecords",
     "SeenHosts",
     "ShardClaims",
-    "ShardKeeper",
     "ShardMap",
     "ShardOwner",
+    "ShardReconciler",
     "ShardRecord",
     "SharedWatches",
     "StandbyCopies",
--- a/libs/ledger/src/masticdale_ledger/acting.py
+++ b/libs/ledger/src/masticdale_ledger/acting.py
@@ -9,7 +9,7 @@
 from masticdale_ledger.accounts import Accounts
 from masticdale_ledger.apart import Alone, shares_of
 from masticdale_ledger.arbiter import Side
-from masticdale_ledger.claims import Inheritance, ShardClaims
+from masticdale_ledger.claims import ShardClaims, TakeoverState
 from masticdale_ledger.hosts import Hosts, Identity
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import (
@@ -19,7 +19,7 @@
     SettleRequest,
 )
 from masticdale_ledger.owner import OwnedShard, ShardOwner
-from masticdale_ledger.shards import Previous, ShardMap, ShardView
+from masticdale_ledger.shards import PreviousOwner, ShardMap, ShardView
 from masticdale_ledger.standby import StandbyCopies
 from masticdale_ledger.states import account_from_state
 
@@ -90,7 +90,7 @@
         outcome = await self._claims.claim(
             shard.number,
             shard.view.version,
-            Inheritance(Previous.ENDED, acted=shard),
+            TakeoverState(PreviousOwner.ENDED, acting_shard=shard),
         )
         if not isinstance(outcome, Failed):
             return
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -26,11 +26,11 @@
 from masticdale_ledger.partners import Partners
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
-    Previous,
+    PreviousOwner,
     ShardMap,
     ShardRecord,
     ShardView,
-    read_shard,
+    parse_shard,
     shard_key,
 )
 from masticdale_ledger.states import account_from_state
@@ -38,11 +38,11 @@
 
 # After the accounts of a shard are lost, a program of before may come back
 # for this long, in seconds; twice the longest time that callers keep one.
-LOST_PROGRAMS_S = 120.0
+RECOVERY_WINDOW_S = 120.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Inheritance:
+class TakeoverState:
     """What is known of a shard that is taken over.
 
     Attributes:
@@ -51,34 +51,34 @@
         incomplete_for_s: Programs of before may be missing for so long.
         predecessor: The process whose accounts these exactly are; empty where
             they may lack something of the last owner's.
-        acted: The shard that this host has acted for until the claim is
+        acting_shard: The shard that this host has acted for until the claim is
             written; its accounts then count in place of these.
     """
 
-    previous: Previous
+    previous: PreviousOwner
     accounts: tuple[AccountState, ...] = ()
     incomplete_for_s: float = 0.0
     predecessor: str = ""
-    acted: OwnedShard | None = None
+    acting_shard: OwnedShard | None = None
 
 
 # Programs of before count as half spent, or up to their records.
-LOST_ACCOUNTS = Inheritance(Previous.ENDED, (), LOST_PROGRAMS_S)
+LOST_ACCOUNTS = TakeoverState(PreviousOwner.ENDED, (), RECOVERY_WINDOW_S)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class UnclearClaim:
+class UnconfirmedClaim:
     """A claim whose answer was lost.
 
     Attributes:
         record: What was written, or was not.
         version: Version of the shard's object before it.
-        inheritance: What this host owns the shard with if it was.
+        takeover: What this host owns the shard with if it was.
     """
 
     record: ShardRecord
     version: int
-    inheritance: Inheritance
+    takeover: TakeoverState
 
 
 class ShardClaims:
@@ -109,8 +109,8 @@
         self._lease = lease
         self._client = client
         self._hosts = hosts
-        self._busy_shards: set[int] = set()
-        self._unclear_by_shard: dict[int, UnclearClaim] = {}
+        self._locked_shards: set[int] = set()
+        self._unconfirmed_by_shard: dict[int, UnconfirmedClaim] = {}
         self.arbitration = Arbitration(hosts)
         self.partners = Partners(identity, shard_map, lease, hosts, seen)
 
@@ -125,71 +125,71 @@
         return True
 
     async def claim(
-        self, number: int, version: int, inheritance: Inheritance
+        self, number: int, version: int, takeover: TakeoverState
     ) -> Result[None, Failure]:
         """Writes that this host owns a shard, and begins to own it.
 
         Args:
             number: The shard.
             version: Version of its object now; 0 where there is none.
-            inheritance: What is known of it.
+            takeover: What is known of it.
 
         Failures: CONFLICT where another host was first; else the store's.
         """
-        with self._sole_writer(number) as is_sole:
-            if is_sole:
-                return await self._write_record(number, version, inheritance)
+        with self._try_lock(number) as locked:
+            if locked:
+                return await self._write_record(number, version, takeover)
         return Failed(Failure(ErrorKind.CONFLICT, "claimed right now"))
 
     async def _write_record(
-        self, number: int, version: int, inheritance: Inheritance
+        self, number: int, version: int, takeover: TakeoverState
     ) -> Result[None, Failure]:
         known = self._map.get(number)
         epoch = (known.record.epoch if known else 0) + 1
-        record = self._new_record(epoch, inheritance.previous)
-        unclear = UnclearClaim(record, version, inheritance)
+        record = self._new_record(epoch, takeover.previous)
+        unconfirmed = UnconfirmedClaim(record, version, takeover)
         written = await self._write(number, record, version)
         if isinstance(written, Failed):
             if written.failure().kind is ErrorKind.WRITE_UNKNOWN:
-                self._unclear_by_shard[number] = unclear
+                self._unconfirmed_by_shard[number] = unconfirmed
             return written
         view = ShardView(record, written.unwrap())
-        begun = await self._begin(number, view, inheritance)
+        begun = await self._start_owning(number, view, takeover)
         if isinstance(begun, Failed):
             # Written, and not owned yet: a host that offered the shard must
             # not go on as if it had been declined.
-            self._unclear_by_shard[number] = unclear
+            self._unconfirmed_by_shard[number] = unconfirmed
             detail = str(begun.failure())
             return Failed(Failure(ErrorKind.WRITE_UNKNOWN, detail))
         return begun
 
-    async def adopt_written(self) -> None:
+    async def resolve_unconfirmed(self) -> None:
         """Owns the shards whose claims turn out to have been written."""
-        for number, claim in list(self._unclear_by_shard.items()):
+        for number, claim in list(self._unconfirmed_by_shard.items()):
             view = self._map.get(number)
             if view is None or view.version <= claim.version:
                 continue
             if view.record == claim.record:
-                await self._adopt(number, view, claim.inheritance)
+                await self._resume(number, view, claim.takeover)
             else:
-                self._unclear_by_shard.pop(number, None)
+                self._unconfirmed_by_shard.pop(number, None)
 
-    async def adopt(self, number: int, view: ShardView) -> None:
+    async def resume(self, number: int, view: ShardView) -> None:
         """Goes on with a shard whose record this process has written."""
-        await self._adopt(number, view, LOST_ACCOUNTS)
+        await self._resume(number, view, LOST_ACCOUNTS)
 
-    async def _adopt(
-        self, number: int, view: ShardView, inheritance: Inheritance
+    async def _resume(
+        self, number: int, view: ShardView, takeover: TakeoverState
     ) -> None:
-        with self._sole_writer(number) as is_sole:
-            if not is_sole:
+        with self._try_lock(number) as locked:
+            if not locked:
                 return
-            begun = await self._begin(number, view, inheritance)
+            begun = await self._start_owning(number, view, takeover)
             if not isinstance(begun, Failed):
-                self._unclear_by_shard.pop(number, None)
+                self._unconfirmed_by_shard.pop(number, None)
 
-    async def _begin(
-        self, number: int, view: ShardView, inheritance: Inheritance
+    async def _start_owning(
+        self, number: int, view: ShardView, takeover: TakeoverState
     ) -> Result[None, Failure]:
         record = view.record
         # Read after the claim: what the last owner wrote is in it, and what
@@ -198,38 +198,38 @@
         if isinstance(bounds, Failed):
             return bounds
         accounts = Accounts(bounds.unwrap())
-        shard = inheritance.acted or self._owner.owned().get(number)
+        shard = takeover.acting_shard or self._owner.owned().get(number)
         if shard is not None:
             # It has gone on here until now, or until it was sealed.
-            inheritance = self.kept(shard)
+            takeover = self.retained_state(shard)
         accounts.restore(
-            [account_from_state(state) for state in inheritance.accounts]
+            [account_from_state(state) for state in takeover.accounts]
         )
-        self._own(number, view, accounts, inheritance)
+        self._install(number, view, accounts, takeover)
         logs.write(
             "shard_taken",
             shard=number,
             epoch=record.epoch,
-            previous=inheritance.previous,
+            previous=takeover.previous,
             records=len(bounds.unwrap()),
             accounts=len(accounts),
-            incomplete_for_s=inheritance.incomplete_for_s,
+            incomplete_for_s=takeover.incomplete_for_s,
             standby=record.standby_address,
         )
         return Success(None)
 
-    def _own(
+    def _install(
         self,
         number: int,
         view: ShardView,
         accounts: Accounts,
-        inheritance: Inheritance,
+        takeover: TakeoverState,
     ) -> None:
-        incomplete_s = inheritance.incomplete_for_s
-        if inheritance.previous is Previous.LOST:
+        incomplete_s = takeover.incomplete_for_s
+        if takeover.previous is PreviousOwner.LOST:
             # The last owner may act on until its lease ends, and the programs
             # that it admits in that time are not known here.
-            incomplete_s = LEASE_S + LOST_PROGRAMS_S
+            incomplete_s = LEASE_S + RECOVERY_WINDOW_S
         self._owner.take(
             OwnedShard(
                 number,
@@ -238,7 +238,7 @@
                 incomplete_s,
                 self._lease,
                 self._copier(view.record),
-                inheritance.predecessor,
+                takeover.predecessor,
             )
         )
         self._client.unreachable_by_shard.pop(number, None)
@@ -246,7 +246,7 @@
         value = view.record.model_dump_json().encode()
         self._map.put(StoredObject(shard_key(number), view.version, value))
 
-    def _new_record(self, epoch: int, previous: Previous) -> ShardRecord:
+    def _new_record(self, epoch: int, previous: PreviousOwner) -> ShardRecord:
         standby = self.partners.choose_standby() or ("", 0)
         arbiter = self.partners.choose_arbiter(standby) or ("", 0)
         return ShardRecord(
@@ -276,8 +276,8 @@
         """
         if shard.is_handing_over:
             return
-        with self._sole_writer(shard.number) as is_sole:
-            if is_sole:
+        with self._try_lock(shard.number) as locked:
+            if locked:
                 await self._replace_standby(shard)
 
     async def _replace_standby(self, shard: OwnedShard) -> None:
@@ -285,39 +285,39 @@
         if _is_sealed(copied) and shard.isolation is None:
             # Whoever sealed the standby counts what may be given here, and is
             # about to write that it owns the shard.
-            self._go_alone(shard)
+            self._isolate(shard)
             return
         if isinstance(copied, Failed):
             failure = await self._write_standby(shard)
-            if _is_away(failure) and shard.isolation is None:
-                self._go_alone(shard)
+            if _is_store_unavailable(failure) and shard.isolation is None:
+                self._isolate(shard)
             return
         shard.isolation = None
         self._owner.replication_failure_by_shard.pop(shard.number, None)
         if shard.is_standby_leaving:
             await self._write_standby(shard)
 
-    async def name_standby(self, shard: OwnedShard) -> None:
+    async def assign_standby(self, shard: OwnedShard) -> None:
         """Names another standby at once, whatever the present one says."""
-        with self._sole_writer(shard.number) as is_sole:
-            if is_sole:
+        with self._try_lock(shard.number) as locked:
+            if locked:
                 await self._write_standby(shard)
 
     @contextlib.contextmanager
-    def _sole_writer(self, number: int) -> Iterator[bool]:
+    def _try_lock(self, number: int) -> Iterator[bool]:
         """Yields whether nothing else of this host writes a shard's object.
 
         Two writes at once would conflict, and each take the other's for that
         of another host.
         """
-        if number in self._busy_shards:
+        if number in self._locked_shards:
             yield False
             return
-        self._busy_shards.add(number)
+        self._locked_shards.add(number)
         try:
             yield True
         finally:
-            self._busy_shards.discard(number)
+            self._locked_shards.discard(number)
 
     async def ask_arbiter(self, shard: OwnedShard) -> None:
         """Finds out whether the standby may have gone on with new programs."""
@@ -328,7 +328,7 @@
         )
         shard.won_arbitration = side is Side.OWNER
 
-    async def holder(self, number: int, record: ShardRecord) -> Side:
+    async def allowance_holder(self, number: int, record: ShardRecord) -> Side:
         """Returns who may have gone on with what only one of two may do.
 
         For a shard that is taken over here, whose standby has not acted. The
@@ -344,7 +344,7 @@
         await self.ask_arbiter(shard)
         old = shard.view.record
         self.partners.avoid(old.standby_address, old.standby_port)
-        record = self._new_record(old.epoch + 1, Previous.ENDED)
+        record = self._new_record(old.epoch + 1, PreviousOwner.ENDED)
         written = await self._write(shard.number, record, shard.view.version)
         logs.write_bounded(
             "standby_replaced",
@@ -360,16 +360,16 @@
             return failure
         if self._owner.owned().get(shard.number) is not shard:
             return None
-        inheritance = self.kept(shard)
+        takeover = self.retained_state(shard)
         accounts = shard.accounts
         accounts.restore(
-            [account_from_state(state) for state in inheritance.accounts]
+            [account_from_state(state) for state in takeover.accounts]
         )
         view = ShardView(record, written.unwrap())
-        self._own(shard.number, view, accounts, inheritance)
+        self._install(shard.number, view, accounts, takeover)
         return None
 
-    def kept(self, shard: OwnedShard) -> Inheritance:
+    def retained_state(self, shard: OwnedShard) -> TakeoverState:
         """Returns what is known of a shard that this host goes on with.
 
         Its old standby may have acted meanwhile, and can't be asked: it counts
@@ -383,17 +383,17 @@
             states = acted_states(states, _owner_shares(shard))
         incomplete_for_s = shard.incomplete_for_s
         if shard.standby_may_admit_new:
-            incomplete_for_s = max(incomplete_for_s, LOST_PROGRAMS_S)
+            incomplete_for_s = max(incomplete_for_s, RECOVERY_WINDOW_S)
             waiting = shard.unacknowledged_program_ids()
             states = tuple(
                 unknown_here(s) if s.program_id in waiting else s
                 for s in states
             )
-        return Inheritance(
-            Previous.ENDED, states, incomplete_for_s, shard.predecessor
+        return TakeoverState(
+            PreviousOwner.ENDED, states, incomplete_for_s, shard.predecessor
         )
 
-    def _go_alone(self, shard: OwnedShard) -> None:
+    def _isolate(self, shard: OwnedShard) -> None:
         shares = _owner_shares(shard)
         shard.isolation = Alone(shares, takes_new=False)
         logs.write("shard_alone", shard=shard.number, programs=len(shares))
@@ -420,7 +420,7 @@
         stored = found.unwrap()
         if stored is None:
             return outcome
-        view = read_shard(stored)
+        view = parse_shard(stored)
         if view is not None and view.record == record:
             self._lease.renew(sent_at)
             return Success(view.version)
@@ -439,7 +439,7 @@
     )
 
 
-def _is_away(failure: Failure | None) -> bool:
+def _is_store_unavailable(failure: Failure | None) -> bool:
     return failure is not None and failure.kind in (
         ErrorKind.PLATFORM_UNAVAILABLE,
         ErrorKind.WRITE_UNKNOWN,
--- a/libs/ledger/src/masticdale_ledger/client.py
+++ b/libs/ledger/src/masticdale_ledger/client.py
@@ -129,7 +129,7 @@
                 # may long have answered. Its caller would be refused although
                 # it has time left.
                 give_up_at = min(deadline_at, loop.time() + CALL_TIMEOUT_S)
-            await self._map.wait_changed(_PAUSE_S)
+            await self._map.wait_for_change(_PAUSE_S)
         logs.write_bounded(
             "ledger_unavailable",
             request_id=claim.request_id,
--- a/libs/ledger/src/masticdale_ledger/keeper.py
+++ b/libs/ledger/src/masticdale_ledger/keeper.py
@@ -11,9 +11,9 @@
 from masticdale_ledger.acting import ActingStandby
 from masticdale_ledger.apart import limited
 from masticdale_ledger.claims import (
-    LOST_PROGRAMS_S,
-    Inheritance,
+    RECOVERY_WINDOW_S,
     ShardClaims,
+    TakeoverState,
 )
 from masticdale_ledger.client import SHARD_COUNT, LedgerClient
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
@@ -30,7 +30,7 @@
 from masticdale_ledger.owner import OwnedShard, ShardOwner
 from masticdale_ledger.shards import (
     SHARD_PREFIX,
-    Previous,
+    PreviousOwner,
     ShardMap,
     ShardRecord,
     ShardView,
@@ -39,26 +39,26 @@
 from masticdale_rpc import was_sent
 
 # How often the shards are looked at, in seconds.
-LOOK_EVERY_S = 0.2
+RECONCILE_INTERVAL_S = 0.2
 # How often the lease is looked at, in seconds.
-RENEW_EVERY_S = 0.5
+LEASE_CHECK_INTERVAL_S = 0.5
 # An owner asks the store again once its last answer is this old, in seconds:
 # a third of the lease, so that two failed rounds leave time for a third.
 _RENEW_AFTER_S = LEASE_S / 3
 # An owner that has not answered for this long is replaced, in seconds: longer
 # than a pause of its process on a busy machine, shorter than callers wait.
-_LOST_AFTER_S = 0.5
+_OWNER_TIMEOUT_S = 0.5
 # A question older than this does not count, in seconds.
-_LOST_FRESH_S = 1.5
+_FAILURE_MAX_AGE_S = 1.5
 # All hosts see an unowned shard at once; each waits a random part of this, in
 # seconds, so that the first one's record spares the others their calls.
-_CLAIM_SPREAD_S = 1.0
+_CLAIM_JITTER_S = 1.0
 _CALL_TIMEOUT_S = 0.5
 # Hosts that are offered a shard at a stop; one that stops too says so at once.
-_OFFERS = 3
+_MAX_OFFERS = 3
 
 
-class ShardKeeper:
+class ShardReconciler:
     """Claims shards without an owner, gives them away at a stop."""
 
     def __init__(
@@ -88,33 +88,35 @@
         self._is_store_lost = is_store_lost
         self._seen = seen
         self._random = random.Random(identity.incarnation)
-        self._claim_at_by_shard: dict[int, float] = {}
+        self._claim_due_at_by_shard: dict[int, float] = {}
 
-    async def look(self) -> None:
+    async def reconcile(self) -> None:
         """Drops shards that others own, claims those that nobody serves."""
-        await self._drop_lost()
+        await self._drop_superseded()
         if self.is_stopping or not self._map.is_loaded:
             return
         # All at once: one dead standby would hold up the other shards.
-        await asyncio.gather(*(self._look_at(n) for n in range(SHARD_COUNT)))
+        await asyncio.gather(
+            *(self._reconcile_shard(n) for n in range(SHARD_COUNT))
+        )
 
-    async def _look_at(self, number: int) -> None:
+    async def _reconcile_shard(self, number: int) -> None:
         shard = self._owner.owned().get(number)
         if shard is None:
-            await self._look_for_owner(number)
+            await self._claim_if_vacant(number)
         elif shard.is_acting:
             await self._claim_acting(shard)
         elif self._needs_standby(shard):
             await self._claims.replace_standby(shard)
 
-    async def _look_for_owner(self, number: int) -> None:
-        previous = self._vacancy(number)
+    async def _claim_if_vacant(self, number: int) -> None:
+        previous = self._previous_owner_if_vacant(number)
         if previous is None:
-            self._claim_at_by_shard.pop(number, None)
-        elif self._is_due(number, previous):
+            self._claim_due_at_by_shard.pop(number, None)
+        elif self._is_claim_due(number, previous):
             await self._claim(number, previous)
 
-    async def renew(self) -> None:
+    async def renew_lease(self) -> None:
         """Asks the store who owns the shards, while some are owned here.
 
         The answer extends the lease, or shows that another host has them.
@@ -133,30 +135,28 @@
             return
         for stored in outcome.unwrap():
             self._map.put(stored)
-        await self._drop_lost()
+        await self._drop_superseded()
         self._lease.renew(sent_at)
 
     async def accept(self, offer: HandOver) -> HandOverReply:
         """Takes over a shard that its owner offers."""
         if self.is_stopping or not self._map.is_loaded:
             return HandOverReply(Failure(ErrorKind.STOPPING))
-        failure = await self._learn_offered(offer)
+        failure = await self._check_offer(offer)
         if failure is not None:
             return HandOverReply(failure)
-        inheritance = Inheritance(
-            Previous.ENDED,
+        takeover = TakeoverState(
+            PreviousOwner.ENDED,
             offer.accounts,
             offer.incomplete_for_s,
-            self._writer_of(offer.shard, offer.version),
-        )
-        claimed = await self._claims.claim(
-            offer.shard, offer.version, inheritance
+            self._incarnation_of(offer.shard, offer.version),
         )
+        claimed = await self._claims.claim(offer.shard, offer.version, takeover)
         if isinstance(claimed, Failed):
             return HandOverReply(claimed.failure())
         return HandOverReply()
 
-    async def _learn_offered(self, offer: HandOver) -> Failure | None:
+    async def _check_offer(self, offer: HandOver) -> Failure | None:
         """Returns why a shard can't be taken over as it is offered.
 
         A host that owned the shard once, and has not learned that it does no
@@ -171,7 +171,7 @@
             return Failure(ErrorKind.CONFLICT, "not the shard's last version")
         owned = self._owner.owned().get(offer.shard)
         if owned is not None and owned.view.version < offer.version:
-            self._lose(offer.shard, view)
+            self._drop(offer.shard, view)
         return None
 
     async def hand_over_all(self) -> None:
@@ -180,104 +180,104 @@
         for shard in self._owner.owned().values():
             await self._hand_over(shard)
 
-    async def _drop_lost(self) -> None:
+    async def _drop_superseded(self) -> None:
         """Drops shards that others own; keeps those that this process owns.
 
         A write whose answer was lost may turn out to have been done. Taken for
         another host's, it would cost the accounts of all its programs.
         """
-        await self._claims.adopt_written()
+        await self._claims.resolve_unconfirmed()
         for number, shard in self._owner.owned().items():
             known = self._map.get(number)
             if known is None or known.version <= shard.view.version:
                 continue
             if known.record.incarnation == self._identity.incarnation:
-                await self._claims.adopt(number, known)
+                await self._claims.resume(number, known)
                 continue
-            self._lose(number, known)
+            self._drop(number, known)
 
-    def _lose(self, number: int, view: ShardView) -> None:
+    def _drop(self, number: int, view: ShardView) -> None:
         self._owner.drop(number)
         logs.write("shard_lost", shard=number, new_owner=view.record.owner)
 
-    def _vacancy(self, number: int) -> Previous | None:
+    def _previous_owner_if_vacant(self, number: int) -> PreviousOwner | None:
         """Returns what is known of the owner of a shard nobody serves."""
         view = self._map.get(number)
         if view is None:
-            return Previous.NONE
+            return PreviousOwner.NONE
         if number in self._owner.owned():
             return None
         record = view.record
         if record.owner == self._identity.host:
             # This process is its host's newest, so the one before has ended.
-            return Previous.ENDED
+            return PreviousOwner.ENDED
         lost = self._client.unreachable_by_shard.get(number)
         if lost is None or lost.version != view.version:
             return None
         now = asyncio.get_running_loop().time()
-        is_lost = lost.last - lost.since >= _LOST_AFTER_S
-        is_recent = now - lost.last < _LOST_FRESH_S
-        return Previous.LOST if is_lost and is_recent else None
+        is_lost = lost.last - lost.since >= _OWNER_TIMEOUT_S
+        is_recent = now - lost.last < _FAILURE_MAX_AGE_S
+        return PreviousOwner.LOST if is_lost and is_recent else None
 
-    def _is_due(self, number: int, previous: Previous) -> bool:
-        if previous is Previous.ENDED:
+    def _is_claim_due(self, number: int, previous: PreviousOwner) -> bool:
+        if previous is PreviousOwner.ENDED:
             return True
         now = asyncio.get_running_loop().time()
         # A host that owns shards leaves the next one to the others first, so
         # that the loss of one host touches few programs.
-        spread_s = _CLAIM_SPREAD_S * (2 if self._owner.owned() else 1)
-        if previous is Previous.LOST:
+        spread_s = _CLAIM_JITTER_S * (2 if self._owner.owned() else 1)
+        if previous is PreviousOwner.LOST:
             spread_s /= 4
-        due_at = self._claim_at_by_shard.setdefault(
+        due_at = self._claim_due_at_by_shard.setdefault(
             number, now + self._random.uniform(0, spread_s)
         )
         return now >= due_at
 
-    async def _claim(self, number: int, previous: Previous) -> None:
-        self._claim_at_by_shard.pop(number, None)
+    async def _claim(self, number: int, previous: PreviousOwner) -> None:
+        self._claim_due_at_by_shard.pop(number, None)
         # Without the store the claim would fail, and sealing the standby
         # before it would stop the one host that may go on.
         if not await self._claims.refresh(number):
             return
-        if self._vacancy(number) is None:
+        if self._previous_owner_if_vacant(number) is None:
             return
         view = self._map.get(number)
         version = view.version if view else MUST_NOT_EXIST
-        inheritance = await self._inherit(number, view, previous)
-        outcome = await self._claims.claim(number, version, inheritance)
+        takeover = await self._fence_previous_owner(number, view, previous)
+        outcome = await self._claims.claim(number, version, takeover)
         if isinstance(outcome, Failed):
             logs.write_bounded(
                 "shard_not_claimed",
                 shard=number,
-                previous=inheritance.previous,
+                previous=takeover.previous,
                 reason=str(outcome.failure()),
             )
 
-    async def _inherit(
-        self, number: int, view: ShardView | None, previous: Previous
-    ) -> Inheritance:
+    async def _fence_previous_owner(
+        self, number: int, view: ShardView | None, previous: PreviousOwner
+    ) -> TakeoverState:
         """Stops the last owner where it may live, and gets its accounts."""
         if view is None:
-            return Inheritance(Previous.NONE)
-        if previous is Previous.LOST:
+            return TakeoverState(PreviousOwner.NONE)
+        if previous is PreviousOwner.LOST:
             self._claims.partners.avoid(view.record.address, view.record.port)
         reply = await self._seal(number, view.record)
         if reply is None:
-            return Inheritance(previous, (), LOST_PROGRAMS_S)
+            return TakeoverState(previous, (), RECOVERY_WINDOW_S)
         if not reply.held:
-            return Inheritance(Previous.ENDED, (), LOST_PROGRAMS_S)
+            return TakeoverState(PreviousOwner.ENDED, (), RECOVERY_WINDOW_S)
         accounts = reply.accounts
         if not reply.acted:
-            holder = await self._claims.holder(number, view.record)
+            holder = await self._claims.allowance_holder(number, view.record)
             accounts = tuple(limited(state, holder) for state in accounts)
-        return Inheritance(
-            Previous.ENDED,
+        return TakeoverState(
+            PreviousOwner.ENDED,
             accounts,
             reply.incomplete_for_s,
             view.record.incarnation,
         )
 
-    def _writer_of(self, number: int, version: int) -> str:
+    def _incarnation_of(self, number: int, version: int) -> str:
         view = self._map.get(number)
         if view is None or view.version != version:
             return ""
@@ -335,23 +335,23 @@
             # until the end here, and acts afterwards.
             return
         shard.is_handing_over = True
-        inheritance = await self._stop_standby(shard)
-        for target in self._targets()[:_OFFERS]:
-            if not await self._offer(shard, target, inheritance):
+        takeover = await self._fence_standby(shard)
+        for target in self._handover_targets()[:_MAX_OFFERS]:
+            if not await self._offer(shard, target, takeover):
                 return
         shard.is_handing_over = False
         if shard.copier is not None:
-            await self._claims.name_standby(shard)
+            await self._claims.assign_standby(shard)
 
-    async def _stop_standby(self, shard: OwnedShard) -> Inheritance:
+    async def _fence_standby(self, shard: OwnedShard) -> TakeoverState:
         """Returns what the next owner is to know of a shard.
 
         A standby that does not learn of the hand-over misses this host once it
         has ended, and would act with shares that nobody counts. Sealed it does
         not; where it can't be sealed its shares count as spent.
         """
-        exact = Inheritance(
-            Previous.ENDED, shard.states(None), shard.incomplete_for_s
+        exact = TakeoverState(
+            PreviousOwner.ENDED, shard.states(None), shard.incomplete_for_s
         )
         if shard.copier is None and not shard.is_acting:
             return exact
@@ -360,17 +360,17 @@
             if reply is not None and reply.held and not reply.acted:
                 return exact
         await self._claims.ask_arbiter(shard)
-        return self._claims.kept(shard)
+        return self._claims.retained_state(shard)
 
     async def _offer(
-        self, shard: OwnedShard, target: HostAddress, inheritance: Inheritance
+        self, shard: OwnedShard, target: HostAddress, takeover: TakeoverState
     ) -> bool:
         """Returns whether the target surely has not taken the shard."""
         offer = HandOver(
             shard.number,
             shard.view.version,
-            inheritance.accounts,
-            inheritance.incomplete_for_s,
+            takeover.accounts,
+            takeover.incomplete_for_s,
         )
         peer = self._hosts.client(target.address, target.port)
         outcome = await peer.call(HAND_OVER, offer, 2 * _CALL_TIMEOUT_S)
@@ -396,7 +396,7 @@
             return not was_sent(failure)
         return failure.kind is not ErrorKind.WRITE_UNKNOWN
 
-    def _targets(self) -> list[HostAddress]:
+    def _handover_targets(self) -> list[HostAddress]:
         """Returns the hosts that may take a shard, the least loaded first.
 
         Any host that lives can, not only those that own shards already: in a
--- a/libs/ledger/src/masticdale_ledger/service.py
+++ b/libs/ledger/src/masticdale_ledger/service.py
@@ -7,7 +7,7 @@
 from masticdale_ledger.admissions import Admissions
 from masticdale_ledger.arbiter import Arbiter
 from masticdale_ledger.hosts import SeenHosts
-from masticdale_ledger.keeper import ShardKeeper
+from masticdale_ledger.keeper import ShardReconciler
 from masticdale_ledger.messages import (
     AdmitReply,
     AdmitRequest,
@@ -39,7 +39,7 @@
     def __init__(
         self,
         owner: ShardOwner,
-        keeper: ShardKeeper,
+        keeper: ShardReconciler,
         acting: ActingStandby,
         copies: StandbyCopies,
         direct: ObjectStore,
@@ -51,7 +51,7 @@
         self._admissions = Admissions(owner, acting)
         self._copies = copies
         self._owner = owner
-        self._keeper = keeper
+        self._reconciler = keeper
         self._direct = direct
         self._seen = seen
         self._shared = shared
@@ -84,7 +84,7 @@
 
     async def hand_over(self, request: HandOver) -> HandOverReply:
         """Takes over a shard."""
-        return await self._keeper.accept(request)
+        return await self._reconciler.accept(request)
 
     async def copy(self, request: CopyRequest) -> CopyReply:
         """Holds accounts of another host's shard."""
--- a/libs/ledger/src/masticdale_ledger/shards.py
+++ b/libs/ledger/src/masticdale_ledger/shards.py
@@ -13,7 +13,7 @@
 SHARD_PREFIX = "ledger-shards/"
 
 
-class Previous(enum.StrEnum):
+class PreviousOwner(enum.StrEnum):
     """What is known of the owner before."""
 
     NONE = "none"
@@ -46,7 +46,7 @@
     address: str
     port: int
     epoch: int
-    previous: Previous
+    previous: PreviousOwner
     standby_address: str = ""
     standby_port: int = 0
     arbiter_address: str = ""
@@ -66,7 +66,7 @@
     return f"{SHARD_PREFIX}shard-{shard}"
 
 
-def read_shard(stored: StoredObject) -> ShardView | None:
+def parse_shard(stored: StoredObject) -> ShardView | None:
     """Returns a shard's record; None where the object is none."""
     try:
         record = ShardRecord.model_validate_json(stored.value)
@@ -104,7 +104,7 @@
             self.put(stored)
         if batch.is_snapshot:
             self.is_loaded = True
-        self._wake()
+        self._notify_waiters()
 
     def put(self, stored: StoredObject) -> None:
         """Takes one object of the store."""
@@ -114,7 +114,7 @@
         known = self._view_by_shard.get(shard)
         if known is not None and known.version >= stored.version:
             return
-        view = read_shard(stored)
+        view = parse_shard(stored)
         if view is None:
             return
         record = view.record
@@ -128,16 +128,16 @@
             standby=record.standby_address,
             version=stored.version,
         )
-        self._wake()
+        self._notify_waiters()
 
-    async def wait_changed(self, within_s: float) -> None:
+    async def wait_for_change(self, timeout_s: float) -> None:
         """Waits for any change, at most so long."""
         changed = self._changed
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 await changed.wait()
 
-    def _wake(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -19,7 +19,7 @@
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.client import Unreachable
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
-from masticdale_ledger.keeper import ShardKeeper
+from masticdale_ledger.keeper import ShardReconciler
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import (
     ADMIT,
@@ -166,7 +166,7 @@
         self.acting = ActingStandby(
             identity, self.map, self.owner, lease, self.copies, claims, links
         )
-        self.keeper = ShardKeeper(
+        self.reconciler = ShardReconciler(
             identity,
             self.store,
             self.map,
@@ -181,7 +181,7 @@
         )
         self.service = LedgerService(
             self.owner,
-            self.keeper,
+            self.reconciler,
             self.acting,
             self.copies,
             self.store,
@@ -241,7 +241,7 @@
             for other in self.process_by_name.values():
                 process.seen.note(other.identity.reached_at)
         first = self.process_by_name[self.names[1]]
-        await first.keeper.look()
+        await first.reconciler.reconcile()
         await self.learn()
 
     async def learn(self):
@@ -372,7 +372,7 @@
             case "end":
                 await self.end_turn(first % (MOST + 1))
             case "look" if process:
-                await process.keeper.look()
+                await process.reconciler.reconcile()
             case "learn" if process:
                 await process.read_map()
             case "copy" if process:
@@ -403,7 +403,7 @@
                 await self.start(name)
             case "stop" if process and not process.is_stopping:
                 process.stop()
-                await process.keeper.hand_over_all()
+                await process.reconciler.hand_over_all()
             case "kill-all":
                 for each in names:
                     self.kill(each)
@@ -437,7 +437,7 @@
         mock.patch("masticdale_common.logs.write", write),
         mock.patch("masticdale_common.logs.write_bounded", write),
         mock.patch("masticdale_ledger.owner._RESERVATION_WAIT_S", 0.0),
-        mock.patch("masticdale_ledger.keeper._CLAIM_SPREAD_S", 0.0),
+        mock.patch("masticdale_ledger.keeper._CLAIM_JITTER_S", 0.0),
         mock.patch("masticdale_ledger.standby.boot_time_s", world.clock),
         mock.patch("masticdale_ledger.keeper.SHARD_COUNT", 1),
     ):
--- a/libs/ledger/tests/test_acting.py
+++ b/libs/ledger/tests/test_acting.py
@@ -12,7 +12,7 @@
 from masticdale_ledger.acting import ActingStandby
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
-from masticdale_ledger.keeper import ShardKeeper
+from masticdale_ledger.keeper import ShardReconciler
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import (
     AccountState,
@@ -23,7 +23,7 @@
 from masticdale_ledger.owner import ShardOwner
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
-    Previous,
+    PreviousOwner,
     ShardMap,
     ShardRecord,
     shard_key,
@@ -42,7 +42,7 @@
     address="127.0.0.1",
     port=1,
     epoch=1,
-    previous=Previous.NONE,
+    previous=PreviousOwner.NONE,
     standby_address="127.0.0.1",
     standby_port=2,
 )
@@ -123,7 +123,7 @@
             claims,
             self.other,
         )
-        self.keeper = ShardKeeper(
+        self.keeper = ShardReconciler(
             STANDBY,
             self.store,
             self.map,
@@ -223,7 +223,7 @@
         self.assertIsNone(await self.admit(claim("r")))
         await asyncio.sleep(0.05)
         await self.read_map()
-        await self.keeper.look()
+        await self.keeper.reconcile()
         shard = self.owner.owned()[SHARD]
         self.assertFalse(shard.is_acting)
         account = shard.accounts.get("known")
@@ -245,7 +245,7 @@
         )
         self.assertIs(reply.failure.kind, ErrorKind.WRITE_UNKNOWN)
         await self.read_map()
-        await self.keeper.look()
+        await self.keeper.reconcile()
         account = self.owner.owned()[SHARD].accounts.get("known")
         self.assertEqual(account.spent_tokens, 40)
 
@@ -265,7 +265,7 @@
         self.assertIs(reply.failure.kind, ErrorKind.WRITE_UNKNOWN)
         self.store.is_silent_for_lists = False
         await self.read_map()
-        await self.keeper.look()
+        await self.keeper.reconcile()
         account = self.owner.owned()[SHARD].accounts.get("known")
         self.assertEqual(account.spent_tokens, 40)
 
@@ -273,7 +273,7 @@
         self.store.faults.drop_writes = 1
         await self.acting.act(SHARD)
         await asyncio.sleep(0.05)
-        await self.keeper.look()
+        await self.keeper.reconcile()
         shard = self.owner.owned()[SHARD]
         self.assertFalse(shard.is_acting)
         self.assertEqual(shard.view.record.owner, "b")
--- a/libs/ledger/tests/test_admissions.py
+++ b/libs/ledger/tests/test_admissions.py
@@ -17,7 +17,7 @@
 from masticdale_ledger.messages import CopyReply
 from masticdale_ledger.owner import OwnedShard, ShardOwner
 from masticdale_ledger.records import ProgramRecords
-from masticdale_ledger.shards import Previous, ShardRecord, ShardView
+from masticdale_ledger.shards import PreviousOwner, ShardRecord, ShardView
 from masticdale_platform.testing import MemoryStore
 
 SHARD = 1
@@ -74,7 +74,7 @@
             address="127.0.0.1",
             port=1,
             epoch=1,
-            previous=Previous.NONE,
+            previous=PreviousOwner.NONE,
         )
         copier = Copier(peer) if peer else None
         shard = OwnedShard(
--- a/libs/ledger/tests/test_any_order.py
+++ b/libs/ledger/tests/test_any_order.py
@@ -89,7 +89,7 @@
             self.cut(name, self.standby.name)
         self.standby.store.is_cut = True
         given = await self.ask(self.standby, "new", 6)
-        await self.standby.keeper.look()
+        await self.standby.reconciler.reconcile()
         given += await self.ask(self.standby, "new", 6)
         self.assertEqual(given, 0)
         # The programs that both know go on.
@@ -101,11 +101,11 @@
         self.cut("a", self.standby.name)
         self.standby.store.is_cut = True
         await self.ask(self.standby, "new", 2)
-        await self.standby.keeper.look()
+        await self.standby.reconciler.reconcile()
         self.assertGreater(await self.ask(self.standby, "new", 6), 0)
         await self.ask(self.owner, "old", 1)
         for _ in range(3):
-            await self.owner.keeper.look()
+            await self.owner.reconciler.reconcile()
         await self.ask(self.owner, "new", 12)
         self.assert_within_budget("new")
 
@@ -119,13 +119,13 @@
         self.cut("a", self.standby.name)
         await self.ask(self.owner, "old", 1)
         for _ in range(3):
-            await self.owner.keeper.look()
+            await self.owner.reconciler.reconcile()
         self.assertTrue(await self.world.turn("a", "new"))
         account = self.owner.owner.owned()[SHARD].accounts.get("new")
         self.assertTrue(account.counts_from_start)
         self.standby.store.is_cut = True
         await self.ask(self.standby, "other", 2)
-        await self.standby.keeper.look()
+        await self.standby.reconciler.reconcile()
         self.assertEqual(await self.ask(self.standby, "other", 6), 0)
 
     async def test_an_arbiter_that_has_forgotten_lets_nobody_go_on(self):
@@ -135,12 +135,12 @@
         self.cut("a", self.standby.name)
         self.standby.store.is_cut = True
         await self.ask(self.standby, "new", 2)
-        await self.standby.keeper.look()
+        await self.standby.reconciler.reconcile()
         self.world.kill(arbiter)
         await self.world.start(arbiter)
         await self.ask(self.owner, "old", 1)
         for _ in range(3):
-            await self.owner.keeper.look()
+            await self.owner.reconciler.reconcile()
         await self.ask(self.standby, "new", 6)
         await self.ask(self.owner, "new", 12)
         self.assert_within_budget("new")
@@ -165,7 +165,7 @@
             self.cut("a", name)
         await self.ask(self.owner, "old", 1)
         for _ in range(3):
-            await self.owner.keeper.look()
+            await self.owner.reconciler.reconcile()
         shard = self.owner.owner.owned()[SHARD]
         self.assertGreater(shard.view.version, known.view.version)
         self.assertGreater(shard.incomplete_for_s, 140.0)
@@ -178,14 +178,14 @@
         await self.ask(self.owner, "old", 1)
         self.cut("a", self.standby.name)
         await self.ask(self.standby, "new", 2)
-        await self.standby.keeper.look()
+        await self.standby.reconciler.reconcile()
         self.assertGreater(await self.ask(self.standby, "new", 6), 0)
         # The store is back for the owner alone.
         self.standby.store.is_cut = True
         self.world.store.faults.down = False
         await self.ask(self.owner, "old", 1)
         for _ in range(3):
-            await self.owner.keeper.look()
+            await self.owner.reconciler.reconcile()
         await self.ask(self.owner, "new", 12)
         self.assert_within_budget("new")
 
@@ -198,7 +198,7 @@
         self.world.kill(self.standby.name)
         await self.ask(self.owner, "old", 1)
         for _ in range(3):
-            await self.owner.keeper.look()
+            await self.owner.reconciler.reconcile()
         self.assertTrue(await self.world.turn("a", "new"))
         account = self.owner.owner.owned()[SHARD].accounts.get("new")
         self.assertTrue(account.counts_from_start)
@@ -219,7 +219,7 @@
         await self.owner.owner.replicate_changes()
         self.assertTrue(self.owner.owner.owned()[SHARD].is_standby_leaving)
         self.standby.store.is_cut = True
-        await self.owner.keeper.look()
+        await self.owner.reconciler.reconcile()
         self.cut("a", self.standby.name)
         self.assertEqual(await self.ask(self.standby, "old", 6), 0)
 
@@ -242,7 +242,7 @@
         self.standby.acting.seal(SealRequest(SHARD, record.epoch))
         self.assertEqual(await self.ask(self.owner, "new", 1), 0)
         self.owner.store.is_cut = True
-        await self.owner.keeper.look()
+        await self.owner.reconciler.reconcile()
         self.assertIsNotNone(self.owner.owner.owned()[SHARD].isolation)
         self.assertEqual(await self.ask(self.owner, "new", 6), 0)
         self.assertGreater(await self.ask(self.owner, "old", 3), 0)
@@ -272,7 +272,7 @@
         """
         self.standby.store.is_cut = True
         self.owner.stop()
-        await self.owner.keeper.hand_over_all()
+        await self.owner.reconciler.hand_over_all()
         self.world.kill("a")
         taker = next(
             p
@@ -306,10 +306,10 @@
         self.assertFalse(self.standby.owner.owned()[SHARD].is_acting)
         self.world.cuts.clear()
         for process in self.world.process_by_name.values():
-            process.keeper.is_stopping = process is not self.owner
+            process.reconciler.is_stopping = process is not self.owner
         epoch = self.standby.owner.owned()[SHARD].view.record.epoch
         self.standby.stop()
-        await self.standby.keeper.hand_over_all()
+        await self.standby.reconciler.hand_over_all()
         shard = self.owner.owner.owned()[SHARD]
         self.assertGreater(shard.view.record.epoch, epoch)
         account = shard.accounts.get("new")
@@ -330,7 +330,7 @@
         await self.owner.owner.replicate_changes()
         self.world.kill("a")
         await self.ask(self.standby, "new", 3)
-        await self.standby.keeper.look()
+        await self.standby.reconciler.reconcile()
         self.assertGreater(await self.ask(self.standby, "new", 1), 0)
         self.standby.store.is_cut = True
         self.world.store.faults.down = False
@@ -343,7 +343,7 @@
         await self.ask(taker, "old", 1)
         self.world.kill(self.standby.name)
         self.world.process_by_name[self.standby.name] = self.standby
-        await taker.keeper.look()
+        await taker.reconciler.reconcile()
         accounts = taker.owner.owned()[SHARD].accounts
         for state in acted:
             with self.subTest(program=state.program_id):
--- a/libs/ledger/tests/test_client.py
+++ b/libs/ledger/tests/test_client.py
@@ -14,7 +14,12 @@
 from masticdale_ledger.messages import AdmitReply, HostAddress
 from masticdale_ledger.owner import ShardOwner
 from masticdale_ledger.records import ProgramRecords
-from masticdale_ledger.shards import Previous, ShardMap, ShardRecord, shard_key
+from masticdale_ledger.shards import (
+    PreviousOwner,
+    ShardMap,
+    ShardRecord,
+    shard_key,
+)
 from masticdale_platform import StoredObject
 from masticdale_platform.testing import MemoryStore
 from masticdale_rpc import unavailable
@@ -26,7 +31,7 @@
     address="127.0.0.1",
     port=2,
     epoch=1,
-    previous=Previous.NONE,
+    previous=PreviousOwner.NONE,
 )
 TIMED_OUT = Failed(unavailable("b", "timed out", sent=True))
 
--- a/libs/ledger/tests/test_keeper.py
+++ b/libs/ledger/tests/test_keeper.py
@@ -9,13 +9,13 @@
 from masticdale_gateway.calls import TurnClaim
 from masticdale_ledger.accounts import Accounts
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
-from masticdale_ledger.keeper import ShardKeeper
+from masticdale_ledger.keeper import ShardReconciler
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import HandOverReply, HostAddress
 from masticdale_ledger.owner import OwnedShard, ShardOwner
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
-    Previous,
+    PreviousOwner,
     ShardMap,
     ShardRecord,
     ShardView,
@@ -68,7 +68,7 @@
         address="127.0.0.1",
         port=port,
         epoch=1,
-        previous=Previous.NONE,
+        previous=PreviousOwner.NONE,
     )
 
 
@@ -92,7 +92,7 @@
         shard_map = ShardMap()
         value = record(other_owner, 2).model_dump_json().encode()
         shard_map.put(StoredObject(shard_key(1), 1, value))
-        keeper = ShardKeeper(
+        reconciler = ShardReconciler(
             Identity("a", "a", "127.0.0.1", 1),
             store,
             shard_map,
@@ -105,7 +105,7 @@
             is_store_lost=lambda: False,
             seen=seen,
         )
-        await keeper.hand_over_all()
+        await reconciler.hand_over_all()
         return await owner.admit(0, TurnClaim("p", "r", 1000, 10))
 
     async def test_a_shard_of_unknown_outcome_admits_nothing_here(self):
