--- a/libs/ledger/src/masticdale_ledger/__init__.py
+++ b/libs/ledger/src/masticdale_ledger/__init__.py
@@ -4,14 +4,14 @@
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.client import SHARD_COUNT, LedgerClient
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
-from masticdale_ledger.keeper import (
+from masticdale_ledger.leases import Lease, boot_time_s
+from masticdale_ledger.messages import LEDGER
+from masticdale_ledger.owner import REPLICATION_INTERVAL_S, ShardOwner
+from masticdale_ledger.reconciler import (
     LEASE_CHECK_INTERVAL_S,
     RECONCILE_INTERVAL_S,
     ShardReconciler,
 )
-from masticdale_ledger.leases import Lease, boot_time_s
-from masticdale_ledger.messages import LEDGER
-from masticdale_ledger.owner import REPLICATION_INTERVAL_S, ShardOwner
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.service import LedgerService
 from masticdale_ledger.shards import SHARD_PREFIX, ShardMap, ShardRecord
--- a/libs/ledger/src/masticdale_ledger/service.py
+++ b/libs/ledger/src/masticdale_ledger/service.py
@@ -7,7 +7,6 @@
 from masticdale_ledger.admissions import Admissions
 from masticdale_ledger.arbiter import Arbiter
 from masticdale_ledger.hosts import SeenHosts
-from masticdale_ledger.keeper import ShardReconciler
 from masticdale_ledger.messages import (
     AdmitReply,
     AdmitRequest,
@@ -28,6 +27,7 @@
 )
 from masticdale_ledger.owner import ShardOwner
 from masticdale_ledger.peer_store import serve_store
+from masticdale_ledger.reconciler import ShardReconciler
 from masticdale_ledger.shared_watches import SharedWatches
 from masticdale_ledger.standby import StandbyCopies
 from masticdale_platform import ObjectStore
@@ -39,7 +39,7 @@
     def __init__(
         self,
         owner: ShardOwner,
-        keeper: ShardReconciler,
+        reconciler: ShardReconciler,
         acting: ActingStandby,
         copies: StandbyCopies,
         direct: ObjectStore,
@@ -51,7 +51,7 @@
         self._admissions = Admissions(owner, acting)
         self._copies = copies
         self._owner = owner
-        self._reconciler = keeper
+        self._reconciler = reconciler
         self._direct = direct
         self._seen = seen
         self._shared = shared
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -19,7 +19,6 @@
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.client import Unreachable
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
-from masticdale_ledger.keeper import ShardReconciler
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import (
     ADMIT,
@@ -29,6 +28,7 @@
     SettleRequest,
 )
 from masticdale_ledger.owner import ShardOwner
+from masticdale_ledger.reconciler import ShardReconciler
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.service import LedgerService
 from masticdale_ledger.shards import ShardMap, shard_key
@@ -437,9 +437,9 @@
         mock.patch("masticdale_common.logs.write", write),
         mock.patch("masticdale_common.logs.write_bounded", write),
         mock.patch("masticdale_ledger.owner._RESERVATION_WAIT_S", 0.0),
-        mock.patch("masticdale_ledger.keeper._CLAIM_JITTER_S", 0.0),
+        mock.patch("masticdale_ledger.reconciler._CLAIM_JITTER_S", 0.0),
         mock.patch("masticdale_ledger.standby.boot_time_s", world.clock),
-        mock.patch("masticdale_ledger.keeper.SHARD_COUNT", 1),
+        mock.patch("masticdale_ledger.reconciler.SHARD_COUNT", 1),
     ):
         yield
 
--- a/libs/ledger/tests/test_acting.py
+++ b/libs/ledger/tests/test_acting.py
@@ -12,7 +12,6 @@
 from masticdale_ledger.acting import ActingStandby
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
-from masticdale_ledger.keeper import ShardReconciler
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import (
     AccountState,
@@ -21,6 +20,7 @@
     SettleReply,
 )
 from masticdale_ledger.owner import ShardOwner
+from masticdale_ledger.reconciler import ShardReconciler
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
     PreviousOwner,
--- a/libs/ledger/tests/test_keeper.py
+++ b/libs/ledger/tests/test_reconciler.py
@@ -9,10 +9,10 @@
 from masticdale_gateway.calls import TurnClaim
 from masticdale_ledger.accounts import Accounts
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
-from masticdale_ledger.keeper import ShardReconciler
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import HandOverReply, HostAddress
 from masticdale_ledger.owner import OwnedShard, ShardOwner
+from masticdale_ledger.reconciler import ShardReconciler
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
     PreviousOwner,
