--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -30,10 +30,10 @@
 from masticdale_entry.watching import Watcher, WatchTarget
 from masticdale_gateway import Relay, RelayDependencies, listen
 from masticdale_ledger import (
-    COPY_EVERY_S,
+    LEASE_CHECK_INTERVAL_S,
     LEDGER,
-    LOOK_EVERY_S,
-    RENEW_EVERY_S,
+    RECONCILE_INTERVAL_S,
+    REPLICATION_INTERVAL_S,
     SHARD_COUNT,
     SHARD_PREFIX,
     ActingStandby,
@@ -45,9 +45,9 @@
     ProgramRecords,
     SeenHosts,
     ShardClaims,
-    ShardKeeper,
     ShardMap,
     ShardOwner,
+    ShardReconciler,
     SharedWatches,
     StandbyCopies,
 )
@@ -151,7 +151,7 @@
             claims,
             self._peers,
         )
-        self._keeper = ShardKeeper(
+        self._keeper = ShardReconciler(
             identity,
             self._store,
             self._shard_map,
@@ -243,12 +243,12 @@
         )
         self._tasks.append(asyncio.create_task(self._ledger.run()))
         for name, period_s, callback in (
-            ("shards", LOOK_EVERY_S, self._keeper.look),
-            ("lease", RENEW_EVERY_S, self._keeper.renew),
-            ("copies", COPY_EVERY_S, self._owner.copy_changed),
+            ("shards", RECONCILE_INTERVAL_S, self._keeper.reconcile),
+            ("lease", LEASE_CHECK_INTERVAL_S, self._keeper.renew_lease),
+            ("copies", REPLICATION_INTERVAL_S, self._owner.replicate_changes),
             ("store", _STORE_CHECK_INTERVAL_S, self._store.check),
             ("idle-connections", _CLOSE_IDLE_INTERVAL_S, self._close_idle),
-            ("old-programs", _PURGE_INTERVAL_S, self._owner.forget_old),
+            ("old-programs", _PURGE_INTERVAL_S, self._owner.evict_idle_programs),
         ):
             self._timers.subscribe(Subscription(name, period_s, callback))
         await stop.wait()
@@ -293,7 +293,7 @@
         if is_first and self._shard_map.is_loaded:
             # After the loss of all hosts programs wait for this look; the
             # next one by the timer would come a period later.
-            self._tasks.append(asyncio.create_task(self._keeper.look()))
+            self._tasks.append(asyncio.create_task(self._keeper.reconcile()))
 
     async def _close_idle(self) -> None:
         self._relay.pool.close_idle()
--- a/libs/ledger/tests/test_apart.py
+++ b/libs/ledger/tests/test_apart.py
@@ -18,9 +18,9 @@
 from masticdale_ledger.messages import SealRequest
 from masticdale_ledger.owner import OwnedShard, ShardOwner
 from masticdale_ledger.records import ProgramRecords, record_name
-from masticdale_ledger.shards import Previous, ShardRecord, ShardView
+from masticdale_ledger.shards import PreviousOwner, ShardRecord, ShardView
 from masticdale_ledger.standby import StandbyCopies
-from masticdale_ledger.states import account_of
+from masticdale_ledger.states import account_from_state
 from masticdale_platform.testing import MemoryStore
 
 SHARD = 1
@@ -78,7 +78,7 @@
             address="127.0.0.1",
             port=1,
             epoch=self.epoch,
-            previous=Previous.NONE,
+            previous=PreviousOwner.NONE,
         )
         shard = OwnedShard(
             SHARD,
@@ -95,13 +95,13 @@
         """A new owner with a new standby."""
         self.epoch += 1
         self.link = Link()
-        self.lease.confirm(self.lease.now())
+        self.lease.renew(self.lease.now())
         self.owner = self.host(accounts, incomplete_s, Copier(self.link))
 
     async def admit(self, host):
         if host is None:
             return
-        self.lease.confirm(self.lease.now())
+        self.lease.renew(self.lease.now())
         self.asked += 1
         request_id = str(self.asked)
         claim = TurnClaim(PROGRAM, request_id, self.budget, self.most)
@@ -126,9 +126,9 @@
         shard = self.owner[1]
         self.link.is_cut = True
         self.store.faults.down = True
-        if shard.alone is None:
+        if shard.isolation is None:
             shares = shares_of(shard.accounts.all(), acting=False)
-            shard.alone = Alone(shares, takes_new=False)
+            shard.isolation = Alone(shares, takes_new=False)
 
     def act(self):
         """The standby goes on in place of the owner."""
@@ -138,19 +138,19 @@
             return
         copy = self.link.copies.seal(SealRequest(SHARD, self.epoch))
         accounts = Accounts()
-        accounts.adopt([account_of(state) for state in copy.accounts])
+        accounts.restore([account_from_state(state) for state in copy.accounts])
         self.acting = self.host(accounts, copy.incomplete_for_s, None)
         shares = shares_of(accounts.all(), acting=True)
-        self.acting[1].alone = Alone(shares, takes_new=True)
+        self.acting[1].isolation = Alone(shares, takes_new=True)
 
     async def meet(self):
         """The store is back; somebody owns the shard by a new record."""
         self.store.faults.down = False
         old = self.owner
         if self.acting is not None:
-            states = self.acting[1].acted_states()
+            states = self.acting[1].states_with_peer_spending()
             incomplete_s = self.acting[1].incomplete_for_s
-        elif old[1].alone is not None and self.link.is_cut:
+        elif old[1].isolation is not None and self.link.is_cut:
             reply = self.link.copies.seal(SealRequest(SHARD, self.epoch))
             if not reply.held:
                 return
@@ -162,7 +162,7 @@
         self.ghosts.append(old)
         self.acting = None
         accounts = Accounts(await self.bounds())
-        accounts.adopt([account_of(state) for state in states])
+        accounts.restore([account_from_state(state) for state in states])
         self.own(accounts, incomplete_s)
 
     async def lose_all(self):
@@ -190,7 +190,7 @@
             case "settle":
                 self.settle(amount)
             case "copy":
-                await self.owner[0].copy_changed()
+                await self.owner[0].replicate_changes()
             case "answers":
                 self.link.loses_answers = not self.link.loses_answers
             case "part":
@@ -221,7 +221,7 @@
 
 
 # No turn ends by itself here, so that waiting for one decides nothing.
-@mock.patch("masticdale_ledger.owner._TURNS_END_WITHIN_S", 0.0)
+@mock.patch("masticdale_ledger.owner._RESERVATION_WAIT_S", 0.0)
 class ApartTest(unittest.TestCase):
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=400)
     @hypothesis.given(
@@ -296,7 +296,7 @@
             given = sum(world.used.values())
             await world.step("meet", 0)
             account = world.owner[1].accounts.get(PROGRAM)
-            self.assertGreaterEqual(account.taken_tokens, given)
+            self.assertGreaterEqual(account.committed_tokens, given)
 
         asyncio.run(play())
 
@@ -307,7 +307,7 @@
         """
         accounts = Accounts()
         claim = TurnClaim(PROGRAM, "r", 1000, 100)
-        account = accounts.open(claim, "record", True, 0.0)
+        account = accounts.get_or_create(claim, "record", True, 0.0)
         account.spent_tokens = 600
         account.bound = Bound(900, 1)
         for acting in (False, True):
@@ -319,7 +319,7 @@
         """Programs of few turns would wait for the end of an outage."""
         accounts = Accounts()
         claim = TurnClaim(PROGRAM, "r", 400, 100)
-        account = accounts.open(claim, "record", True, 0.0)
+        account = accounts.get_or_create(claim, "record", True, 0.0)
         account.spent_tokens = 80
         standby = shares_of([account], acting=True)[PROGRAM]
         owner = shares_of([account], acting=False)[PROGRAM]
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -78,8 +78,8 @@
     Edit(
         "waiting for turns",
         f"{_LEDGER}/owner.py",
-        "_TURNS_END_WITHIN_S = 1.0",
-        "_TURNS_END_WITHIN_S = 0.0",
+        "_RESERVATION_WAIT_S = 1.0",
+        "_RESERVATION_WAIT_S = 0.0",
     ),
     Edit(
         "watches through seeds",
@@ -108,8 +108,8 @@
     Edit(
         "half spent after a loss",
         f"{_LEDGER}/accounts.py",
-        "FIRST_STEP = 0.5",
-        "FIRST_STEP = 0.35",
+        "_UNRECORDED_SHARE = 0.5",
+        "_UNRECORDED_SHARE = 0.35",
     ),
 )
 
