--- a/libs/ledger/src/masticdale_ledger/acting.py
+++ b/libs/ledger/src/masticdale_ledger/acting.py
@@ -7,7 +7,7 @@
 
 from masticdale_common import ErrorKind, logs
 from masticdale_ledger.accounts import Accounts
-from masticdale_ledger.apart import Alone, shares_of
+from masticdale_ledger.apart import Isolation, isolation_quotas
 from masticdale_ledger.arbiter import Side
 from masticdale_ledger.claims import Inheritance, ShardClaims
 from masticdale_ledger.hosts import Hosts, Identity
@@ -115,14 +115,14 @@
         arbiter to let this host go on. In both cases an owner that lives counts
         programs that it does not know as half spent.
         """
-        if shard.alone is None or shard.alone.takes_new:
+        if shard.alone is None or shard.alone.admits_unknown:
             return
         record = shard.view.record
         if not shard.has_decision and not self._copies.owner_was_without_store(
             shard.number, record.epoch
         ):
             return
-        shard.alone = dataclasses.replace(shard.alone, takes_new=True)
+        shard.alone = dataclasses.replace(shard.alone, admits_unknown=True)
         logs.write("shard_takes_new", shard=shard.number, epoch=record.epoch)
 
     def seal(self, request: SealRequest) -> SealReply:
@@ -182,12 +182,12 @@
         shard.is_acting = True
         shard.has_decision = has_decision
         is_holder = has_decision or not record.arbiter_address
-        shares = shares_of(
+        shares = isolation_quotas(
             accounts.all(),
-            acting=True,
-            holder=Side.STANDBY if is_holder else Side.OWNER,
+            is_standby=True,
+            remainder_side=Side.STANDBY if is_holder else Side.OWNER,
         )
-        shard.alone = Alone(shares, takes_new=False)
+        shard.alone = Isolation(shares, admits_unknown=False)
         self._owner.take(shard)
         logs.write(
             "shard_acted_for",
--- a/libs/ledger/src/masticdale_ledger/apart.py
+++ b/libs/ledger/src/masticdale_ledger/apart.py
@@ -1,4 +1,4 @@
-"""An owner and its standby without each other while the store is away."""
+"""Spending limits of a partitioned owner and standby during a store outage."""
 
 import dataclasses
 
@@ -9,114 +9,127 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Alone:
-    """How far an owner and its standby may go without each other.
+class Isolation:
+    """Limits of an owner or a standby that is partitioned from the other.
 
-    Both know the same accounts when they lose each other. While the store is
-    away neither can be replaced, and no record can be written. Each then takes
-    a part of what is left up to the first step, which is what counts as spent
-    if both lose their memory afterwards. Where each took all of it, programs
-    that loop got half of their budget a second time after a loss of all hosts.
-    A program that has a record waits.
+    Both hold the same accounts when the partition begins. While the store is
+    unavailable neither can be replaced and no record can be written. The
+    tokens left below the first step, which is what counts as spent if both
+    lose their memory, are split between the two. If each could hand out all of
+    them, a program could exceed its budget by half after the loss of all hosts.
+    Programs with a record are not admitted.
 
     Attributes:
-        share_by_id: Shares in the programs known when they lost each other.
-        takes_new: Whether other programs are admitted too. Only the standby
-            does, and only without the store: whoever takes the shard over
-            later can seal the standby, and learns of them.
+        quota_by_program_id: Quotas of the programs known when the partition
+            began.
+        admits_unknown: Whether other programs are admitted too. Only the
+            standby admits them, and only while the store is unreachable: the
+            next owner seals the standby and so learns of them.
     """
 
-    share_by_id: dict[str, "Share"]
-    takes_new: bool
+    quota_by_program_id: dict[str, "IsolationQuota"]
+    admits_unknown: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Share:
-    """One program while owner and standby are apart.
+class IsolationQuota:
+    """The part of one program's budget that each side may hand out.
 
     Attributes:
-        limit_tokens: This host may let the program get so far.
-        elsewhere_tokens: The other may have handed out so much meanwhile.
+        limit_tokens: Spent and reserved tokens up to which this host admits
+            the program.
+        peer_tokens: Tokens that the other host may have handed out.
     """
 
     limit_tokens: int
-    elsewhere_tokens: int
+    peer_tokens: int
 
 
-def shares_of(
-    accounts: list[Account], *, acting: bool, holder: Side = Side.STANDBY
-) -> dict[str, Share]:
-    """Returns the share of one host in each program.
+def isolation_quotas(
+    accounts: list[Account],
+    *,
+    is_standby: bool,
+    remainder_side: Side = Side.STANDBY,
+) -> dict[str, IsolationQuota]:
+    """Returns the quota of one host for each program, by program ID.
 
-    The two may differ in which turns under way have ended already. A turn under
-    way lowers the limit and not what the other may have, so that the sum stays
-    within the ceiling whichever of them knows more.
+    The two hosts may disagree on which turns have ended. A turn in progress
+    lowers this host's limit but not the peer's tokens, so the sum of both stays
+    within the ceiling whichever host has seen more settlements.
 
     Args:
-        accounts: The programs that both know.
-        acting: Whether the shares are those of the standby.
-        holder: Who may have the turn that half does not hold; where that isn't
-            known, the other host. Without an arbiter it is the standby.
+        accounts: The accounts that both hosts hold.
+        is_standby: Whether the quotas are those of the standby.
+        remainder_side: The host that may admit one more turn where half of
+            the tokens left is less than a turn. If unknown, the other host;
+            without an arbiter, the standby.
     """
-    side = Side.STANDBY if acting else Side.OWNER
-    return {a.program_id: _share(a, side is holder) for a in accounts}
+    side = Side.STANDBY if is_standby else Side.OWNER
+    return {a.program_id: _share(a, side is remainder_side) for a in accounts}
 
 
-def _share(account: Account, is_holder: bool) -> Share:
+def _share(account: Account, is_holder: bool) -> IsolationQuota:
     if account.bound is not None:
-        # A record leaves two turns at most. Half of that holds none, and
-        # would still count as spent after each loss of an owner.
-        return Share(account.spent_tokens, 0)
+        # A record leaves room for at most two turns. Half of that may not
+        # cover a turn, yet would count as spent after each loss of an owner.
+        return IsolationQuota(account.spent_tokens, 0)
     most = account.most_tokens
     free = max(0, account.ceiling_tokens - account.taken_tokens)
     most_free = max(0, account.ceiling_tokens - account.spent_tokens)
     if account.awaits_standby:
-        # Whoever seals the standby learns of no such program and counts it from
-        # zero. An owner that had been replaced without knowing it admitted some
-        # of its turns a second time.
+        # The standby does not hold this account, so a host that seals the
+        # standby would count the program from zero. A replaced owner must not
+        # admit its turns as well.
         free = 0
-    return Share(
+    return IsolationQuota(
         limit_tokens=account.spent_tokens + _part(free, most, is_holder),
-        elsewhere_tokens=_part(most_free, most, not is_holder),
+        peer_tokens=_part(most_free, most, not is_holder),
     )
 
 
 def _part(free: int, most: int, is_holder: bool) -> int:
-    """Returns half, or for one of the two a turn that half does not hold.
+    """Returns half of the tokens, or a whole turn if half is less than one.
 
-    Programs of few turns soon have room for one more turn and not for two.
+    Only one of the two hosts gets the whole turn; the other gets the rest.
+    Without it, programs near their limit would be admitted by neither host.
     """
     half = free // 2
     holders = half if half >= most else min(free, most)
     return holders if is_holder else free - holders
 
 
-def limited(state: AccountState, holder: Side = Side.STANDBY) -> AccountState:
-    """Returns an account as it has to be if its last owner may have gone on.
+def charge_owner_quota(
+    state: AccountState, remainder_side: Side = Side.STANDBY
+) -> AccountState:
+    """Charges what the last owner may have handed out while isolated.
 
-    Without standby and store that owner had its share of the programs that it
-    knew, also if it was killed afterwards and its host is back.
+    The owner may have used its quota even if it was killed afterwards and its
+    host has restarted.
 
     Args:
         state: The account as its standby held it.
-        holder: See ``shares_of``.
+        remainder_side: See ``isolation_quotas``.
     """
-    shares = shares_of([account_of(state)], acting=True, holder=holder)
-    return with_elsewhere(state, shares[state.program_id])
+    shares = isolation_quotas(
+        [account_of(state)], is_standby=True, remainder_side=remainder_side
+    )
+    return charge_peer_quota(state, shares[state.program_id])
 
 
-def with_elsewhere(state: AccountState, share: Share) -> AccountState:
-    """Returns an account that counts what the other host may have given."""
-    spent = state.spent_tokens + share.elsewhere_tokens
+def charge_peer_quota(
+    state: AccountState, share: IsolationQuota
+) -> AccountState:
+    """Charges an account with the tokens that the other host may have used."""
+    spent = state.spent_tokens + share.peer_tokens
     return dataclasses.replace(state, spent_tokens=spent)
 
 
-def unknown_here(state: AccountState) -> AccountState:
-    """Returns an account as that of a program that began elsewhere.
+def charge_first_step(state: AccountState) -> AccountState:
+    """Charges an account with the first step of its budget.
 
-    A turn that is refused leaves an account behind. Its caller may go to the
-    standby next, which takes the program; counted by the account it began from
-    zero here, and got a part of its budget twice.
+    For a program whose account exists here only because a turn was rejected.
+    Its caller may then have reached the standby, which admitted the program;
+    counted from zero here, the program would get part of its budget twice.
     """
     unseen_tokens = first_step_tokens(state.budget_tokens)
     return dataclasses.replace(
@@ -126,18 +139,20 @@
     )
 
 
-def acted_states(
-    states: tuple[AccountState, ...], share_by_id: dict[str, Share]
+def charge_peer_quotas(
+    states: tuple[AccountState, ...],
+    quota_by_program_id: dict[str, IsolationQuota],
 ) -> tuple[AccountState, ...]:
-    """Returns the accounts of a shard that may have gone on elsewhere too.
+    """Charges accounts with the tokens that the other host may have used.
 
     Args:
         states: The accounts as this host counted them.
-        share_by_id: The shares of the programs that may have.
+        quota_by_program_id: The quotas of the programs that the other host
+            may have admitted.
     """
     return tuple(
-        with_elsewhere(state, share_by_id[state.program_id])
-        if state.program_id in share_by_id
+        charge_peer_quota(state, quota_by_program_id[state.program_id])
+        if state.program_id in quota_by_program_id
         else state
         for state in states
     )
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -10,11 +10,11 @@
 from masticdale_common import ErrorKind, Failure, logs
 from masticdale_ledger.accounts import Accounts
 from masticdale_ledger.apart import (
-    Alone,
-    Share,
-    acted_states,
-    shares_of,
-    unknown_here,
+    Isolation,
+    IsolationQuota,
+    charge_first_step,
+    charge_peer_quotas,
+    isolation_quotas,
 )
 from masticdale_ledger.arbiter import Arbitration, Side
 from masticdale_ledger.client import LedgerClient
@@ -376,13 +376,13 @@
         if shard.alone is not None:
             states = shard.acted_states()
         elif shard.may_be_acted_for and not shard.is_standby_leaving:
-            states = acted_states(states, _owner_shares(shard))
+            states = charge_peer_quotas(states, _owner_shares(shard))
         incomplete_for_s = shard.incomplete_for_s
         if shard.may_be_acted_for_new:
             incomplete_for_s = max(incomplete_for_s, LOST_PROGRAMS_S)
             waiting = shard.waiting_ids()
             states = tuple(
-                unknown_here(s) if s.program_id in waiting else s
+                charge_first_step(s) if s.program_id in waiting else s
                 for s in states
             )
         return Inheritance(
@@ -391,7 +391,7 @@
 
     def _go_alone(self, shard: OwnedShard) -> None:
         shares = _owner_shares(shard)
-        shard.alone = Alone(shares, takes_new=False)
+        shard.alone = Isolation(shares, admits_unknown=False)
         logs.write("shard_alone", shard=shard.number, programs=len(shares))
 
     async def _write(
@@ -424,9 +424,11 @@
         return outcome
 
 
-def _owner_shares(shard: OwnedShard) -> dict[str, Share]:
+def _owner_shares(shard: OwnedShard) -> dict[str, IsolationQuota]:
     holder = Side.OWNER if shard.has_decision else Side.STANDBY
-    return shares_of(shard.accounts.all(), acting=False, holder=holder)
+    return isolation_quotas(
+        shard.accounts.all(), is_standby=False, remainder_side=holder
+    )
 
 
 def _is_sealed(copied: Result[None, Failure]) -> bool:
--- a/libs/ledger/src/masticdale_ledger/keeper.py
+++ b/libs/ledger/src/masticdale_ledger/keeper.py
@@ -9,7 +9,7 @@
 
 from masticdale_common import ErrorKind, Failure, logs
 from masticdale_ledger.acting import ActingStandby
-from masticdale_ledger.apart import limited
+from masticdale_ledger.apart import charge_owner_quota
 from masticdale_ledger.claims import (
     LOST_PROGRAMS_S,
     Inheritance,
@@ -269,7 +269,9 @@
         accounts = reply.accounts
         if not reply.acted:
             holder = await self._claims.holder(number, view.record)
-            accounts = tuple(limited(state, holder) for state in accounts)
+            accounts = tuple(
+                charge_owner_quota(state, holder) for state in accounts
+            )
         return Inheritance(
             Previous.ENDED,
             accounts,
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -17,7 +17,7 @@
     NeedsRecord,
     Spent,
 )
-from masticdale_ledger.apart import Alone, acted_states
+from masticdale_ledger.apart import Isolation, charge_peer_quotas
 from masticdale_ledger.copier import AccountSource, Copier, CopyState
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import AccountState, Settlement
@@ -88,7 +88,7 @@
         self.predecessor = predecessor
         self.is_moving = False
         self.is_acting = False
-        self.alone: Alone | None = None
+        self.alone: Isolation | None = None
         self.has_decision = False
         self._complete_from = lease.now() + incomplete_for_s
         self._lease = lease
@@ -97,9 +97,9 @@
         """Returns whether a turn has to wait until the shard isn't alone."""
         if self.alone is None:
             return False
-        share = self.alone.share_by_id.get(claim.program_id)
+        share = self.alone.quota_by_program_id.get(claim.program_id)
         if share is None:
-            return not self.alone.takes_new
+            return not self.alone.admits_unknown
         account = self.accounts.get(claim.program_id)
         if account is None:
             return True
@@ -167,8 +167,8 @@
 
     def acted_states(self) -> tuple[AccountState, ...]:
         """Returns all accounts, with what another host may have given."""
-        shares = self.alone.share_by_id if self.alone else {}
-        return acted_states(self.states(None), shares)
+        shares = self.alone.quota_by_program_id if self.alone else {}
+        return charge_peer_quotas(self.states(None), shares)
 
     async def copy(self) -> Result[None, Failure]:
         """Returns once the standby holds every account as it is now."""
--- a/libs/ledger/tests/test_apart.py
+++ b/libs/ledger/tests/test_apart.py
@@ -12,7 +12,11 @@
 from masticdale_common import ErrorKind, Failure, Metrics
 from masticdale_gateway.calls import TurnClaim
 from masticdale_ledger.accounts import Accounts, Bound
-from masticdale_ledger.apart import Alone, limited, shares_of
+from masticdale_ledger.apart import (
+    Isolation,
+    charge_owner_quota,
+    isolation_quotas,
+)
 from masticdale_ledger.copier import Copier
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import SealRequest
@@ -127,8 +131,8 @@
         self.link.is_cut = True
         self.store.faults.down = True
         if shard.alone is None:
-            shares = shares_of(shard.accounts.all(), acting=False)
-            shard.alone = Alone(shares, takes_new=False)
+            shares = isolation_quotas(shard.accounts.all(), is_standby=False)
+            shard.alone = Isolation(shares, admits_unknown=False)
 
     def act(self):
         """The standby goes on in place of the owner."""
@@ -140,8 +144,8 @@
         accounts = Accounts()
         accounts.adopt([account_of(state) for state in copy.accounts])
         self.acting = self.host(accounts, copy.incomplete_for_s, None)
-        shares = shares_of(accounts.all(), acting=True)
-        self.acting[1].alone = Alone(shares, takes_new=True)
+        shares = isolation_quotas(accounts.all(), is_standby=True)
+        self.acting[1].alone = Isolation(shares, admits_unknown=True)
 
     async def meet(self):
         """The store is back; somebody owns the shard by a new record."""
@@ -154,7 +158,9 @@
             reply = self.link.copies.seal(SealRequest(SHARD, self.epoch))
             if not reply.held:
                 return
-            states = tuple(limited(state) for state in reply.accounts)
+            states = tuple(
+                charge_owner_quota(state) for state in reply.accounts
+            )
             incomplete_s = reply.incomplete_for_s
         else:
             return
@@ -311,9 +317,9 @@
         account.spent_tokens = 600
         account.bound = Bound(900, 1)
         for acting in (False, True):
-            share = shares_of([account], acting=acting)[PROGRAM]
+            share = isolation_quotas([account], is_standby=acting)[PROGRAM]
             self.assertEqual(share.limit_tokens, 600)
-            self.assertEqual(share.elsewhere_tokens, 0)
+            self.assertEqual(share.peer_tokens, 0)
 
     def test_where_half_holds_no_turn_the_standby_may_give_one(self):
         """Programs of few turns would wait for the end of an outage."""
@@ -321,12 +327,12 @@
         claim = TurnClaim(PROGRAM, "r", 400, 100)
         account = accounts.open(claim, "record", True, 0.0)
         account.spent_tokens = 80
-        standby = shares_of([account], acting=True)[PROGRAM]
-        owner = shares_of([account], acting=False)[PROGRAM]
+        standby = isolation_quotas([account], is_standby=True)[PROGRAM]
+        owner = isolation_quotas([account], is_standby=False)[PROGRAM]
         self.assertEqual(standby.limit_tokens, 180)
-        self.assertEqual(standby.elsewhere_tokens, 20)
+        self.assertEqual(standby.peer_tokens, 20)
         self.assertEqual(owner.limit_tokens, 100)
-        self.assertEqual(owner.elsewhere_tokens, 100)
+        self.assertEqual(owner.peer_tokens, 100)
 
 
 if __name__ == "__main__":
