--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -36,7 +36,6 @@
     RENEW_EVERY_S,
     SHARD_COUNT,
     SHARD_PREFIX,
-    ActingStandby,
     FallbackStore,
     Identity,
     Lease,
@@ -50,6 +49,7 @@
     ShardOwner,
     SharedWatches,
     StandbyCopies,
+    StandbyFailover,
 )
 from masticdale_platform import WatchBatch
 from masticdale_routing.fleet import Fleet
@@ -142,7 +142,7 @@
             self._peers,
             seen,
         )
-        acting = ActingStandby(
+        acting = StandbyFailover(
             identity,
             self._shard_map,
             self._owner,
--- a/libs/ledger/src/masticdale_ledger/__init__.py
+++ b/libs/ledger/src/masticdale_ledger/__init__.py
@@ -1,6 +1,6 @@
 """Program budgets that hold over hosts, restarts and outages of the store."""
 
-from masticdale_ledger.acting import ActingStandby
+from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.client import SHARD_COUNT, LedgerClient
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
@@ -26,7 +26,6 @@
     "RENEW_EVERY_S",
     "SHARD_COUNT",
     "SHARD_PREFIX",
-    "ActingStandby",
     "FallbackStore",
     "Hosts",
     "Identity",
@@ -42,5 +41,6 @@
     "ShardRecord",
     "SharedWatches",
     "StandbyCopies",
+    "StandbyFailover",
     "boot_time_s",
 ]
--- a/libs/ledger/src/masticdale_ledger/acting.py
+++ b/libs/ledger/src/masticdale_ledger/acting.py
@@ -32,7 +32,7 @@
 _ASK_EVERY_S = 0.3
 
 
-class ActingStandby:
+class StandbyFailover:
     """Goes on with shards whose owner is lost, until the store says whose.
 
     The standby has every account, and hosts that miss the owner come to it. It
@@ -61,7 +61,7 @@
         self._asked_at_by_shard: dict[int, float] = {}
         self._claiming: set[asyncio.Task[None]] = set()
 
-    async def act(self, number: int) -> None:
+    async def fail_over(self, number: int) -> None:
         """Goes on with a shard whose owner does not answer."""
         view = self._map.get(number)
         if view is None or not self._may_act(number, view):
@@ -102,9 +102,9 @@
             reason=str(failure),
         )
         if failure.kind is not ErrorKind.CONFLICT:
-            self.take_new(shard)
+            self.admit_unknown_programs(shard)
 
-    def take_new(self, shard: OwnedShard) -> None:
+    def admit_unknown_programs(self, shard: OwnedShard) -> None:
         """Admits programs, too, that the last owner did not know.
 
         Only where the store is reached by no way. A standby that is cut off
--- a/libs/ledger/src/masticdale_ledger/admissions.py
+++ b/libs/ledger/src/masticdale_ledger/admissions.py
@@ -13,7 +13,7 @@
 
 from masticdale_common import ErrorKind, Failure
 from masticdale_gateway.calls import TurnClaim
-from masticdale_ledger.acting import ActingStandby
+from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.owner import ShardOwner
 
 # A host that asks is told after this long that the turn is not decided yet,
@@ -24,7 +24,7 @@
 class Admissions:
     """Decisions under way; a host that asks again joins its own."""
 
-    def __init__(self, owner: ShardOwner, acting: ActingStandby) -> None:
+    def __init__(self, owner: ShardOwner, acting: StandbyFailover) -> None:
         self._owner = owner
         self._acting = acting
         self._decision_by_request: dict[
@@ -59,7 +59,7 @@
         outcome = await self._owner.admit(shard, claim)
         if not _is_not_owner(outcome):
             return outcome
-        await self._acting.act(shard)
+        await self._acting.fail_over(shard)
         return await self._owner.admit(shard, claim)
 
 
--- a/libs/ledger/src/masticdale_ledger/keeper.py
+++ b/libs/ledger/src/masticdale_ledger/keeper.py
@@ -8,7 +8,7 @@
 from returns.result import Failure as Failed
 
 from masticdale_common import ErrorKind, Failure, logs
-from masticdale_ledger.acting import ActingStandby
+from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.apart import charge_owner_quota
 from masticdale_ledger.claims import (
     LOST_PROGRAMS_S,
@@ -70,7 +70,7 @@
         lease: Lease,
         client: LedgerClient,
         claims: ShardClaims,
-        acting: ActingStandby,
+        acting: StandbyFailover,
         hosts: Hosts,
         is_store_lost: Callable[[], bool],
         seen: SeenHosts,
@@ -287,7 +287,7 @@
 
     async def _claim_acting(self, shard: OwnedShard) -> None:
         if self._is_store_lost():
-            self._acting.take_new(shard)
+            self._acting.admit_unknown_programs(shard)
         else:
             await self._acting.claim(shard)
 
--- a/libs/ledger/src/masticdale_ledger/service.py
+++ b/libs/ledger/src/masticdale_ledger/service.py
@@ -3,7 +3,7 @@
 from returns.result import Failure as Failed
 
 from masticdale_gateway.calls import TurnClaim
-from masticdale_ledger.acting import ActingStandby
+from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.admissions import Admissions
 from masticdale_ledger.arbiter import Arbiter
 from masticdale_ledger.hosts import SeenHosts
@@ -40,7 +40,7 @@
         self,
         owner: ShardOwner,
         keeper: ShardKeeper,
-        acting: ActingStandby,
+        acting: StandbyFailover,
         copies: StandbyCopies,
         direct: ObjectStore,
         seen: SeenHosts,
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -15,7 +15,7 @@
 from returns.result import Success
 
 from masticdale_common import ErrorKind, Failure, Metrics
-from masticdale_ledger.acting import ActingStandby
+from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.client import Unreachable
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
@@ -163,7 +163,7 @@
             links,
             self.seen,
         )
-        self.acting = ActingStandby(
+        self.acting = StandbyFailover(
             identity, self.map, self.owner, lease, self.copies, claims, links
         )
         self.keeper = ShardKeeper(
--- a/libs/ledger/tests/test_acting.py
+++ b/libs/ledger/tests/test_acting.py
@@ -9,7 +9,7 @@
 
 from masticdale_common import ErrorKind, Failure, Metrics
 from masticdale_gateway.calls import TurnClaim
-from masticdale_ledger.acting import ActingStandby
+from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
 from masticdale_ledger.keeper import ShardKeeper
@@ -114,7 +114,7 @@
             self.other,
             seen,
         )
-        self.acting = ActingStandby(
+        self.acting = StandbyFailover(
             STANDBY,
             self.map,
             self.owner,
@@ -168,7 +168,7 @@
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         self.assertIsNone(await self.admit(claim("r")))
         self.assertLess(loop.time() - began, 0.4)
         await asyncio.sleep(0.05)
@@ -179,7 +179,7 @@
 
     async def test_an_owner_that_answers_is_not_replaced(self):
         self.other.is_silent = False
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         self.assertIs(await self.admit(claim("r")), ErrorKind.NOT_OWNER)
         self.assertTrue(self.copies.holds(SHARD, 1))
 
@@ -189,7 +189,7 @@
         It may reach the store, name another standby and never ask this one.
         """
         self.store.faults.delay_s = 0.3
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         self.assertIsNone(await self.admit(claim("r1")))
         waits = await self.admit(claim("r2", "new"))
         self.assertIs(waits, ErrorKind.LEDGER_UNAVAILABLE)
@@ -199,7 +199,7 @@
 
     async def test_what_was_given_meanwhile_is_counted_once_it_owns(self):
         self.store.faults.delay_s = 0.2
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         for number in range(2):
             self.assertIsNone(await self.admit(claim(f"r{number}")))
         await asyncio.sleep(0.6)
@@ -219,7 +219,7 @@
         When the store is back it names this process as the owner.
         """
         self.store.is_lossy = True
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         self.assertIsNone(await self.admit(claim("r")))
         await asyncio.sleep(0.05)
         await self.read_map()
@@ -271,7 +271,7 @@
 
     async def test_a_claim_that_was_not_written_is_forgotten(self):
         self.store.faults.drop_writes = 1
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         await asyncio.sleep(0.05)
         await self.keeper.look()
         shard = self.owner.owned()[SHARD]
--- a/libs/ledger/tests/test_admissions.py
+++ b/libs/ledger/tests/test_admissions.py
@@ -55,7 +55,7 @@
 class Acting:
     """A host that never acts for an owner."""
 
-    async def act(self, number):
+    async def fail_over(self, number):
         return None
 
 
--- a/libs/ledger/tests/test_seals.py
+++ b/libs/ledger/tests/test_seals.py
@@ -29,7 +29,7 @@
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.store.faults.down = True
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         await asyncio.sleep(0.05)
         self.assertIsNone(await self.admit(claim("r1")))
         self.assertIsNone(await self.admit(claim("r2", "new")))
@@ -51,7 +51,7 @@
         self.seal()
         refused = await self.admit(claim("r3", "new"))
         self.assertIs(refused, ErrorKind.NOT_OWNER)
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         refused = await self.admit(claim("r3", "new"))
         self.assertIs(refused, ErrorKind.NOT_OWNER)
 
