--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -173,7 +173,7 @@
             seen,
             shared,
         )
-        self._ledger.admit_here = service.admit
+        self._ledger.admit_locally = service.admit
         self._peer_server = RpcServer(service, peers_at, LEDGER)
         self._relay = Relay(
             RelayParts(
--- a/libs/ledger/src/masticdale_ledger/arbiter.py
+++ b/libs/ledger/src/masticdale_ledger/arbiter.py
@@ -38,7 +38,7 @@
 
     OWNER = "owner"
     STANDBY = "standby"
-    TAKER = "taker"
+    SUCCESSOR = "taker"
 
 
 _SIDE_BY_TEXT = {side.value: side for side in Side}
@@ -91,14 +91,14 @@
         return DecideReply(known.side)
 
 
-class Arbitration:
+class ArbiterClient:
     """The way from an owner or a standby to the arbiter of its shard."""
 
     def __init__(self, hosts: Hosts) -> None:
         self._hosts = hosts
         self._appointing: set[asyncio.Task[None]] = set()
 
-    def begin(self, number: int, record: ShardRecord) -> None:
+    def appoint(self, number: int, record: ShardRecord) -> None:
         """Appoints the arbiter of an epoch, in the background.
 
         Called once an epoch. A second call might reach an arbiter that was
@@ -106,7 +106,7 @@
         """
         if not record.arbiter_address:
             return
-        task = asyncio.create_task(self._appoint(number, record))
+        task = asyncio.create_task(self._send_appointment(number, record))
         self._appointing.add(task)
         task.add_done_callback(self._appointing.discard)
 
@@ -131,7 +131,7 @@
         )
         return None if is_failed else _SIDE_BY_TEXT.get(outcome.unwrap().side)
 
-    async def _appoint(self, number: int, record: ShardRecord) -> None:
+    async def _send_appointment(self, number: int, record: ShardRecord) -> None:
         peer = self._hosts.client(record.arbiter_address, record.arbiter_port)
         request = AppointRequest(number, record.epoch)
         outcome = await peer.call(APPOINT, request, _CALL_TIMEOUT_S)
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -16,7 +16,7 @@
     charge_peer_quotas,
     isolation_quotas,
 )
-from masticdale_ledger.arbiter import Arbitration, Side
+from masticdale_ledger.arbiter import ArbiterClient, Side
 from masticdale_ledger.client import LedgerClient
 from masticdale_ledger.copier import Copier
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
@@ -111,7 +111,7 @@
         self._hosts = hosts
         self._busy_shards: set[int] = set()
         self._unclear_by_shard: dict[int, UnclearClaim] = {}
-        self.arbitration = Arbitration(hosts)
+        self.arbitration = ArbiterClient(hosts)
         self.partners = Partners(identity, shard_map, lease, hosts, seen)
 
     async def refresh(self, number: int) -> bool:
@@ -240,7 +240,7 @@
             )
         )
         self._client.unreachable_by_shard.pop(number, None)
-        self.arbitration.begin(number, view.record)
+        self.arbitration.appoint(number, view.record)
         value = view.record.model_dump_json().encode()
         self._map.put(StoredObject(shard_key(number), view.version, value))
 
@@ -334,7 +334,7 @@
         """
         if not record.arbiter_address:
             return Side.STANDBY
-        side = await self.arbitration.decide(Side.TAKER, number, record)
+        side = await self.arbitration.decide(Side.SUCCESSOR, number, record)
         return Side.OWNER if side in (None, Side.OWNER) else Side.STANDBY
 
     async def _write_standby(self, shard: OwnedShard) -> Failure | None:
--- a/libs/ledger/src/masticdale_ledger/client.py
+++ b/libs/ledger/src/masticdale_ledger/client.py
@@ -53,18 +53,18 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Unreachable:
+class UnreachableOwner:
     """An owner that does not answer.
 
     Attributes:
         version: Version of the shard's record then.
-        since: Loop seconds of the first failed question.
-        last: Loop seconds of the last failed question.
+        first_failed_at: Loop seconds of the first failed question.
+        last_failed_at: Loop seconds of the last failed question.
     """
 
     version: int
-    since: float
-    last: float
+    first_failed_at: float
+    last_failed_at: float
 
 
 class LedgerClient:
@@ -92,9 +92,9 @@
             peers: Returns the client of an address.
             metrics: Counts.
         """
-        self.admit_here: Admit | None = None
+        self.admit_locally: Admit | None = None
         self.is_stopping = False
-        self.unreachable_by_shard: dict[int, Unreachable] = {}
+        self.unreachable_by_shard: dict[int, UnreachableOwner] = {}
         self._map = shard_map
         self._owner = owner
         self._own = own
@@ -205,8 +205,8 @@
     async def _ask_host(
         self, address: tuple[str, int], request: AdmitRequest
     ) -> Result[None, Failure]:
-        if address == self._address and self.admit_here is not None:
-            reply = await self.admit_here(request)
+        if address == self._address and self.admit_locally is not None:
+            reply = await self.admit_locally(request)
         else:
             peer = self._peers(*address)
             outcome = await peer.call(ADMIT, request, CALL_TIMEOUT_S)
@@ -243,7 +243,7 @@
         return (
             known is not None
             and known.version == version
-            and now - known.last < _STANDBY_FIRST_S
+            and now - known.last_failed_at < _STANDBY_FIRST_S
         )
 
     def _note(
@@ -261,9 +261,9 @@
         now = asyncio.get_running_loop().time()
         known = self.unreachable_by_shard.get(shard)
         if known is None or known.version != version:
-            known = Unreachable(version, now, now)
+            known = UnreachableOwner(version, now, now)
             self.unreachable_by_shard[shard] = known
-        known.last = now
+        known.last_failed_at = now
 
 
 def _is_no_answer(outcome: Result[None, Failure]) -> bool:
--- a/libs/ledger/src/masticdale_ledger/keeper.py
+++ b/libs/ledger/src/masticdale_ledger/keeper.py
@@ -215,8 +215,8 @@
         if lost is None or lost.version != view.version:
             return None
         now = asyncio.get_running_loop().time()
-        is_lost = lost.last - lost.since >= _LOST_AFTER_S
-        is_recent = now - lost.last < _LOST_FRESH_S
+        is_lost = lost.last_failed_at - lost.first_failed_at >= _LOST_AFTER_S
+        is_recent = now - lost.last_failed_at < _LOST_FRESH_S
         return Previous.LOST if is_lost and is_recent else None
 
     def _is_due(self, number: int, previous: Previous) -> bool:
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -17,7 +17,7 @@
 from masticdale_common import ErrorKind, Failure, Metrics
 from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.claims import ShardClaims
-from masticdale_ledger.client import Unreachable
+from masticdale_ledger.client import UnreachableOwner
 from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
 from masticdale_ledger.keeper import ShardKeeper
 from masticdale_ledger.leases import Lease
@@ -306,7 +306,7 @@
             known.pop(SHARD, None)
             return
         now = asyncio.get_running_loop().time()
-        known[SHARD] = Unreachable(view.version, now - 1.0, now)
+        known[SHARD] = UnreachableOwner(view.version, now - 1.0, now)
 
     def _give(self, program, request_id, asked):
         given = self.given_by_program.setdefault(program, {})
