--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -41,8 +41,8 @@
     Lease,
     LedgerClient,
     LedgerService,
+    LiveHosts,
     ProgramRecords,
-    SeenHosts,
     ShardClaims,
     ShardKeeper,
     ShardMap,
@@ -99,7 +99,7 @@
             reached_at.port,
             settings.failure_domain,
         )
-        seen = SeenHosts(identity.reached_at)
+        seen = LiveHosts(identity.host_address)
         self._direct = PlatformObjects(
             str(settings.store.ip), settings.store.port, self._metrics
         )
@@ -126,7 +126,7 @@
         self._ledger = LedgerClient(
             self._shard_map,
             self._owner,
-            identity.reached_at,
+            identity.host_address,
             self._peers.client,
             self._metrics,
         )
--- a/libs/ledger/src/masticdale_ledger/__init__.py
+++ b/libs/ledger/src/masticdale_ledger/__init__.py
@@ -3,7 +3,7 @@
 from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.client import SHARD_COUNT, LedgerClient
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.keeper import (
     LOOK_EVERY_S,
     RENEW_EVERY_S,
@@ -32,8 +32,8 @@
     "Lease",
     "LedgerClient",
     "LedgerService",
+    "LiveHosts",
     "ProgramRecords",
-    "SeenHosts",
     "ShardClaims",
     "ShardKeeper",
     "ShardMap",
--- a/libs/ledger/src/masticdale_ledger/acting.py
+++ b/libs/ledger/src/masticdale_ledger/acting.py
@@ -166,7 +166,7 @@
         self, number: int, view: ShardView, *, has_decision: bool
     ) -> OwnedShard:
         record = view.record
-        self._claims.partners.avoid(record.address, record.port)
+        self._claims.partners.mark_failed(record.address, record.port)
         copy = self._copies.seal(SealRequest(number, record.epoch))
         accounts = Accounts()
         accounts.adopt([account_of(state) for state in copy.accounts])
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -19,11 +19,11 @@
 from masticdale_ledger.arbiter import ArbiterClient, Side
 from masticdale_ledger.client import LedgerClient
 from masticdale_ledger.copier import Copier
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.leases import LEASE_S, Lease
 from masticdale_ledger.messages import AccountState
 from masticdale_ledger.owner import OwnedShard, ShardOwner
-from masticdale_ledger.partners import Partners
+from masticdale_ledger.partners import PeerSelector
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
     Previous,
@@ -99,7 +99,7 @@
         lease: Lease,
         client: LedgerClient,
         hosts: Hosts,
-        seen: SeenHosts,
+        seen: LiveHosts,
     ) -> None:
         self._identity = identity
         self._store = store
@@ -112,7 +112,7 @@
         self._busy_shards: set[int] = set()
         self._unclear_by_shard: dict[int, UnclearClaim] = {}
         self.arbitration = ArbiterClient(hosts)
-        self.partners = Partners(identity, shard_map, lease, hosts, seen)
+        self.partners = PeerSelector(identity, shard_map, lease, hosts, seen)
 
     async def refresh(self, number: int) -> bool:
         """Reads a shard's object; returns whether the store answered."""
@@ -341,7 +341,7 @@
         """Returns why no other standby could be named; None if one was."""
         await self.ask_arbiter(shard)
         old = shard.view.record
-        self.partners.avoid(old.standby_address, old.standby_port)
+        self.partners.mark_failed(old.standby_address, old.standby_port)
         record = self._new_record(old.epoch + 1, Previous.ENDED)
         written = await self._write(shard.number, record, shard.view.version)
         logs.write_bounded(
--- a/libs/ledger/src/masticdale_ledger/hosts.py
+++ b/libs/ledger/src/masticdale_ledger/hosts.py
@@ -26,12 +26,12 @@
     failure_domain: str = ""
 
     @property
-    def reached_at(self) -> HostAddress:
+    def host_address(self) -> HostAddress:
         """What other hosts are told of this one."""
         return HostAddress(self.address, self.port, self.failure_domain)
 
 
-class SeenHosts:
+class LiveHosts:
     """Hosts that have asked this one for something lately, so that they live.
 
     An owner is asked by every host that has callers. It needs no list in the
@@ -39,7 +39,7 @@
     """
 
     # A host with callers asks several times a second, in seconds.
-    _FRESH_S = 3.0
+    _LIVENESS_TIMEOUT_S = 3.0
 
     def __init__(self, own: HostAddress) -> None:
         """Begins without any host.
@@ -50,18 +50,18 @@
         self._own = own
         self._seen_at_by_host: dict[HostAddress, float] = {}
 
-    def note(self, host: HostAddress) -> None:
+    def record_request(self, host: HostAddress) -> None:
         """Notes that a host has asked just now."""
         if host != self._own:
             self._seen_at_by_host[host] = time.monotonic()
 
-    def forget(self, host: HostAddress) -> None:
+    def remove(self, host: HostAddress) -> None:
         """Forgets a host that is about to end."""
         self._seen_at_by_host.pop(host, None)
 
-    def fresh(self) -> list[HostAddress]:
+    def live(self) -> list[HostAddress]:
         """Returns the hosts that were heard of lately."""
-        oldest = time.monotonic() - self._FRESH_S
+        oldest = time.monotonic() - self._LIVENESS_TIMEOUT_S
         self._seen_at_by_host = {
             host: seen_at
             for host, seen_at in self._seen_at_by_host.items()
--- a/libs/ledger/src/masticdale_ledger/keeper.py
+++ b/libs/ledger/src/masticdale_ledger/keeper.py
@@ -16,7 +16,7 @@
     ShardClaims,
 )
 from masticdale_ledger.client import SHARD_COUNT, LedgerClient
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.leases import LEASE_S, Lease
 from masticdale_ledger.messages import (
     HAND_OVER,
@@ -73,7 +73,7 @@
         acting: StandbyFailover,
         hosts: Hosts,
         is_store_lost: Callable[[], bool],
-        seen: SeenHosts,
+        seen: LiveHosts,
     ) -> None:
         self.is_stopping = False
         self._identity = identity
@@ -260,7 +260,9 @@
         if view is None:
             return Inheritance(Previous.NONE)
         if previous is Previous.LOST:
-            self._claims.partners.avoid(view.record.address, view.record.port)
+            self._claims.partners.mark_failed(
+                view.record.address, view.record.port
+            )
         reply = await self._seal(number, view.record)
         if reply is None:
             return Inheritance(previous, (), LOST_PROGRAMS_S)
@@ -408,7 +410,7 @@
         shards_by_address: collections.Counter[tuple[str, int]] = (
             collections.Counter()
         )
-        host_by_address = {(h.address, h.port): h for h in self._seen.fresh()}
+        host_by_address = {(h.address, h.port): h for h in self._seen.live()}
         for view in self._map.views().values():
             record = view.record
             if record.owner == self._identity.host:
--- a/libs/ledger/src/masticdale_ledger/partners.py
+++ b/libs/ledger/src/masticdale_ledger/partners.py
@@ -3,16 +3,16 @@
 import random
 from collections.abc import Iterable
 
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.shards import ShardMap
 
 # A host that failed is not named again for this long, in seconds: a killed
 # process is back sooner, a host that is replaced never is.
-_AVOID_S = 10.0
+_FAILED_HOST_BACKOFF_S = 10.0
 
 
-class Partners:
+class PeerSelector:
     """Chooses among the other hosts by what is known of them."""
 
     def __init__(
@@ -21,7 +21,7 @@
         shard_map: ShardMap,
         lease: Lease,
         hosts: Hosts,
-        seen: SeenHosts,
+        seen: LiveHosts,
     ) -> None:
         self._identity = identity
         self._map = shard_map
@@ -34,7 +34,9 @@
     def choose_standby(self) -> tuple[str, int] | None:
         """Returns the address of the best standby; None where there is none."""
         domain_by_address = self._domain_by_address()
-        addresses = self._living(domain_by_address) or list(domain_by_address)
+        addresses = self._live_addresses(domain_by_address) or list(
+            domain_by_address
+        )
         if not addresses:
             return None
         # One host's loss then leaves each shard its owner or its standby, and
@@ -54,7 +56,9 @@
     ) -> tuple[str, int] | None:
         """Returns a host that is likely to outlive owner and standby."""
         domain_by_address = self._domain_by_address()
-        others = [a for a in self._living(domain_by_address) if a != standby]
+        others = [
+            a for a in self._live_addresses(domain_by_address) if a != standby
+        ]
         if not others:
             return None
         taken = {
@@ -66,17 +70,17 @@
             key=lambda a: domain_by_address.get(a, "") in taken,
         )
 
-    def avoid(self, address: str, port: int) -> None:
+    def mark_failed(self, address: str, port: int) -> None:
         """Names a host that was lost no standby for a while."""
         self._failed_at_by_address[(address, port)] = self._lease.now()
 
     def _domain_by_address(self) -> dict[tuple[str, int], str]:
         return {
             (host.address, host.port): host.failure_domain
-            for host in self._seen.fresh()
+            for host in self._seen.live()
         }
 
-    def _living(
+    def _live_addresses(
         self, domain_by_address: dict[tuple[str, int], str]
     ) -> list[tuple[str, int]]:
         """Returns hosts that probably live.
@@ -84,17 +88,18 @@
         Those that have asked for something lately do. A host that is only
         known by name may be dead, and naming it would cost a write.
         """
-        return self._sound(domain_by_address) or self._sound(
+        return self._without_failed(domain_by_address) or self._without_failed(
             self._hosts.candidates()
         )
 
-    def _sound(
+    def _without_failed(
         self, addresses: Iterable[tuple[str, int]]
     ) -> list[tuple[str, int]]:
         now = self._lease.now()
         return [
             address
             for address in addresses
-            if now - self._failed_at_by_address.get(address, -_AVOID_S)
-            >= _AVOID_S
+            if now
+            - self._failed_at_by_address.get(address, -_FAILED_HOST_BACKOFF_S)
+            >= _FAILED_HOST_BACKOFF_S
         ]
--- a/libs/ledger/src/masticdale_ledger/service.py
+++ b/libs/ledger/src/masticdale_ledger/service.py
@@ -6,7 +6,7 @@
 from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.admissions import Admissions
 from masticdale_ledger.arbiter import Arbiter
-from masticdale_ledger.hosts import SeenHosts
+from masticdale_ledger.hosts import LiveHosts
 from masticdale_ledger.keeper import ShardKeeper
 from masticdale_ledger.messages import (
     AdmitReply,
@@ -43,7 +43,7 @@
         acting: StandbyFailover,
         copies: StandbyCopies,
         direct: ObjectStore,
-        seen: SeenHosts,
+        seen: LiveHosts,
         shared: SharedWatches | None,
     ) -> None:
         self._acting = acting
@@ -59,9 +59,9 @@
     async def admit(self, request: AdmitRequest) -> AdmitReply:
         """Admits a turn of an own shard."""
         if request.asker_stops:
-            self._seen.forget(request.asker)
+            self._seen.remove(request.asker)
         else:
-            self._seen.note(request.asker)
+            self._seen.record_request(request.asker)
         claim = TurnClaim(
             program_id=request.program_id,
             request_id=request.request_id,
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -18,7 +18,7 @@
 from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.client import UnreachableOwner
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.keeper import ShardKeeper
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import (
@@ -150,7 +150,7 @@
         self.owner = ShardOwner(records, lease, Metrics())
         self.copies = StandbyCopies()
         links = Links(world, name)
-        self.seen = SeenHosts(identity.reached_at)
+        self.seen = LiveHosts(identity.host_address)
         self.client = types.SimpleNamespace(unreachable_by_shard={})
         claims = ShardClaims(
             identity,
@@ -239,7 +239,7 @@
             await self.start(name)
         for process in self.process_by_name.values():
             for other in self.process_by_name.values():
-                process.seen.note(other.identity.reached_at)
+                process.seen.record_request(other.identity.host_address)
         first = self.process_by_name[self.names[1]]
         await first.keeper.look()
         await self.learn()
@@ -273,7 +273,7 @@
             request_id,
             self.budget,
             MOST,
-            process.identity.reached_at,
+            process.identity.host_address,
             process.is_stopping,
         )
         record = view.record
--- a/libs/ledger/tests/test_acting.py
+++ b/libs/ledger/tests/test_acting.py
@@ -11,7 +11,7 @@
 from masticdale_gateway.calls import TurnClaim
 from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.claims import ShardClaims
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.keeper import ShardKeeper
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import (
@@ -101,7 +101,7 @@
         self.other = Owner()
         records = ProgramRecords(self.store, STANDBY.incarnation)
         self.owner = ShardOwner(records, self.lease, Metrics())
-        seen = SeenHosts(STANDBY.reached_at)
+        seen = LiveHosts(STANDBY.host_address)
         client = types.SimpleNamespace(unreachable_by_shard={})
         claims = ShardClaims(
             STANDBY,
--- a/libs/ledger/tests/test_keeper.py
+++ b/libs/ledger/tests/test_keeper.py
@@ -8,7 +8,7 @@
 from masticdale_common import ErrorKind, Failure, Metrics
 from masticdale_gateway.calls import TurnClaim
 from masticdale_ledger.accounts import Accounts
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.keeper import ShardKeeper
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import HandOverReply, HostAddress
@@ -74,9 +74,9 @@
 
 def heard_of(*hosts):
     """Returns the hosts that have asked for something just now."""
-    seen = SeenHosts(OWN)
+    seen = LiveHosts(OWN)
     for host in hosts:
-        seen.note(host)
+        seen.record_request(host)
     return seen
 
 
@@ -154,13 +154,13 @@
 
 class SeenHostsTest(unittest.TestCase):
     def test_a_host_is_never_its_own_candidate(self):
-        self.assertEqual(heard_of(OWN).fresh(), [])
+        self.assertEqual(heard_of(OWN).live(), [])
 
     def test_a_host_that_stops_is_no_candidate(self):
         other = HostAddress("127.0.0.1", 2, "b")
         seen = heard_of(other)
-        seen.forget(other)
-        self.assertEqual(seen.fresh(), [])
+        seen.remove(other)
+        self.assertEqual(seen.live(), [])
 
 
 if __name__ == "__main__":
