--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -120,7 +120,7 @@
             CONFIGURATION_KEY, read_configuration
         )
         self._replicas = ReplicaList(REPLICA_PREFIX, read_replica, self._fleet)
-        self._lease = Lease(is_store_lost=lambda: self._store.is_lost)
+        self._lease = Lease(is_store_lost=lambda: self._store.is_unreachable)
         records = ProgramRecords(self._store, incarnation)
         self._owner = ShardOwner(records, self._lease, self._metrics)
         self._ledger = LedgerClient(
@@ -161,7 +161,7 @@
             claims,
             acting,
             self._peers,
-            lambda: self._store.is_lost,
+            lambda: self._store.is_unreachable,
             seen,
         )
         service = LedgerService(
@@ -281,7 +281,9 @@
         return (200 if self.is_ready else 503), b""
 
     def _follow(self, followed: Followed) -> None:
-        follower = Follower(self._store, followed, self._store.pause)
+        follower = Follower(
+            self._store, followed, self._store.wait_before_retry
+        )
         self._tasks.append(asyncio.create_task(follower.run()))
 
     def _apply_shards(self, batch: WatchBatch, was_away: bool) -> None:
--- a/apps/masticdale_entry/tests/test_following.py
+++ b/apps/masticdale_entry/tests/test_following.py
@@ -54,7 +54,7 @@
         host = FallbackStore(store, list, Metrics())
         for prefix in PREFIXES:
             followed = Followed(prefix, WATCH_S, note)
-            follower = Follower(host, followed, host.pause)
+            follower = Follower(host, followed, host.wait_before_retry)
             tasks.append(asyncio.create_task(follower.run()))
     await asyncio.sleep(0.1)
     store.faults.down = True
--- a/libs/ledger/src/masticdale_ledger/acting.py
+++ b/libs/ledger/src/masticdale_ledger/acting.py
@@ -118,7 +118,7 @@
         if shard.alone is None or shard.alone.admits_unknown:
             return
         record = shard.view.record
-        if not shard.has_decision and not self._copies.owner_was_without_store(
+        if not shard.has_decision and not self._copies.owner_lost_store(
             shard.number, record.epoch
         ):
             return
@@ -138,7 +138,7 @@
             epoch = shard.view.record.epoch
             if request.epoch >= epoch:
                 self._owner.drop(request.shard)
-                self._copies.keep_acted(
+                self._copies.replace_sealed(
                     request.shard,
                     epoch,
                     shard.acted_states(),
@@ -159,7 +159,7 @@
         return (
             number not in self._owner.owned()
             and (record.standby_address, record.standby_port) == here
-            and self._copies.holds(number, record.epoch)
+            and self._copies.is_usable(number, record.epoch)
         )
 
     def _begin(
--- a/libs/ledger/src/masticdale_ledger/copier.py
+++ b/libs/ledger/src/masticdale_ledger/copier.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CopyState:
+class CopyHeader:
     """What a copy carries besides its accounts.
 
     Attributes:
@@ -40,34 +40,37 @@
     """Sends changed accounts to one standby, those of one round together.
 
     Attributes:
-        is_leaving: Whether the standby has said that it is about to end.
-        may_be_held: Whether the standby may hold anything; else it can't act
-            for its owner.
-        may_take_new: Whether the standby may have heard, as the owner's last
-            word, that the owner is without the store. It may then take
+        is_standby_stopping: Whether the standby has announced that it stops.
+        standby_may_hold_copy: Whether a copy may have arrived; without one the
+            standby can't take over.
+        standby_may_admit_unknown: Whether the last copy that arrived may say
+            that the owner has lost the store. The standby may then admit
             programs that the owner does not know.
     """
 
     def __init__(self, peer: RpcClient) -> None:
         self._peer = peer
-        self.is_leaving = False
-        self.may_be_held = False
-        self.may_take_new = False
+        self.is_standby_stopping = False
+        self.standby_may_hold_copy = False
+        self.standby_may_admit_unknown = False
         self._is_complete = False
         self._lock = asyncio.Lock()
         self._changed: dict[str, None] = {}
         self._next_round: asyncio.Task[Result[None, Failure]] | None = None
 
-    def note(self, program_id: str) -> None:
+    def mark_changed(self, program_id: str) -> None:
         """Has an account sent with the next copy."""
         self._changed[program_id] = None
 
-    def is_due(self, *, owner_has_store: bool) -> bool:
+    def has_pending(self, *, owner_has_store: bool) -> bool:
         """Returns whether the standby lacks something."""
-        return bool(self._changed) or self.may_take_new == owner_has_store
+        return (
+            bool(self._changed)
+            or self.standby_may_admit_unknown == owner_has_store
+        )
 
     async def send(
-        self, state: CopyState, accounts: "AccountSource"
+        self, state: CopyHeader, accounts: "AccountSource"
     ) -> Result[None, Failure]:
         """Returns once the standby holds everything noted so far.
 
@@ -84,11 +87,11 @@
         return await asyncio.shield(self._next_round)
 
     async def _send(
-        self, state: CopyState, accounts: "AccountSource"
+        self, state: CopyHeader, accounts: "AccountSource"
     ) -> Result[None, Failure]:
         async with self._lock:
             self._next_round = None
-            is_due = self.is_due(owner_has_store=state.owner_has_store)
+            is_due = self.has_pending(owner_has_store=state.owner_has_store)
             if self._is_complete and not is_due:
                 return Success(None)
             changed = list(self._changed)
@@ -99,13 +102,13 @@
             if isinstance(outcome, Failed):
                 self._is_complete = False
                 return outcome
-            return self._judge(state, outcome.unwrap())
+            return self._handle_reply(state, outcome.unwrap())
 
-    def _judge(
-        self, state: CopyState, reply: CopyReply
+    def _handle_reply(
+        self, state: CopyHeader, reply: CopyReply
     ) -> Result[None, Failure]:
         self._is_complete = reply.held
-        self.is_leaving = reply.stops
+        self.is_standby_stopping = reply.stops
         if reply.held:
             return Success(None)
         logs.write_bounded(
@@ -121,7 +124,7 @@
 
     async def _copy(
         self,
-        state: CopyState,
+        state: CopyHeader,
         is_snapshot: bool,
         accounts: tuple[AccountState, ...],
     ) -> Result[CopyReply, Failure]:
@@ -132,17 +135,17 @@
             accounts=accounts,
             incomplete_for_s=state.incomplete_for_s,
             owner_has_store=state.owner_has_store,
-            renews=self.may_be_held,
+            renews=self.standby_may_hold_copy,
         )
         outcome = await self._peer.call(COPY, request, _COPY_TIMEOUT_S)
         is_failed = isinstance(outcome, Failed)
         if is_failed and not was_sent(outcome.failure()):
             return outcome
-        self.may_be_held = True
+        self.standby_may_hold_copy = True
         if not state.owner_has_store:
-            self.may_take_new = True
+            self.standby_may_admit_unknown = True
         elif not is_failed and outcome.unwrap().held:
-            self.may_take_new = False
+            self.standby_may_admit_unknown = False
         return outcome
 
 
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -18,7 +18,7 @@
     Spent,
 )
 from masticdale_ledger.apart import Isolation, charge_peer_quotas
-from masticdale_ledger.copier import AccountSource, Copier, CopyState
+from masticdale_ledger.copier import AccountSource, Copier, CopyHeader
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import AccountState, Settlement
 from masticdale_ledger.records import ProgramRecords, record_name
@@ -137,29 +137,31 @@
     def lacks_copy(self) -> bool:
         """Whether the standby has to be told something."""
         has_store = not self._lease.is_store_lost
-        return self.copier is not None and self.copier.is_due(
+        return self.copier is not None and self.copier.has_pending(
             owner_has_store=has_store
         )
 
     @property
     def may_be_acted_for_new(self) -> bool:
         """Whether the standby may have taken programs not known here."""
-        if self.copier is None or not self.copier.may_be_held:
+        if self.copier is None or not self.copier.standby_may_hold_copy:
             return False
         has_arbiter = bool(self.view.record.arbiter_address)
-        return self.copier.may_take_new or (
-            has_arbiter and not self.has_decision and not self.copier.is_leaving
+        return self.copier.standby_may_admit_unknown or (
+            has_arbiter
+            and not self.has_decision
+            and not self.copier.is_standby_stopping
         )
 
     @property
     def may_be_acted_for(self) -> bool:
         """Whether the standby may go on without this host."""
-        return self.copier is not None and self.copier.may_be_held
+        return self.copier is not None and self.copier.standby_may_hold_copy
 
     @property
     def is_standby_leaving(self) -> bool:
         """Whether the standby is about to end."""
-        return self.copier is not None and self.copier.is_leaving
+        return self.copier is not None and self.copier.is_standby_stopping
 
     def waiting_ids(self) -> set[str]:
         """Returns the programs that no standby has agreed to yet."""
@@ -180,7 +182,7 @@
         """Does the same also while the shard is alone."""
         if self.copier is None:
             return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, "no standby"))
-        state = CopyState(
+        state = CopyHeader(
             self.number,
             self.view.record.epoch,
             self.incomplete_for_s,
@@ -282,7 +284,7 @@
             settlement.used_tokens,
         )
         if shard.copier is not None:
-            shard.copier.note(settlement.program_id)
+            shard.copier.mark_changed(settlement.program_id)
         return True
 
     async def copy_changed(self) -> None:
@@ -317,7 +319,7 @@
     ) -> Result[None, Failure]:
         account = shard.accounts.reserve(claim)
         if shard.copier is not None:
-            shard.copier.note(claim.program_id)
+            shard.copier.mark_changed(claim.program_id)
         copied = await shard.copy()
         # The host may have been suspended meanwhile, or the shard be gone.
         if self._shard_by_number.get(shard.number) is not shard:
--- a/libs/ledger/src/masticdale_ledger/standby.py
+++ b/libs/ledger/src/masticdale_ledger/standby.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Copy:
+class _ShardCopy:
     """What is held of one shard.
 
     Attributes:
@@ -32,8 +32,8 @@
         account_by_id: Its accounts.
         complete_from: Clock seconds from which no program is missing.
         owner_has_store: Whether its owner reached the store with its last copy.
-        is_given_up: Whether its owner was told that this host stops.
-        was_acted_on: Whether it counts what was given here, and what its owner
+        was_stop_announced: Whether its owner was told that this host stops.
+        was_acting: Whether it counts what was given here, and what its owner
             may have given meanwhile.
     """
 
@@ -41,8 +41,8 @@
     account_by_id: collections.OrderedDict[str, AccountState]
     complete_from: float
     owner_has_store: bool
-    is_given_up: bool = False
-    was_acted_on: bool = False
+    was_stop_announced: bool = False
+    was_acting: bool = False
 
 
 class StandbyCopies:
@@ -56,7 +56,7 @@
 
     def __init__(self) -> None:
         self.is_stopping = False
-        self._copy_by_shard: dict[int, _Copy] = {}
+        self._copy_by_shard: dict[int, _ShardCopy] = {}
         self._sealed_epoch_by_shard: dict[int, int] = {}
 
     def put(self, request: CopyRequest) -> CopyReply:
@@ -68,7 +68,9 @@
             return CopyReply(sealed=True)
         is_held = copy is not None and copy.epoch == request.epoch
         if request.is_snapshot and (is_held or not request.renews):
-            copy = _Copy(request.epoch, collections.OrderedDict(), 0.0, True)
+            copy = _ShardCopy(
+                request.epoch, collections.OrderedDict(), 0.0, True
+            )
             self._copy_by_shard[request.shard] = copy
         if copy is None or copy.epoch != request.epoch:
             # This process started after the copy was made. It may have been
@@ -83,21 +85,21 @@
             copy.account_by_id.move_to_end(account.program_id)
         while len(copy.account_by_id) > _MAX_ACCOUNTS:
             copy.account_by_id.popitem(last=False)
-        copy.is_given_up = self.is_stopping
+        copy.was_stop_announced = self.is_stopping
         return CopyReply(held=True, stops=self.is_stopping)
 
-    def holds(self, shard: int, epoch: int) -> bool:
+    def is_usable(self, shard: int, epoch: int) -> bool:
         """Returns whether there is a copy of an epoch to act on.
 
         A sealed one is none. Nor is one whose owner was told that this host
         stops: it names another standby, and counts nothing for this one.
         """
         copy = self._copy_by_shard.get(shard)
-        if copy is None or copy.epoch != epoch or copy.is_given_up:
+        if copy is None or copy.epoch != epoch or copy.was_stop_announced:
             return False
         return epoch > self._sealed_epoch_by_shard.get(shard, 0)
 
-    def owner_was_without_store(self, shard: int, epoch: int) -> bool:
+    def owner_lost_store(self, shard: int, epoch: int) -> bool:
         """Returns whether an owner said so with its last copy of an epoch."""
         copy = self._copy_by_shard.get(shard)
         return (
@@ -106,7 +108,7 @@
             and not copy.owner_has_store
         )
 
-    def keep_acted(
+    def replace_sealed(
         self,
         shard: int,
         epoch: int,
@@ -127,12 +129,12 @@
         held = self._copy_by_shard.get(shard)
         if held is not None and held.epoch > epoch:
             return
-        self._copy_by_shard[shard] = _Copy(
+        self._copy_by_shard[shard] = _ShardCopy(
             epoch,
             collections.OrderedDict((a.program_id, a) for a in accounts),
             boot_time_s() + incomplete_for_s,
             owner_has_store=False,
-            was_acted_on=True,
+            was_acting=True,
         )
 
     def seal(self, request: SealRequest) -> SealReply:
@@ -154,5 +156,5 @@
             held=True,
             accounts=tuple(copy.account_by_id.values()),
             incomplete_for_s=max(0.0, copy.complete_from - boot_time_s()),
-            acted=copy.was_acted_on,
+            acted=copy.was_acting,
         )
--- a/libs/ledger/src/masticdale_ledger/store_relay.py
+++ b/libs/ledger/src/masticdale_ledger/store_relay.py
@@ -174,7 +174,7 @@
         self._newest_by_prefix: dict[str, int] = {}
 
     @property
-    def is_lost(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Whether the store was reached by no way the last time."""
         return not self._reachability.is_open and self._is_relay_lost
 
@@ -275,7 +275,7 @@
         if _is_unavailable(outcome):
             self._shared.lose()
 
-    async def pause(self, most_s: float) -> None:
+    async def wait_before_retry(self, most_s: float) -> None:
         """Waits after a failed watch, until another one may do better.
 
         Where the direct way is closed the pause ends with the time of the
@@ -296,7 +296,7 @@
                 await changed.wait()
 
     async def _try(self, call: StoreCall[T]) -> Result[T, Failure]:
-        if self.is_lost:
+        if self.is_unreachable:
             # The watches go on to look for a way; whoever waits for this
             # call is better told at once.
             return _NO_WAY
--- a/libs/ledger/tests/test_acting.py
+++ b/libs/ledger/tests/test_acting.py
@@ -181,7 +181,7 @@
         self.other.is_silent = False
         await self.acting.fail_over(SHARD)
         self.assertIs(await self.admit(claim("r")), ErrorKind.NOT_OWNER)
-        self.assertTrue(self.copies.holds(SHARD, 1))
+        self.assertTrue(self.copies.is_usable(SHARD, 1))
 
     async def test_new_programs_wait_until_the_store_is_known_to_be_lost(self):
         """An owner that lives would count them from zero.
--- a/libs/ledger/tests/test_apart.py
+++ b/libs/ledger/tests/test_apart.py
@@ -123,7 +123,7 @@
         for target in (shard, self.owner[1]):
             target.accounts.settle(PROGRAM, request_id, self.used[request_id])
             if target.copier is not None:
-                target.copier.note(PROGRAM)
+                target.copier.mark_changed(PROGRAM)
 
     def part(self):
         """Owner and standby lose each other and the store."""
@@ -138,7 +138,7 @@
         """The standby goes on in place of the owner."""
         if not self.store.faults.down or self.acting is not None:
             return
-        if not self.link.copies.holds(SHARD, self.epoch):
+        if not self.link.copies.is_usable(SHARD, self.epoch):
             return
         copy = self.link.copies.seal(SealRequest(SHARD, self.epoch))
         accounts = Accounts()
--- a/libs/ledger/tests/test_standby.py
+++ b/libs/ledger/tests/test_standby.py
@@ -67,7 +67,7 @@
         self.copies.put(copy(3, account("a"), snapshot=True))
         self.copies.seal(SealRequest(1, 3))
         self.copies.put(copy(4, account("a", 50), snapshot=True))
-        self.copies.keep_acted(1, 3, (account("a", 20),), 0.0)
+        self.copies.replace_sealed(1, 3, (account("a", 20),), 0.0)
         reply = self.copies.seal(SealRequest(1, 4))
         self.assertEqual(reply.accounts, (account("a", 50),))
 
