--- a/libs/ledger/src/masticdale_ledger/__init__.py
+++ b/libs/ledger/src/masticdale_ledger/__init__.py
@@ -1,8 +1,8 @@
 """Program budgets that hold over hosts, restarts and outages of the store."""
 
-from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.client import SHARD_COUNT, LedgerClient
+from masticdale_ledger.failover import StandbyFailover
 from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.keeper import (
     LOOK_EVERY_S,
--- a/libs/ledger/src/masticdale_ledger/admissions.py
+++ b/libs/ledger/src/masticdale_ledger/admissions.py
@@ -13,7 +13,7 @@
 
 from masticdale_common import ErrorKind, Failure
 from masticdale_gateway.calls import TurnClaim
-from masticdale_ledger.acting import StandbyFailover
+from masticdale_ledger.failover import StandbyFailover
 from masticdale_ledger.owner import ShardOwner
 
 # A host that asks is told after this long that the turn is not decided yet,
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -9,21 +9,21 @@
 
 from masticdale_common import ErrorKind, Failure, logs
 from masticdale_ledger.accounts import Accounts
-from masticdale_ledger.apart import (
+from masticdale_ledger.arbiter import ArbiterClient, Side
+from masticdale_ledger.client import LedgerClient
+from masticdale_ledger.copier import Copier
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
+from masticdale_ledger.isolation import (
     Isolation,
     IsolationQuota,
     charge_first_step,
     charge_peer_quotas,
     isolation_quotas,
 )
-from masticdale_ledger.arbiter import ArbiterClient, Side
-from masticdale_ledger.client import LedgerClient
-from masticdale_ledger.copier import Copier
-from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.leases import LEASE_S, Lease
 from masticdale_ledger.messages import AccountState
 from masticdale_ledger.owner import OwnedShard, ShardOwner
-from masticdale_ledger.partners import PeerSelector
+from masticdale_ledger.peer_selector import PeerSelector
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
     Previous,
--- a/libs/ledger/src/masticdale_ledger/acting.py
+++ b/libs/ledger/src/masticdale_ledger/failover.py
@@ -7,10 +7,10 @@
 
 from masticdale_common import ErrorKind, logs
 from masticdale_ledger.accounts import Accounts
-from masticdale_ledger.apart import Isolation, isolation_quotas
 from masticdale_ledger.arbiter import Side
 from masticdale_ledger.claims import Inheritance, ShardClaims
 from masticdale_ledger.hosts import Hosts, Identity
+from masticdale_ledger.isolation import Isolation, isolation_quotas
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import (
     SETTLE,
@@ -64,7 +64,7 @@
     async def fail_over(self, number: int) -> None:
         """Goes on with a shard whose owner does not answer."""
         view = self._map.get(number)
-        if view is None or not self._may_act(number, view):
+        if view is None or not self._can_take_over(number, view):
             return
         if not self._is_due(number):
             return
@@ -76,7 +76,7 @@
         side = await self._claims.arbitration.decide(
             Side.STANDBY, number, record
         )
-        if not self._may_act(number, view):
+        if not self._can_take_over(number, view):
             return
         shard = self._begin(number, view, has_decision=side is Side.STANDBY)
         task = asyncio.create_task(self.claim(shard))
@@ -153,7 +153,7 @@
         self._asked_at_by_shard[number] = now
         return True
 
-    def _may_act(self, number: int, view: ShardView) -> bool:
+    def _can_take_over(self, number: int, view: ShardView) -> bool:
         record = view.record
         here = (self._identity.address, self._identity.port)
         return (
--- a/libs/ledger/src/masticdale_ledger/keeper.py
+++ b/libs/ledger/src/masticdale_ledger/keeper.py
@@ -8,15 +8,15 @@
 from returns.result import Failure as Failed
 
 from masticdale_common import ErrorKind, Failure, logs
-from masticdale_ledger.acting import StandbyFailover
-from masticdale_ledger.apart import charge_owner_quota
 from masticdale_ledger.claims import (
     LOST_PROGRAMS_S,
     Inheritance,
     ShardClaims,
 )
 from masticdale_ledger.client import SHARD_COUNT, LedgerClient
+from masticdale_ledger.failover import StandbyFailover
 from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
+from masticdale_ledger.isolation import charge_owner_quota
 from masticdale_ledger.leases import LEASE_S, Lease
 from masticdale_ledger.messages import (
     HAND_OVER,
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -17,8 +17,8 @@
     NeedsRecord,
     Spent,
 )
-from masticdale_ledger.apart import Isolation, charge_peer_quotas
 from masticdale_ledger.copier import AccountSource, Copier, CopyHeader
+from masticdale_ledger.isolation import Isolation, charge_peer_quotas
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import AccountState, Settlement
 from masticdale_ledger.records import ProgramRecords, record_name
--- a/libs/ledger/src/masticdale_ledger/service.py
+++ b/libs/ledger/src/masticdale_ledger/service.py
@@ -3,9 +3,9 @@
 from returns.result import Failure as Failed
 
 from masticdale_gateway.calls import TurnClaim
-from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.admissions import Admissions
 from masticdale_ledger.arbiter import Arbiter
+from masticdale_ledger.failover import StandbyFailover
 from masticdale_ledger.hosts import LiveHosts
 from masticdale_ledger.keeper import ShardKeeper
 from masticdale_ledger.messages import (
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -15,9 +15,9 @@
 from returns.result import Success
 
 from masticdale_common import ErrorKind, Failure, Metrics
-from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.client import UnreachableOwner
+from masticdale_ledger.failover import StandbyFailover
 from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.keeper import ShardKeeper
 from masticdale_ledger.leases import Lease
--- a/libs/ledger/tests/test_acting.py
+++ b/libs/ledger/tests/test_failover.py
@@ -9,8 +9,8 @@
 
 from masticdale_common import ErrorKind, Failure, Metrics
 from masticdale_gateway.calls import TurnClaim
-from masticdale_ledger.acting import StandbyFailover
 from masticdale_ledger.claims import ShardClaims
+from masticdale_ledger.failover import StandbyFailover
 from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.keeper import ShardKeeper
 from masticdale_ledger.leases import Lease
--- a/libs/ledger/tests/test_apart.py
+++ b/libs/ledger/tests/test_isolation.py
@@ -12,12 +12,12 @@
 from masticdale_common import ErrorKind, Failure, Metrics
 from masticdale_gateway.calls import TurnClaim
 from masticdale_ledger.accounts import Accounts, Bound
-from masticdale_ledger.apart import (
+from masticdale_ledger.copier import Copier
+from masticdale_ledger.isolation import (
     Isolation,
     charge_owner_quota,
     isolation_quotas,
 )
-from masticdale_ledger.copier import Copier
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import SealRequest
 from masticdale_ledger.owner import OwnedShard, ShardOwner
--- a/libs/ledger/tests/test_seals.py
+++ b/libs/ledger/tests/test_seals.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from test_acting import SHARD, ActingCase, claim
+from test_failover import SHARD, ActingCase, claim
 
 from masticdale_common import ErrorKind
 from masticdale_ledger.messages import SealRequest
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -71,8 +71,8 @@
     ),
     Edit(
         "acting standby",
-        f"{_LEDGER}/acting.py",
-        "if view is None or not self._may_act(number, view):",
+        f"{_LEDGER}/failover.py",
+        "if view is None or not self._can_take_over(number, view):",
         "if view is None or number >= 0:",
     ),
     Edit(
