--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -36,20 +36,20 @@
     REPLICATION_INTERVAL_S,
     SHARD_COUNT,
     SHARD_PREFIX,
-    ActingStandby,
     FallbackStore,
     Identity,
     Lease,
     LedgerClient,
     LedgerService,
+    LiveHosts,
     ProgramRecords,
-    SeenHosts,
     ShardClaims,
     ShardMap,
     ShardOwner,
     ShardReconciler,
     SharedWatches,
     StandbyCopies,
+    StandbyFailover,
 )
 from masticdale_platform import WatchBatch
 from masticdale_routing.fleet import Fleet
@@ -99,7 +99,7 @@
             peers_address.port,
             settings.failure_domain,
         )
-        seen = SeenHosts(identity.reached_at)
+        seen = LiveHosts(identity.host_address)
         self._direct = PlatformObjectStore(
             str(settings.store.ip), settings.store.port, self._metrics
         )
@@ -120,13 +120,13 @@
             CONFIGURATION_KEY, read_configuration
         )
         self._replicas = ReplicaList(REPLICA_PREFIX, read_replica, self._fleet)
-        self._lease = Lease(is_store_lost=lambda: self._store.is_lost)
+        self._lease = Lease(is_store_lost=lambda: self._store.is_unreachable)
         records = ProgramRecords(self._store, incarnation)
         self._owner = ShardOwner(records, self._lease, self._metrics)
         self._ledger = LedgerClient(
             self._shard_map,
             self._owner,
-            identity.reached_at,
+            identity.host_address,
             self._peers.client,
             self._metrics,
         )
@@ -142,7 +142,7 @@
             self._peers,
             seen,
         )
-        acting = ActingStandby(
+        acting = StandbyFailover(
             identity,
             self._shard_map,
             self._owner,
@@ -161,7 +161,7 @@
             claims,
             acting,
             self._peers,
-            lambda: self._store.is_lost,
+            lambda: self._store.is_unreachable,
             seen,
         )
         service = LedgerService(
@@ -173,7 +173,7 @@
             seen,
             shared,
         )
-        self._ledger.admit_here = service.admit
+        self._ledger.admit_locally = service.admit
         self._peer_server = RpcServer(service, peers_bind, LEDGER)
         self._relay = Relay(
             RelayDependencies(
@@ -283,7 +283,9 @@
         return (200 if self.is_ready else 503), b""
 
     def _start_watch(self, target: WatchTarget) -> None:
-        watcher = Watcher(self._store, target, self._store.pause)
+        watcher = Watcher(
+            self._store, target, self._store.wait_before_retry
+        )
         self._tasks.append(asyncio.create_task(watcher.run()))
 
     def _apply_shards(self, batch: WatchBatch, after_outage: bool) -> None:
--- a/apps/masticdale_entry/tests/test_watching.py
+++ b/apps/masticdale_entry/tests/test_watching.py
@@ -54,7 +54,7 @@
         host = FallbackStore(store, list, Metrics())
         for prefix in PREFIXES:
             target = WatchTarget(prefix, WATCH_S, note)
-            watcher = Watcher(host, target, host.pause)
+            watcher = Watcher(host, target, host.wait_before_retry)
             tasks.append(asyncio.create_task(watcher.run()))
     await asyncio.sleep(0.1)
     store.faults.down = True
--- a/libs/ledger/src/masticdale_ledger/__init__.py
+++ b/libs/ledger/src/masticdale_ledger/__init__.py
@@ -1,9 +1,9 @@
 """Program budgets that hold over hosts, restarts and outages of the store."""
 
-from masticdale_ledger.acting import ActingStandby
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.client import SHARD_COUNT, LedgerClient
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
+from masticdale_ledger.failover import StandbyFailover
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.leases import Lease, boot_time_s
 from masticdale_ledger.messages import LEDGER
 from masticdale_ledger.owner import REPLICATION_INTERVAL_S, ShardOwner
@@ -26,15 +26,14 @@
     "REPLICATION_INTERVAL_S",
     "SHARD_COUNT",
     "SHARD_PREFIX",
-    "ActingStandby",
     "FallbackStore",
     "Hosts",
     "Identity",
     "Lease",
     "LedgerClient",
     "LedgerService",
+    "LiveHosts",
     "ProgramRecords",
-    "SeenHosts",
     "ShardClaims",
     "ShardMap",
     "ShardOwner",
@@ -42,5 +41,6 @@
     "ShardRecord",
     "SharedWatches",
     "StandbyCopies",
+    "StandbyFailover",
     "boot_time_s",
 ]
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -9,21 +9,21 @@
 
 from masticdale_common import ErrorKind, Failure, logs
 from masticdale_ledger.accounts import Accounts
-from masticdale_ledger.apart import (
-    Alone,
-    Share,
-    acted_states,
-    shares_of,
-    unknown_here,
-)
-from masticdale_ledger.arbiter import Arbitration, Side
+from masticdale_ledger.arbiter import ArbiterClient, Side
 from masticdale_ledger.client import LedgerClient
 from masticdale_ledger.copier import Copier
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
+from masticdale_ledger.isolation import (
+    Isolation,
+    IsolationQuota,
+    charge_first_step,
+    charge_peer_quotas,
+    isolation_quotas,
+)
 from masticdale_ledger.leases import LEASE_S, Lease
 from masticdale_ledger.messages import AccountState
 from masticdale_ledger.owner import OwnedShard, ShardOwner
-from masticdale_ledger.partners import Partners
+from masticdale_ledger.peer_selector import PeerSelector
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
     PreviousOwner,
@@ -99,7 +99,7 @@
         lease: Lease,
         client: LedgerClient,
         hosts: Hosts,
-        seen: SeenHosts,
+        seen: LiveHosts,
     ) -> None:
         self._identity = identity
         self._store = store
@@ -111,8 +111,8 @@
         self._hosts = hosts
         self._locked_shards: set[int] = set()
         self._unconfirmed_by_shard: dict[int, UnconfirmedClaim] = {}
-        self.arbitration = Arbitration(hosts)
-        self.partners = Partners(identity, shard_map, lease, hosts, seen)
+        self.arbitration = ArbiterClient(hosts)
+        self.partners = PeerSelector(identity, shard_map, lease, hosts, seen)
 
     async def refresh(self, number: int) -> bool:
         """Reads a shard's object; returns whether the store answered."""
@@ -242,7 +242,7 @@
             )
         )
         self._client.unreachable_by_shard.pop(number, None)
-        self.arbitration.begin(number, view.record)
+        self.arbitration.appoint(number, view.record)
         value = view.record.model_dump_json().encode()
         self._map.put(StoredObject(shard_key(number), view.version, value))
 
@@ -336,14 +336,14 @@
         """
         if not record.arbiter_address:
             return Side.STANDBY
-        side = await self.arbitration.decide(Side.TAKER, number, record)
+        side = await self.arbitration.decide(Side.SUCCESSOR, number, record)
         return Side.OWNER if side in (None, Side.OWNER) else Side.STANDBY
 
     async def _write_standby(self, shard: OwnedShard) -> Failure | None:
         """Returns why no other standby could be named; None if one was."""
         await self.ask_arbiter(shard)
         old = shard.view.record
-        self.partners.avoid(old.standby_address, old.standby_port)
+        self.partners.mark_failed(old.standby_address, old.standby_port)
         record = self._new_record(old.epoch + 1, PreviousOwner.ENDED)
         written = await self._write(shard.number, record, shard.view.version)
         logs.write_bounded(
@@ -380,13 +380,13 @@
         if shard.isolation is not None:
             states = shard.states_with_peer_spending()
         elif shard.standby_may_act and not shard.is_standby_leaving:
-            states = acted_states(states, _owner_shares(shard))
+            states = charge_peer_quotas(states, _owner_shares(shard))
         incomplete_for_s = shard.incomplete_for_s
         if shard.standby_may_admit_new:
             incomplete_for_s = max(incomplete_for_s, RECOVERY_WINDOW_S)
             waiting = shard.unacknowledged_program_ids()
             states = tuple(
-                unknown_here(s) if s.program_id in waiting else s
+                charge_first_step(s) if s.program_id in waiting else s
                 for s in states
             )
         return TakeoverState(
@@ -395,7 +395,7 @@
 
     def _isolate(self, shard: OwnedShard) -> None:
         shares = _owner_shares(shard)
-        shard.isolation = Alone(shares, takes_new=False)
+        shard.isolation = Isolation(shares, admits_unknown=False)
         logs.write("shard_alone", shard=shard.number, programs=len(shares))
 
     async def _write(
@@ -428,9 +428,11 @@
         return outcome
 
 
-def _owner_shares(shard: OwnedShard) -> dict[str, Share]:
+def _owner_shares(shard: OwnedShard) -> dict[str, IsolationQuota]:
     holder = Side.OWNER if shard.won_arbitration else Side.STANDBY
-    return shares_of(shard.accounts.all(), acting=False, holder=holder)
+    return isolation_quotas(
+        shard.accounts.all(), is_standby=False, remainder_side=holder
+    )
 
 
 def _is_sealed(copied: Result[None, Failure]) -> bool:
--- a/libs/ledger/src/masticdale_ledger/acting.py
+++ b/libs/ledger/src/masticdale_ledger/failover.py
@@ -7,10 +7,10 @@
 
 from masticdale_common import ErrorKind, logs
 from masticdale_ledger.accounts import Accounts
-from masticdale_ledger.apart import Alone, shares_of
 from masticdale_ledger.arbiter import Side
 from masticdale_ledger.claims import ShardClaims, TakeoverState
 from masticdale_ledger.hosts import Hosts, Identity
+from masticdale_ledger.isolation import Isolation, isolation_quotas
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import (
     SETTLE,
@@ -32,7 +32,7 @@
 _ASK_EVERY_S = 0.3
 
 
-class ActingStandby:
+class StandbyFailover:
     """Goes on with shards whose owner is lost, until the store says whose.
 
     The standby has every account, and hosts that miss the owner come to it. It
@@ -61,10 +61,10 @@
         self._asked_at_by_shard: dict[int, float] = {}
         self._claiming: set[asyncio.Task[None]] = set()
 
-    async def act(self, number: int) -> None:
+    async def fail_over(self, number: int) -> None:
         """Goes on with a shard whose owner does not answer."""
         view = self._map.get(number)
-        if view is None or not self._may_act(number, view):
+        if view is None or not self._can_take_over(number, view):
             return
         if not self._is_due(number):
             return
@@ -76,7 +76,7 @@
         side = await self._claims.arbitration.decide(
             Side.STANDBY, number, record
         )
-        if not self._may_act(number, view):
+        if not self._can_take_over(number, view):
             return
         shard = self._begin(number, view, has_decision=side is Side.STANDBY)
         task = asyncio.create_task(self.claim(shard))
@@ -102,9 +102,9 @@
             reason=str(failure),
         )
         if failure.kind is not ErrorKind.CONFLICT:
-            self.take_new(shard)
+            self.admit_unknown_programs(shard)
 
-    def take_new(self, shard: OwnedShard) -> None:
+    def admit_unknown_programs(self, shard: OwnedShard) -> None:
         """Admits programs, too, that the last owner did not know.
 
         Only where the store is reached by no way. A standby that is cut off
@@ -115,17 +115,17 @@
         arbiter to let this host go on. In both cases an owner that lives counts
         programs that it does not know as half spent.
         """
-        if shard.isolation is None or shard.isolation.takes_new:
+        if shard.isolation is None or shard.isolation.admits_unknown:
             return
         record = shard.view.record
         if (
             not shard.won_arbitration
-            and not self._copies.owner_was_without_store(
+            and not self._copies.owner_lost_store(
                 shard.number, record.epoch
             )
         ):
             return
-        shard.isolation = dataclasses.replace(shard.isolation, takes_new=True)
+        shard.isolation = dataclasses.replace(shard.isolation, admits_unknown=True)
         logs.write("shard_takes_new", shard=shard.number, epoch=record.epoch)
 
     def seal(self, request: SealRequest) -> SealReply:
@@ -141,7 +141,7 @@
             epoch = shard.view.record.epoch
             if request.epoch >= epoch:
                 self._owner.drop(request.shard)
-                self._copies.keep_acted(
+                self._copies.replace_sealed(
                     request.shard,
                     epoch,
                     shard.states_with_peer_spending(),
@@ -156,20 +156,20 @@
         self._asked_at_by_shard[number] = now
         return True
 
-    def _may_act(self, number: int, view: ShardView) -> bool:
+    def _can_take_over(self, number: int, view: ShardView) -> bool:
         record = view.record
         here = (self._identity.address, self._identity.port)
         return (
             number not in self._owner.owned()
             and (record.standby_address, record.standby_port) == here
-            and self._copies.holds(number, record.epoch)
+            and self._copies.is_usable(number, record.epoch)
         )
 
     def _begin(
         self, number: int, view: ShardView, *, has_decision: bool
     ) -> OwnedShard:
         record = view.record
-        self._claims.partners.avoid(record.address, record.port)
+        self._claims.partners.mark_failed(record.address, record.port)
         copy = self._copies.seal(SealRequest(number, record.epoch))
         accounts = Accounts()
         accounts.restore([account_from_state(state) for state in copy.accounts])
@@ -185,12 +185,12 @@
         shard.is_acting = True
         shard.won_arbitration = has_decision
         is_holder = has_decision or not record.arbiter_address
-        shares = shares_of(
+        shares = isolation_quotas(
             accounts.all(),
-            acting=True,
-            holder=Side.STANDBY if is_holder else Side.OWNER,
+            is_standby=True,
+            remainder_side=Side.STANDBY if is_holder else Side.OWNER,
         )
-        shard.isolation = Alone(shares, takes_new=False)
+        shard.isolation = Isolation(shares, admits_unknown=False)
         self._owner.take(shard)
         logs.write(
             "shard_acted_for",
--- /dev/null
+++ b/libs/ledger/src/masticdale_ledger/isolation.py
@@ -0,0 +1,158 @@
+"""Spending limits of a partitioned owner and standby during a store outage."""
+
+import dataclasses
+
+from masticdale_ledger.accounts import Account, unrecorded_limit_tokens
+from masticdale_ledger.arbiter import Side
+from masticdale_ledger.messages import AccountState
+from masticdale_ledger.states import account_from_state
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Isolation:
+    """Limits of an owner or a standby that is partitioned from the other.
+
+    Both hold the same accounts when the partition begins. While the store is
+    unavailable neither can be replaced and no record can be written. The
+    tokens left below the first step, which is what counts as spent if both
+    lose their memory, are split between the two. If each could hand out all of
+    them, a program could exceed its budget by half after the loss of all hosts.
+    Programs with a record are not admitted.
+
+    Attributes:
+        quota_by_program_id: Quotas of the programs known when the partition
+            began.
+        admits_unknown: Whether other programs are admitted too. Only the
+            standby admits them, and only while the store is unreachable: the
+            next owner seals the standby and so learns of them.
+    """
+
+    quota_by_program_id: dict[str, "IsolationQuota"]
+    admits_unknown: bool
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class IsolationQuota:
+    """The part of one program's budget that each side may hand out.
+
+    Attributes:
+        limit_tokens: Spent and reserved tokens up to which this host admits
+            the program.
+        peer_tokens: Tokens that the other host may have handed out.
+    """
+
+    limit_tokens: int
+    peer_tokens: int
+
+
+def isolation_quotas(
+    accounts: list[Account],
+    *,
+    is_standby: bool,
+    remainder_side: Side = Side.STANDBY,
+) -> dict[str, IsolationQuota]:
+    """Returns the quota of one host for each program, by program ID.
+
+    The two hosts may disagree on which turns have ended. A turn in progress
+    lowers this host's limit but not the peer's tokens, so the sum of both stays
+    within the ceiling whichever host has seen more settlements.
+
+    Args:
+        accounts: The accounts that both hosts hold.
+        is_standby: Whether the quotas are those of the standby.
+        remainder_side: The host that may admit one more turn where half of
+            the tokens left is less than a turn. If unknown, the other host;
+            without an arbiter, the standby.
+    """
+    side = Side.STANDBY if is_standby else Side.OWNER
+    return {a.program_id: _share(a, side is remainder_side) for a in accounts}
+
+
+def _share(account: Account, is_holder: bool) -> IsolationQuota:
+    if account.bound is not None:
+        # A record leaves room for at most two turns. Half of that may not
+        # cover a turn, yet would count as spent after each loss of an owner.
+        return IsolationQuota(account.spent_tokens, 0)
+    most = account.most_tokens
+    free = max(0, account.ceiling_tokens - account.committed_tokens)
+    most_free = max(0, account.ceiling_tokens - account.spent_tokens)
+    if account.awaits_standby_ack:
+        # The standby does not hold this account, so a host that seals the
+        # standby would count the program from zero. A replaced owner must not
+        # admit its turns as well.
+        free = 0
+    return IsolationQuota(
+        limit_tokens=account.spent_tokens + _part(free, most, is_holder),
+        peer_tokens=_part(most_free, most, not is_holder),
+    )
+
+
+def _part(free: int, most: int, is_holder: bool) -> int:
+    """Returns half of the tokens, or a whole turn if half is less than one.
+
+    Only one of the two hosts gets the whole turn; the other gets the rest.
+    Without it, programs near their limit would be admitted by neither host.
+    """
+    half = free // 2
+    holders = half if half >= most else min(free, most)
+    return holders if is_holder else free - holders
+
+
+def charge_owner_quota(
+    state: AccountState, remainder_side: Side = Side.STANDBY
+) -> AccountState:
+    """Charges what the last owner may have handed out while isolated.
+
+    The owner may have used its quota even if it was killed afterwards and its
+    host has restarted.
+
+    Args:
+        state: The account as its standby held it.
+        remainder_side: See ``isolation_quotas``.
+    """
+    shares = isolation_quotas(
+        [account_from_state(state)], is_standby=True, remainder_side=remainder_side
+    )
+    return charge_peer_quota(state, shares[state.program_id])
+
+
+def charge_peer_quota(
+    state: AccountState, share: IsolationQuota
+) -> AccountState:
+    """Charges an account with the tokens that the other host may have used."""
+    spent = state.spent_tokens + share.peer_tokens
+    return dataclasses.replace(state, spent_tokens=spent)
+
+
+def charge_first_step(state: AccountState) -> AccountState:
+    """Charges an account with the first step of its budget.
+
+    For a program whose account exists here only because a turn was rejected.
+    Its caller may then have reached the standby, which admitted the program;
+    counted from zero here, the program would get part of its budget twice.
+    """
+    unseen_tokens = unrecorded_limit_tokens(state.budget_tokens)
+    return dataclasses.replace(
+        state,
+        spent_tokens=max(state.spent_tokens, unseen_tokens),
+        counts_from_start=False,
+    )
+
+
+def charge_peer_quotas(
+    states: tuple[AccountState, ...],
+    quota_by_program_id: dict[str, IsolationQuota],
+) -> tuple[AccountState, ...]:
+    """Charges accounts with the tokens that the other host may have used.
+
+    Args:
+        states: The accounts as this host counted them.
+        quota_by_program_id: The quotas of the programs that the other host
+            may have admitted.
+    """
+    return tuple(
+        charge_peer_quota(state, quota_by_program_id[state.program_id])
+        if state.program_id in quota_by_program_id
+        else state
+        for state in states
+    )
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -17,8 +17,8 @@
     BudgetExceeded,
     NeedsRecord,
 )
-from masticdale_ledger.apart import Alone, acted_states
-from masticdale_ledger.copier import AccountSource, Copier, CopyState
+from masticdale_ledger.copier import AccountSource, Copier, CopyHeader
+from masticdale_ledger.isolation import Isolation, charge_peer_quotas
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import AccountState, Settlement
 from masticdale_ledger.records import ProgramRecords, record_name
@@ -88,7 +88,7 @@
         self.predecessor = predecessor
         self.is_handing_over = False
         self.is_acting = False
-        self.isolation: Alone | None = None
+        self.isolation: Isolation | None = None
         self.won_arbitration = False
         self._complete_from = lease.now() + incomplete_for_s
         self._lease = lease
@@ -97,9 +97,9 @@
         """Returns whether a turn has to wait until the shard isn't alone."""
         if self.isolation is None:
             return False
-        share = self.isolation.share_by_id.get(claim.program_id)
+        share = self.isolation.quota_by_program_id.get(claim.program_id)
         if share is None:
-            return not self.isolation.takes_new
+            return not self.isolation.admits_unknown
         account = self.accounts.get(claim.program_id)
         if account is None:
             return True
@@ -137,31 +137,31 @@
     def needs_replication(self) -> bool:
         """Whether the standby has to be told something."""
         has_store = not self._lease.is_store_lost
-        return self.copier is not None and self.copier.is_due(
+        return self.copier is not None and self.copier.has_pending(
             owner_has_store=has_store
         )
 
     @property
     def standby_may_admit_new(self) -> bool:
         """Whether the standby may have taken programs not known here."""
-        if self.copier is None or not self.copier.may_be_held:
+        if self.copier is None or not self.copier.standby_may_hold_copy:
             return False
         has_arbiter = bool(self.view.record.arbiter_address)
-        return self.copier.may_take_new or (
+        return self.copier.standby_may_admit_unknown or (
             has_arbiter
             and not self.won_arbitration
-            and not self.copier.is_leaving
+            and not self.copier.is_standby_stopping
         )
 
     @property
     def standby_may_act(self) -> bool:
         """Whether the standby may go on without this host."""
-        return self.copier is not None and self.copier.may_be_held
+        return self.copier is not None and self.copier.standby_may_hold_copy
 
     @property
     def is_standby_leaving(self) -> bool:
         """Whether the standby is about to end."""
-        return self.copier is not None and self.copier.is_leaving
+        return self.copier is not None and self.copier.is_standby_stopping
 
     def unacknowledged_program_ids(self) -> set[str]:
         """Returns the programs that no standby has agreed to yet."""
@@ -171,8 +171,8 @@
 
     def states_with_peer_spending(self) -> tuple[AccountState, ...]:
         """Returns all accounts, with what another host may have given."""
-        shares = self.isolation.share_by_id if self.isolation else {}
-        return acted_states(self.states(None), shares)
+        shares = self.isolation.quota_by_program_id if self.isolation else {}
+        return charge_peer_quotas(self.states(None), shares)
 
     async def replicate(self) -> Result[None, Failure]:
         """Returns once the standby holds every account as it is now."""
@@ -184,7 +184,7 @@
         """Does the same also while the shard is alone."""
         if self.copier is None:
             return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, "no standby"))
-        state = CopyState(
+        state = CopyHeader(
             self.number,
             self.view.record.epoch,
             self.incomplete_for_s,
@@ -286,7 +286,7 @@
             settlement.used_tokens,
         )
         if shard.copier is not None:
-            shard.copier.note(settlement.program_id)
+            shard.copier.mark_changed(settlement.program_id)
         return True
 
     async def replicate_changes(self) -> None:
@@ -323,7 +323,7 @@
     ) -> Result[None, Failure]:
         account = shard.accounts.reserve(claim)
         if shard.copier is not None:
-            shard.copier.note(claim.program_id)
+            shard.copier.mark_changed(claim.program_id)
         copied = await shard.replicate()
         # The host may have been suspended meanwhile, or the shard be gone.
         if self._shard_by_number.get(shard.number) is not shard:
--- a/libs/ledger/src/masticdale_ledger/reconciler.py
+++ b/libs/ledger/src/masticdale_ledger/reconciler.py
@@ -8,15 +8,15 @@
 from returns.result import Failure as Failed
 
 from masticdale_common import ErrorKind, Failure, logs
-from masticdale_ledger.acting import ActingStandby
-from masticdale_ledger.apart import limited
 from masticdale_ledger.claims import (
     RECOVERY_WINDOW_S,
     ShardClaims,
     TakeoverState,
 )
 from masticdale_ledger.client import SHARD_COUNT, LedgerClient
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
+from masticdale_ledger.failover import StandbyFailover
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
+from masticdale_ledger.isolation import charge_owner_quota
 from masticdale_ledger.leases import LEASE_S, Lease
 from masticdale_ledger.messages import (
     HAND_OVER,
@@ -70,10 +70,10 @@
         lease: Lease,
         client: LedgerClient,
         claims: ShardClaims,
-        acting: ActingStandby,
+        acting: StandbyFailover,
         hosts: Hosts,
         is_store_lost: Callable[[], bool],
-        seen: SeenHosts,
+        seen: LiveHosts,
     ) -> None:
         self.is_stopping = False
         self._identity = identity
@@ -215,8 +215,8 @@
         if lost is None or lost.version != view.version:
             return None
         now = asyncio.get_running_loop().time()
-        is_lost = lost.last - lost.since >= _OWNER_TIMEOUT_S
-        is_recent = now - lost.last < _FAILURE_MAX_AGE_S
+        is_lost = lost.last_failed_at - lost.first_failed_at >= _OWNER_TIMEOUT_S
+        is_recent = now - lost.last_failed_at < _FAILURE_MAX_AGE_S
         return PreviousOwner.LOST if is_lost and is_recent else None
 
     def _is_claim_due(self, number: int, previous: PreviousOwner) -> bool:
@@ -260,7 +260,9 @@
         if view is None:
             return TakeoverState(PreviousOwner.NONE)
         if previous is PreviousOwner.LOST:
-            self._claims.partners.avoid(view.record.address, view.record.port)
+            self._claims.partners.mark_failed(
+                view.record.address, view.record.port
+            )
         reply = await self._seal(number, view.record)
         if reply is None:
             return TakeoverState(previous, (), RECOVERY_WINDOW_S)
@@ -269,7 +271,9 @@
         accounts = reply.accounts
         if not reply.acted:
             holder = await self._claims.allowance_holder(number, view.record)
-            accounts = tuple(limited(state, holder) for state in accounts)
+            accounts = tuple(
+                charge_owner_quota(state, holder) for state in accounts
+            )
         return TakeoverState(
             PreviousOwner.ENDED,
             accounts,
@@ -285,7 +289,7 @@
 
     async def _claim_acting(self, shard: OwnedShard) -> None:
         if self._is_store_lost():
-            self._acting.take_new(shard)
+            self._acting.admit_unknown_programs(shard)
         else:
             await self._acting.claim(shard)
 
@@ -406,7 +410,7 @@
         shards_by_address: collections.Counter[tuple[str, int]] = (
             collections.Counter()
         )
-        host_by_address = {(h.address, h.port): h for h in self._seen.fresh()}
+        host_by_address = {(h.address, h.port): h for h in self._seen.live()}
         for view in self._map.views().values():
             record = view.record
             if record.owner == self._identity.host:
--- a/libs/ledger/src/masticdale_ledger/service.py
+++ b/libs/ledger/src/masticdale_ledger/service.py
@@ -3,10 +3,10 @@
 from returns.result import Failure as Failed
 
 from masticdale_gateway.calls import TurnClaim
-from masticdale_ledger.acting import ActingStandby
 from masticdale_ledger.admissions import Admissions
 from masticdale_ledger.arbiter import Arbiter
-from masticdale_ledger.hosts import SeenHosts
+from masticdale_ledger.failover import StandbyFailover
+from masticdale_ledger.hosts import LiveHosts
 from masticdale_ledger.messages import (
     AdmitReply,
     AdmitRequest,
@@ -40,10 +40,10 @@
         self,
         owner: ShardOwner,
         reconciler: ShardReconciler,
-        acting: ActingStandby,
+        acting: StandbyFailover,
         copies: StandbyCopies,
         direct: ObjectStore,
-        seen: SeenHosts,
+        seen: LiveHosts,
         shared: SharedWatches | None,
     ) -> None:
         self._acting = acting
@@ -59,9 +59,9 @@
     async def admit(self, request: AdmitRequest) -> AdmitReply:
         """Admits a turn of an own shard."""
         if request.asker_stops:
-            self._seen.forget(request.asker)
+            self._seen.remove(request.asker)
         else:
-            self._seen.note(request.asker)
+            self._seen.record_request(request.asker)
         claim = TurnClaim(
             program_id=request.program_id,
             request_id=request.request_id,
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -15,10 +15,10 @@
 from returns.result import Success
 
 from masticdale_common import ErrorKind, Failure, Metrics
-from masticdale_ledger.acting import ActingStandby
 from masticdale_ledger.claims import ShardClaims
-from masticdale_ledger.client import Unreachable
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
+from masticdale_ledger.client import UnreachableOwner
+from masticdale_ledger.failover import StandbyFailover
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import (
     ADMIT,
@@ -150,7 +150,7 @@
         self.owner = ShardOwner(records, lease, Metrics())
         self.copies = StandbyCopies()
         links = Links(world, name)
-        self.seen = SeenHosts(identity.reached_at)
+        self.seen = LiveHosts(identity.host_address)
         self.client = types.SimpleNamespace(unreachable_by_shard={})
         claims = ShardClaims(
             identity,
@@ -163,7 +163,7 @@
             links,
             self.seen,
         )
-        self.acting = ActingStandby(
+        self.acting = StandbyFailover(
             identity, self.map, self.owner, lease, self.copies, claims, links
         )
         self.reconciler = ShardReconciler(
@@ -239,7 +239,7 @@
             await self.start(name)
         for process in self.process_by_name.values():
             for other in self.process_by_name.values():
-                process.seen.note(other.identity.reached_at)
+                process.seen.record_request(other.identity.host_address)
         first = self.process_by_name[self.names[1]]
         await first.reconciler.reconcile()
         await self.learn()
@@ -273,7 +273,7 @@
             request_id,
             self.budget,
             MOST,
-            process.identity.reached_at,
+            process.identity.host_address,
             process.is_stopping,
         )
         record = view.record
@@ -306,7 +306,7 @@
             known.pop(SHARD, None)
             return
         now = asyncio.get_running_loop().time()
-        known[SHARD] = Unreachable(view.version, now - 1.0, now)
+        known[SHARD] = UnreachableOwner(view.version, now - 1.0, now)
 
     def _give(self, program, request_id, asked):
         given = self.given_by_program.setdefault(program, {})
--- a/libs/ledger/tests/test_apart.py
+++ b/libs/ledger/tests/test_isolation.py
@@ -12,8 +12,12 @@
 from masticdale_common import ErrorKind, Failure, Metrics
 from masticdale_gateway.calls import TurnClaim
 from masticdale_ledger.accounts import Accounts, Bound
-from masticdale_ledger.apart import Alone, limited, shares_of
 from masticdale_ledger.copier import Copier
+from masticdale_ledger.isolation import (
+    Isolation,
+    charge_owner_quota,
+    isolation_quotas,
+)
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import SealRequest
 from masticdale_ledger.owner import OwnedShard, ShardOwner
@@ -119,7 +123,7 @@
         for target in (shard, self.owner[1]):
             target.accounts.settle(PROGRAM, request_id, self.used[request_id])
             if target.copier is not None:
-                target.copier.note(PROGRAM)
+                target.copier.mark_changed(PROGRAM)
 
     def part(self):
         """Owner and standby lose each other and the store."""
@@ -127,21 +131,21 @@
         self.link.is_cut = True
         self.store.faults.down = True
         if shard.isolation is None:
-            shares = shares_of(shard.accounts.all(), acting=False)
-            shard.isolation = Alone(shares, takes_new=False)
+            shares = isolation_quotas(shard.accounts.all(), is_standby=False)
+            shard.isolation = Isolation(shares, admits_unknown=False)
 
     def act(self):
         """The standby goes on in place of the owner."""
         if not self.store.faults.down or self.acting is not None:
             return
-        if not self.link.copies.holds(SHARD, self.epoch):
+        if not self.link.copies.is_usable(SHARD, self.epoch):
             return
         copy = self.link.copies.seal(SealRequest(SHARD, self.epoch))
         accounts = Accounts()
         accounts.restore([account_from_state(state) for state in copy.accounts])
         self.acting = self.host(accounts, copy.incomplete_for_s, None)
-        shares = shares_of(accounts.all(), acting=True)
-        self.acting[1].isolation = Alone(shares, takes_new=True)
+        shares = isolation_quotas(accounts.all(), is_standby=True)
+        self.acting[1].isolation = Isolation(shares, admits_unknown=True)
 
     async def meet(self):
         """The store is back; somebody owns the shard by a new record."""
@@ -154,7 +158,9 @@
             reply = self.link.copies.seal(SealRequest(SHARD, self.epoch))
             if not reply.held:
                 return
-            states = tuple(limited(state) for state in reply.accounts)
+            states = tuple(
+                charge_owner_quota(state) for state in reply.accounts
+            )
             incomplete_s = reply.incomplete_for_s
         else:
             return
@@ -311,9 +317,9 @@
         account.spent_tokens = 600
         account.bound = Bound(900, 1)
         for acting in (False, True):
-            share = shares_of([account], acting=acting)[PROGRAM]
+            share = isolation_quotas([account], is_standby=acting)[PROGRAM]
             self.assertEqual(share.limit_tokens, 600)
-            self.assertEqual(share.elsewhere_tokens, 0)
+            self.assertEqual(share.peer_tokens, 0)
 
     def test_where_half_holds_no_turn_the_standby_may_give_one(self):
         """Programs of few turns would wait for the end of an outage."""
@@ -321,12 +327,12 @@
         claim = TurnClaim(PROGRAM, "r", 400, 100)
         account = accounts.get_or_create(claim, "record", True, 0.0)
         account.spent_tokens = 80
-        standby = shares_of([account], acting=True)[PROGRAM]
-        owner = shares_of([account], acting=False)[PROGRAM]
+        standby = isolation_quotas([account], is_standby=True)[PROGRAM]
+        owner = isolation_quotas([account], is_standby=False)[PROGRAM]
         self.assertEqual(standby.limit_tokens, 180)
-        self.assertEqual(standby.elsewhere_tokens, 20)
+        self.assertEqual(standby.peer_tokens, 20)
         self.assertEqual(owner.limit_tokens, 100)
-        self.assertEqual(owner.elsewhere_tokens, 100)
+        self.assertEqual(owner.peer_tokens, 100)
 
 
 if __name__ == "__main__":
