--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -248,7 +248,11 @@
             ("copies", REPLICATION_INTERVAL_S, self._owner.replicate_changes),
             ("store", _STORE_CHECK_INTERVAL_S, self._store.check),
             ("idle-connections", _CLOSE_IDLE_INTERVAL_S, self._close_idle),
-            ("old-programs", _PURGE_INTERVAL_S, self._owner.evict_idle_programs),
+            (
+                "old-programs",
+                _PURGE_INTERVAL_S,
+                self._owner.evict_idle_programs,
+            ),
         ):
             self._timers.subscribe(Subscription(name, period_s, callback))
         await stop.wait()
@@ -283,9 +287,7 @@
         return (200 if self.is_ready else 503), b""
 
     def _start_watch(self, target: WatchTarget) -> None:
-        watcher = Watcher(
-            self._store, target, self._store.wait_before_retry
-        )
+        watcher = Watcher(self._store, target, self._store.wait_before_retry)
         self._tasks.append(asyncio.create_task(watcher.run()))
 
     def _apply_shards(self, batch: WatchBatch, after_outage: bool) -> None:
--- a/libs/ledger/src/masticdale_ledger/failover.py
+++ b/libs/ledger/src/masticdale_ledger/failover.py
@@ -118,14 +118,13 @@
         if shard.isolation is None or shard.isolation.admits_unknown:
             return
         record = shard.view.record
-        if (
-            not shard.won_arbitration
-            and not self._copies.owner_lost_store(
-                shard.number, record.epoch
-            )
+        if not shard.won_arbitration and not self._copies.owner_lost_store(
+            shard.number, record.epoch
         ):
             return
-        shard.isolation = dataclasses.replace(shard.isolation, admits_unknown=True)
+        shard.isolation = dataclasses.replace(
+            shard.isolation, admits_unknown=True
+        )
         logs.write("shard_takes_new", shard=shard.number, epoch=record.epoch)
 
     def seal(self, request: SealRequest) -> SealReply:
--- a/libs/ledger/src/masticdale_ledger/isolation.py
+++ b/libs/ledger/src/masticdale_ledger/isolation.py
@@ -111,7 +111,9 @@
         remainder_side: See ``isolation_quotas``.
     """
     shares = isolation_quotas(
-        [account_from_state(state)], is_standby=True, remainder_side=remainder_side
+        [account_from_state(state)],
+        is_standby=True,
+        remainder_side=remainder_side,
     )
     return charge_peer_quota(state, shares[state.program_id])
 
