--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -10,8 +10,8 @@
     CONFIGURATION_PREFIX,
     READINESS_PATH,
     REPLICA_PREFIX,
-    PlatformDialect,
-    PlatformObjects,
+    PlatformHeaderCodec,
+    PlatformObjectStore,
     read_configuration,
     read_replica,
 )
@@ -23,33 +23,33 @@
     hashing,
     logs,
 )
-from masticdale_entry.following import Followed, Follower
-from masticdale_entry.knowledge import ConfigurationInForce, ReplicaList
 from masticdale_entry.peers import PeerClients
 from masticdale_entry.settings import Settings
 from masticdale_entry.status import StatusServer, dump_page, metrics_page
-from masticdale_gateway import Relay, RelayParts, listen
+from masticdale_entry.watched_state import ActiveConfiguration, ReplicaList
+from masticdale_entry.watching import Watcher, WatchTarget
+from masticdale_gateway import Relay, RelayDependencies, listen
 from masticdale_ledger import (
-    COPY_EVERY_S,
+    LEASE_CHECK_INTERVAL_S,
     LEDGER,
-    LOOK_EVERY_S,
-    RENEW_EVERY_S,
+    RECONCILE_INTERVAL_S,
+    REPLICATION_INTERVAL_S,
     SHARD_COUNT,
     SHARD_PREFIX,
-    ActingStandby,
     FallbackStore,
     Identity,
     Lease,
     LedgerClient,
     LedgerService,
+    LiveHosts,
     ProgramRecords,
-    SeenHosts,
     ShardClaims,
-    ShardKeeper,
     ShardMap,
     ShardOwner,
+    ShardReconciler,
     SharedWatches,
     StandbyCopies,
+    StandbyFailover,
 )
 from masticdale_platform import WatchBatch
 from masticdale_routing.fleet import Fleet
@@ -60,22 +60,22 @@
 _BACKLOG = 1024
 # How long one watch waits, in seconds: nearly the most that the store allows.
 # Each is a priced call; probes of the kernel show a dead connection sooner.
-_WATCH_S = 28.0
+_WATCH_TIMEOUT_S = 28.0
 # Pause after changes of the list of replicas, in seconds: a replica that
 # leaves is to get no new work two seconds later.
 _REPLICAS_SETTLE_S = 0.3
 # How often a host whose watches others follow asks whether the store answers,
 # in seconds: with its timeout, and what those others do then, a change still is
 # in force two seconds after it.
-_CHECK_STORE_EVERY_S = 0.5
+_STORE_CHECK_INTERVAL_S = 0.5
 # From SIGTERM until the balancer sends no more connections, in seconds: it
 # asks each second and leaves a host out after two misses.
-_BALANCER_S = 2.6
+_BALANCER_DRAIN_S = 2.6
 # Kept of the grace for the end itself, in seconds.
-_END_S = 0.7
-_CLOSE_IDLE_EVERY_S = 5.0
-_FORGET_EVERY_S = 60.0
-_POLL_S = 0.05
+_SHUTDOWN_RESERVE_S = 0.7
+_CLOSE_IDLE_INTERVAL_S = 5.0
+_PURGE_INTERVAL_S = 60.0
+_POLL_INTERVAL_S = 0.05
 
 
 class EntryHost:
@@ -90,17 +90,17 @@
         self._servers: list[asyncio.Server] = []
         self._is_stopping = False
         incarnation = f"{time.time_ns():x}-{uuid.uuid4().hex[:8]}"
-        peers_at = _required(settings.peers)
-        reached_at = _required(settings.peers_reached_at)
+        peers_bind = _required(settings.peers)
+        peers_address = _required(settings.effective_peers_address)
         identity = Identity(
             settings.host,
             incarnation,
-            str(reached_at.ip),
-            reached_at.port,
+            str(peers_address.ip),
+            peers_address.port,
             settings.failure_domain,
         )
-        seen = SeenHosts(identity.reached_at)
-        self._direct = PlatformObjects(
+        seen = LiveHosts(identity.host_address)
+        self._direct = PlatformObjectStore(
             str(settings.store.ip), settings.store.port, self._metrics
         )
         self._shard_map = ShardMap()
@@ -116,17 +116,17 @@
             self._direct.ping,
         )
         self._fleet = Fleet(settings.failure_domain)
-        self._configuration = ConfigurationInForce(
+        self._configuration = ActiveConfiguration(
             CONFIGURATION_KEY, read_configuration
         )
         self._replicas = ReplicaList(REPLICA_PREFIX, read_replica, self._fleet)
-        self._lease = Lease(is_store_lost=lambda: self._store.is_lost)
+        self._lease = Lease(is_store_lost=lambda: self._store.is_unreachable)
         records = ProgramRecords(self._store, incarnation)
         self._owner = ShardOwner(records, self._lease, self._metrics)
         self._ledger = LedgerClient(
             self._shard_map,
             self._owner,
-            identity.reached_at,
+            identity.host_address,
             self._peers.client,
             self._metrics,
         )
@@ -142,7 +142,7 @@
             self._peers,
             seen,
         )
-        acting = ActingStandby(
+        acting = StandbyFailover(
             identity,
             self._shard_map,
             self._owner,
@@ -151,7 +151,7 @@
             claims,
             self._peers,
         )
-        self._keeper = ShardKeeper(
+        self._keeper = ShardReconciler(
             identity,
             self._store,
             self._shard_map,
@@ -161,7 +161,7 @@
             claims,
             acting,
             self._peers,
-            lambda: self._store.is_lost,
+            lambda: self._store.is_unreachable,
             seen,
         )
         service = LedgerService(
@@ -173,14 +173,14 @@
             seen,
             shared,
         )
-        self._ledger.admit_here = service.admit
-        self._peer_server = RpcServer(service, peers_at, LEDGER)
+        self._ledger.admit_locally = service.admit
+        self._peer_server = RpcServer(service, peers_bind, LEDGER)
         self._relay = Relay(
-            RelayParts(
+            RelayDependencies(
                 configuration=lambda: self._configuration.current,
                 fleet=self._fleet,
                 ledger=self._ledger,
-                dialect=PlatformDialect(),
+                codec=PlatformHeaderCodec(),
                 metrics=self._metrics,
             )
         )
@@ -223,30 +223,36 @@
     async def run(self, stop: asyncio.Event) -> None:
         """Serves until told to stop, then stops in order."""
         await self._listen()
-        self._follow(
-            Followed(
+        self._start_watch(
+            WatchTarget(
                 CONFIGURATION_PREFIX,
-                _WATCH_S,
+                _WATCH_TIMEOUT_S,
                 self._configuration.apply,
             )
         )
-        self._follow(
-            Followed(
+        self._start_watch(
+            WatchTarget(
                 REPLICA_PREFIX,
-                _WATCH_S,
+                _WATCH_TIMEOUT_S,
                 self._replicas.apply,
                 _REPLICAS_SETTLE_S,
             )
         )
-        self._follow(Followed(SHARD_PREFIX, _WATCH_S, self._apply_shards))
+        self._start_watch(
+            WatchTarget(SHARD_PREFIX, _WATCH_TIMEOUT_S, self._apply_shards)
+        )
         self._tasks.append(asyncio.create_task(self._ledger.run()))
         for name, period_s, callback in (
-            ("shards", LOOK_EVERY_S, self._keeper.look),
-            ("lease", RENEW_EVERY_S, self._keeper.renew),
-            ("copies", COPY_EVERY_S, self._owner.copy_changed),
-            ("store", _CHECK_STORE_EVERY_S, self._store.check),
-            ("idle-connections", _CLOSE_IDLE_EVERY_S, self._close_idle),
-            ("old-programs", _FORGET_EVERY_S, self._owner.forget_old),
+            ("shards", RECONCILE_INTERVAL_S, self._keeper.reconcile),
+            ("lease", LEASE_CHECK_INTERVAL_S, self._keeper.renew_lease),
+            ("copies", REPLICATION_INTERVAL_S, self._owner.replicate_changes),
+            ("store", _STORE_CHECK_INTERVAL_S, self._store.check),
+            ("idle-connections", _CLOSE_IDLE_INTERVAL_S, self._close_idle),
+            (
+                "old-programs",
+                _PURGE_INTERVAL_S,
+                self._owner.evict_idle_programs,
+            ),
         ):
             self._timers.subscribe(Subscription(name, period_s, callback))
         await stop.wait()
@@ -280,39 +286,41 @@
     def _readiness(self) -> tuple[int, bytes]:
         return (200 if self.is_ready else 503), b""
 
-    def _follow(self, followed: Followed) -> None:
-        follower = Follower(self._store, followed, self._store.pause)
-        self._tasks.append(asyncio.create_task(follower.run()))
+    def _start_watch(self, target: WatchTarget) -> None:
+        watcher = Watcher(self._store, target, self._store.wait_before_retry)
+        self._tasks.append(asyncio.create_task(watcher.run()))
 
-    def _apply_shards(self, batch: WatchBatch, was_away: bool) -> None:
-        del was_away
+    def _apply_shards(self, batch: WatchBatch, after_outage: bool) -> None:
+        del after_outage
         is_first = not self._shard_map.is_loaded
         self._shard_map.apply(batch)
         if is_first and self._shard_map.is_loaded:
             # After the loss of all hosts programs wait for this look; the
             # next one by the timer would come a period later.
-            self._tasks.append(asyncio.create_task(self._keeper.look()))
+            self._tasks.append(asyncio.create_task(self._keeper.reconcile()))
 
     async def _close_idle(self) -> None:
         self._relay.pool.close_idle()
         self._peers.close_idle()
 
     async def _stop(self) -> None:
-        began = time.monotonic()
-        end_at = began + self._settings.grace_s - _END_S
+        started_at = time.monotonic()
+        drain_deadline = (
+            started_at + self._settings.grace_s - _SHUTDOWN_RESERVE_S
+        )
         self._is_stopping = True
         self._relay.is_stopping = True
         self._ledger.is_stopping = True
         self._copies.is_stopping = True
-        logs.write("stopping", busy=self._relay.busy)
+        logs.write("stopping", busy=self._relay.active_requests)
         await self._keeper.hand_over_all()
-        while time.monotonic() < began + _BALANCER_S:
-            await asyncio.sleep(_POLL_S)
-        while self._relay.busy and time.monotonic() < end_at:
-            await asyncio.sleep(_POLL_S)
+        while time.monotonic() < started_at + _BALANCER_DRAIN_S:
+            await asyncio.sleep(_POLL_INTERVAL_S)
+        while self._relay.active_requests and time.monotonic() < drain_deadline:
+            await asyncio.sleep(_POLL_INTERVAL_S)
         self._relay.close_idle()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_END_S / 2):
+            async with asyncio.timeout(_SHUTDOWN_RESERVE_S / 2):
                 await self._ledger.flush()
         await self._timers.close()
         for task in self._tasks:
@@ -322,8 +330,8 @@
             server.close()
         logs.write(
             "stopped",
-            busy=self._relay.busy,
-            took_s=round(time.monotonic() - began, 3),
+            busy=self._relay.active_requests,
+            took_s=round(time.monotonic() - started_at, 3),
         )
 
     def _register_dumps(self) -> None:
@@ -357,7 +365,7 @@
             "owned", lambda: [str(n) for n in self._owner.owned()]
         )
         self._dump.register("lease_age_s", lambda: self._lease.age_s)
-        self._dump.register("busy", lambda: self._relay.busy)
+        self._dump.register("busy", lambda: self._relay.active_requests)
 
 
 def _required(address: Address | None) -> Address:
--- a/apps/masticdale_entry/src/masticdale_entry/status.py
+++ b/apps/masticdale_entry/src/masticdale_entry/status.py
@@ -5,9 +5,13 @@
 from collections.abc import Callable
 
 from masticdale_common import Failure, Metrics, StateDump
-from masticdale_gateway.callers import CallerConnection, Reply, close_gently
+from masticdale_gateway.callers import (
+    CallerConnection,
+    ResponseWriter,
+    close_gracefully,
+)
 from masticdale_gateway.messages import Request
-from masticdale_gateway.streams import ConnectionLostError
+from masticdale_gateway.transports import ConnectionLostError
 
 Page = Callable[[], tuple[int, bytes]]
 
@@ -31,17 +35,17 @@
                 request = await connection.next_request()
                 if request is None or isinstance(request, Failure):
                     break
-                self._answer(connection, request)
+                self._respond(connection, request)
                 if not request.keeps_alive:
                     break
-            await close_gently(connection)
+            await close_gracefully(connection)
         except ConnectionLostError:
             connection.abort()
 
-    def _answer(self, connection: CallerConnection, request: Request) -> None:
+    def _respond(self, connection: CallerConnection, request: Request) -> None:
         page = self._page_by_path.get(request.path)
         status, body = page() if page else (404, b"")
-        Reply(connection, request.keeps_alive).send(status, [], body)
+        ResponseWriter(connection, request.keeps_alive).send(status, [], body)
 
 
 def metrics_page(metrics: Metrics) -> Page:
--- a/apps/masticdale_entry/src/masticdale_entry/following.py
+++ b/apps/masticdale_entry/src/masticdale_entry/watching.py
@@ -12,13 +12,13 @@
 
 # After a failed watch, in seconds; doubles to the second value. All hosts
 # lose the store in the same moment, so each waits a random part more.
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 1.0
+_INITIAL_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Followed:
-    """What is followed, and for whom.
+class WatchTarget:
+    """What to watch, and the consumer.
 
     Attributes:
         prefix: Keys of this prefix.
@@ -34,29 +34,29 @@
     settle_s: float = 0.0
 
 
-class Follower:
+class Watcher:
     """Keeps one consumer up to date with the store."""
 
     def __init__(
         self,
         store: ObjectStore,
-        followed: Followed,
+        target: WatchTarget,
         pause: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
         """Prepares to follow.
 
         Args:
-            store: What is followed.
-            followed: Which part, and for whom.
+            store: The store to watch.
+            target: What to watch, and the consumer.
             pause: Waits so many seconds after a failed watch, or less where
                 another one may succeed sooner.
         """
         self._store = store
-        self._followed = followed
+        self._target = target
         self._pause_after_failure = pause
         self._position = 0
-        self._was_away = False
-        self._pause_s = _FIRST_PAUSE_S
+        self._after_outage = False
+        self._backoff_s = _INITIAL_BACKOFF_S
 
     async def run(self) -> None:
         """Follows until cancelled."""
@@ -65,34 +65,34 @@
 
     async def _step(self) -> None:
         outcome = await self._store.watch(
-            self._followed.prefix, self._position, self._followed.wait_s
+            self._target.prefix, self._position, self._target.wait_s
         )
         if isinstance(outcome, Failed):
             failure = outcome.failure()
             if failure.kind is not ErrorKind.HISTORY_GONE:
-                self._was_away = True
+                self._after_outage = True
             # A store in trouble may let a watch go on from a position whose
             # next changes it has dropped, and the watch then waits for
             # changes that will never come. Only a fresh list is certain.
-            asked_from, self._position = self._position, 0
+            failed_position, self._position = self._position, 0
             logs.write_bounded(
                 "watch_failed",
-                prefix=self._followed.prefix,
-                position=asked_from,
+                prefix=self._target.prefix,
+                position=failed_position,
                 reason=str(failure),
             )
-            await self._pause()
+            await self._back_off()
             return
         batch = outcome.unwrap()
         self._position = batch.position
-        self._pause_s = _FIRST_PAUSE_S
-        was_away, self._was_away = self._was_away, False
-        self._followed.apply(batch, was_away)
+        self._backoff_s = _INITIAL_BACKOFF_S
+        after_outage, self._after_outage = self._after_outage, False
+        self._target.apply(batch, after_outage)
         if batch.changed or batch.deleted_keys:
-            await asyncio.sleep(self._followed.settle_s)
+            await asyncio.sleep(self._target.settle_s)
 
-    async def _pause(self) -> None:
+    async def _back_off(self) -> None:
         await self._pause_after_failure(
-            self._pause_s * random.uniform(0.5, 1.5)
+            self._backoff_s * random.uniform(0.5, 1.5)
         )
-        self._pause_s = min(_LONGEST_PAUSE_S, 2 * self._pause_s)
+        self._backoff_s = min(_MAX_BACKOFF_S, 2 * self._backoff_s)
--- a/apps/masticdaled/src/masticdaled/replicas/home.py
+++ b/apps/masticdaled/src/masticdaled/replicas/home.py
@@ -6,7 +6,7 @@
 from masticdale_peers import ProbeRequest, TicketRelease, TicketRequest
 from masticdale_routing import (
     BranchKey,
-    Circuit,
+    CircuitBreaker,
     EvictionRate,
     PrefixIndex,
     PrefixRequest,
@@ -52,7 +52,7 @@
     is_leaving: bool = False
     events_position: int = 0
     ticks: int = 0
-    circuit: Circuit = dataclasses.field(default_factory=Circuit)
+    circuit: CircuitBreaker = dataclasses.field(default_factory=CircuitBreaker)
     evictions: EvictionRate = dataclasses.field(default_factory=EvictionRate)
     incarnation_by_ticket: dict[str, str] = dataclasses.field(
         default_factory=dict
@@ -60,7 +60,7 @@
 
     def residence_ms(self, now: float) -> int:
         """Returns how long an unused token stays; 0 while nothing presses."""
-        rate = self.evictions.per_s(now)
+        rate = self.evictions.tokens_per_s(now)
         if rate <= 0 or not self.prefixes.capacity_tokens:
             return 0
         return int(self.prefixes.capacity_tokens / rate * 1000)
--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -120,21 +120,21 @@
             await self._crashes.note(home, process)
         now = time.monotonic()
         if release.crashed:
-            home.circuit.failed(now)
+            home.circuit.record_failure(now)
             if not home.circuit.allows(now) and not home.is_tripped:
                 # Granting on would send every waiting call into the same
                 # failure and spend a retry on each.
                 home.is_tripped = True
                 self._close(home, "fails its calls")
         elif release.generated_tokens:
-            home.circuit.succeeded()
+            home.circuit.record_success()
         request = home.request_by_ticket.pop(release.ticket_id, None)
         home.incarnation_by_ticket.pop(release.ticket_id, None)
         home.queue.finish(release.ticket_id, result_of(release), now)
         if request is not None and release.generated_tokens:
             tokens = release.prompt_tokens + release.generated_tokens
             branch = BranchKey(request.program_id, request.prefix.branch_id)
-            home.prefixes.finished(branch, tokens, now)
+            home.prefixes.record_finished(branch, tokens, now)
         self._flush(home)
 
     def withdraw(self, release: TicketRelease) -> None:
@@ -186,7 +186,7 @@
         """Notes that a replica holds nothing more for a program."""
         home = self._home_by_replica.get(replica)
         if home is not None:
-            home.prefixes.released(program_id)
+            home.prefixes.remove_program(program_id)
 
     def held_homes(self) -> tuple[ReplicaHome, ...]:
         """Returns the homes this host holds."""
@@ -304,7 +304,7 @@
         was_unusable = home.misses >= HEALTH_MISSES_TO_CLOSE
         home.misses = 0
         if home.incarnation and home.incarnation != report.incarnation:
-            home.prefixes.restarted()
+            home.prefixes.clear()
         if not home.incarnation:
             # Granted before the first check: at the process seen first.
             for ticket_id in home.incarnation_by_ticket:
@@ -363,7 +363,7 @@
             home.incarnation_by_ticket.pop(ticket.ticket_id, None)
 
     def _flush(self, home: ReplicaHome) -> None:
-        granted = home.queue.grantable(time.monotonic())
+        granted = home.queue.take_granted(time.monotonic())
         now = time.monotonic()
         for ticket in granted:
             request = home.request_by_ticket.get(ticket.ticket_id)
@@ -378,7 +378,7 @@
     def _note_granted(
         self, home: ReplicaHome, request: TicketRequest, now: float
     ) -> None:
-        home.prefixes.sent(prefix_request_of(request), now)
+        home.prefixes.record_sent(prefix_request_of(request), now)
         home.incarnation_by_ticket.setdefault(
             request.ticket_id, home.incarnation
         )
--- a/libs/gateway/src/masticdale_gateway/__init__.py
+++ b/libs/gateway/src/masticdale_gateway/__init__.py
@@ -1,28 +1,28 @@
 """The HTTP data path: callers on one side, replicas on the other."""
 
 from masticdale_gateway.calls import BudgetLedger, RelaySettings, TurnClaim
-from masticdale_gateway.dialect import (
-    AnswerTerms,
-    CallTerms,
-    Dialect,
-    SendTerms,
+from masticdale_gateway.codec import (
+    ForwardingMetadata,
+    HeaderCodec,
+    RequestMetadata,
+    ResponseMetadata,
 )
 from masticdale_gateway.messages import Header, Headers, Request, ResponseHead
-from masticdale_gateway.relay import Relay, RelayParts, listen
+from masticdale_gateway.relay import Relay, RelayDependencies, listen
 
 __all__ = [
-    "AnswerTerms",
     "BudgetLedger",
-    "CallTerms",
-    "Dialect",
+    "ForwardingMetadata",
     "Header",
+    "HeaderCodec",
     "Headers",
     "Relay",
-    "RelayParts",
+    "RelayDependencies",
     "RelaySettings",
     "Request",
+    "RequestMetadata",
     "ResponseHead",
-    "SendTerms",
+    "ResponseMetadata",
     "TurnClaim",
     "listen",
 ]
--- a/libs/gateway/src/masticdale_gateway/dialect.py
+++ b/libs/gateway/src/masticdale_gateway/codec.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallTerms:
+class RequestMetadata:
     """What a caller's headers say of its request.
 
     Attributes:
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerTerms:
+class ResponseMetadata:
     """What a replica's headers say of its answer.
 
     Attributes:
@@ -44,7 +44,7 @@
         retry_after_s: When it wants the request back; None if not told.
     """
 
-    is_not_run: bool
+    is_rejected: bool
     is_genuine: bool
     running: int | None = None
     waiting: int = 0
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendTerms:
+class ForwardingMetadata:
     """What a request sent to a replica has to say.
 
     Attributes:
@@ -66,30 +66,32 @@
     last_event_id: str = ""
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """Reads and writes the headers."""
 
-    def read_call(self, headers: Headers) -> CallTerms:
-        """Returns the terms of a request; values of no use count as absent."""
+    def parse_request(self, headers: Headers) -> RequestMetadata:
+        """Returns the metadata of a request; invalid values count as absent."""
         ...
 
-    def read_answer(self, head: ResponseHead) -> AnswerTerms:
-        """Returns the terms of an answer."""
+    def parse_response(self, head: ResponseHead) -> ResponseMetadata:
+        """Returns the metadata of an answer."""
         ...
 
-    def answers(self, head: ResponseHead, request_id: str) -> bool:
+    def answers_request(self, head: ResponseHead, request_id: str) -> bool:
         """Returns whether an answer belongs to a request."""
         ...
 
-    def outgoing(self, headers: Headers, terms: SendTerms) -> list[Header]:
+    def request_headers(
+        self, headers: Headers, metadata: ForwardingMetadata
+    ) -> list[Header]:
         """Returns the fields to send to a replica."""
         ...
 
-    def incoming(self, head: ResponseHead) -> Iterable[Header]:
+    def response_headers(self, head: ResponseHead) -> Iterable[Header]:
         """Returns the fields of an answer to hand to the caller."""
         ...
 
-    def refusal(
+    def error_headers(
         self, request_id: str, retry_after_s: float | None
     ) -> Iterable[Header]:
         """Returns the fields of an answer of our own."""
--- a/libs/gateway/src/masticdale_gateway/relay.py
+++ b/libs/gateway/src/masticdale_gateway/relay.py
@@ -13,8 +13,8 @@
 from masticdale_gateway.callers import (
     CallerConnection,
     ReadLimits,
-    Reply,
-    close_gently,
+    ResponseWriter,
+    close_gracefully,
 )
 from masticdale_gateway.calls import (
     BudgetLedger,
@@ -22,19 +22,19 @@
     RelaySettings,
     TurnClaim,
 )
-from masticdale_gateway.dialect import CallTerms, Dialect
+from masticdale_gateway.codec import HeaderCodec, RequestMetadata
 from masticdale_gateway.exchanges import Sender
 from masticdale_gateway.messages import Request
-from masticdale_gateway.plain import PlainRelay, WholeAnswer
 from masticdale_gateway.pools import ConnectionPool
 from masticdale_gateway.streaming import StreamRelay
-from masticdale_gateway.streams import ConnectionLostError
+from masticdale_gateway.transports import ConnectionLostError
+from masticdale_gateway.unary import BufferedResponse, UnaryRelay
 from masticdale_routing.fleet import Fleet
 from masticdale_routing.routes import Configuration, Service
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RelayParts:
+class RelayDependencies:
     """What a relay works with.
 
     Attributes:
@@ -42,7 +42,7 @@
             first.
         fleet: The replicas.
         ledger: Keeps programs within their budgets.
-        dialect: Reads and writes the headers.
+        codec: Reads and writes the headers.
         metrics: Counts.
         settings: Limits.
     """
@@ -50,7 +50,7 @@
     configuration: Callable[[], Configuration | None]
     fleet: Fleet
     ledger: BudgetLedger
-    dialect: Dialect
+    codec: HeaderCodec
     metrics: Metrics
     settings: RelaySettings = dataclasses.field(default_factory=RelaySettings)
 
@@ -64,16 +64,21 @@
         pool: Connections to replicas.
     """
 
-    def __init__(self, parts: RelayParts) -> None:
-        self.busy = 0
+    def __init__(self, dependencies: RelayDependencies) -> None:
+        self.active_requests = 0
         self.is_stopping = False
-        self.pool = ConnectionPool(parts.metrics)
-        self._parts = parts
+        self.pool = ConnectionPool(dependencies.metrics)
+        self._dependencies = dependencies
         self._connections: set[CallerConnection] = set()
-        sender = Sender(self.pool, parts.dialect, parts.metrics)
-        self._plain = PlainRelay(parts.fleet, sender, parts.settings)
+        sender = Sender(self.pool, dependencies.codec, dependencies.metrics)
+        self._unary = UnaryRelay(
+            dependencies.fleet, sender, dependencies.settings
+        )
         self._streams = StreamRelay(
-            parts.fleet, sender, parts.dialect, parts.settings
+            dependencies.fleet,
+            sender,
+            dependencies.codec,
+            dependencies.settings,
         )
 
     def create_connection(self) -> CallerConnection:
@@ -103,7 +108,7 @@
         try:
             while await self._serve_next(connection):
                 pass
-            await close_gently(connection)
+            await close_gracefully(connection)
         except ConnectionLostError:
             connection.abort()
         finally:
@@ -115,106 +120,116 @@
         if arrived is None:
             return False
         if isinstance(arrived, Failure):
-            reply = Reply(connection, keeps_alive=False)
-            self._refuse(reply, "", arrived)
+            writer = ResponseWriter(connection, keeps_alive=False)
+            self._send_error(writer, "", arrived)
             return False
         connection.is_busy = True
-        self.busy += 1
+        self.active_requests += 1
         try:
             return await self._answer(connection, arrived)
         finally:
-            self.busy -= 1
+            self.active_requests -= 1
             connection.is_busy = False
 
     async def _answer(
         self, connection: CallerConnection, request: Request
     ) -> bool:
-        reply = Reply(connection, request.keeps_alive and not self.is_stopping)
-        terms = self._parts.dialect.read_call(request.headers)
+        writer = ResponseWriter(
+            connection, request.keeps_alive and not self.is_stopping
+        )
+        metadata = self._dependencies.codec.parse_request(request.headers)
         began = time.monotonic()
-        routed = self._route(request, terms)
+        routed = self._route(request, metadata)
         call: Call | None = None
         if isinstance(routed, Failed):
-            outcome: WholeAnswer | Failure | None = routed.failure()
+            outcome: BufferedResponse | Failure | None = routed.failure()
         else:
             call = routed.unwrap()
             try:
-                outcome = await self._run(call, reply)
+                outcome = await self._run(call, writer)
             except asyncio.CancelledError:
                 logs.write_bounded(
                     "caller_left",
-                    request_id=terms.request_id,
-                    program_id=terms.program_id,
+                    request_id=metadata.request_id,
+                    program_id=metadata.program_id,
                     route=call.route.name,
                     replicas=call.replica_ids,
                     events=call.events,
                     took_ms=round(1000 * (time.monotonic() - began), 1),
                 )
                 raise
-        reply.keeps_alive = reply.keeps_alive and not self.is_stopping
+        writer.keeps_alive = writer.keeps_alive and not self.is_stopping
         if isinstance(outcome, Failure):
-            self._refuse(reply, terms.request_id, outcome)
+            self._send_error(writer, metadata.request_id, outcome)
         elif outcome is not None:
-            reply.send(
+            writer.send(
                 outcome.head.status,
-                self._parts.dialect.incoming(outcome.head),
+                self._dependencies.codec.response_headers(outcome.head),
                 outcome.body,
             )
-        self._log(call, terms, reply, outcome, time.monotonic() - began)
-        return reply.is_finished and reply.keeps_alive
+        self._record_outcome(
+            call, metadata, writer, outcome, time.monotonic() - began
+        )
+        return writer.is_finished and writer.keeps_alive
 
     def _route(
-        self, request: Request, terms: CallTerms
+        self, request: Request, metadata: RequestMetadata
     ) -> Result[Call, Failure]:
-        configuration = self._parts.configuration()
+        configuration = self._dependencies.configuration()
         if configuration is None:
             return Failed(Failure(ErrorKind.NOT_CONFIGURED))
         route = configuration.table.find(request.host, request.path)
         if route is None:
             detail = f"version {configuration.version}"
             return Failed(Failure(ErrorKind.NO_ROUTE, detail))
-        name = route.service_for(terms.program_id or terms.request_id)
+        name = route.service_for(metadata.program_id or metadata.request_id)
         service = configuration.service_by_name.get(name) or Service(name, 0)
         limit_s = route.timeout_s
-        if terms.deadline_s is not None:
-            limit_s = min(limit_s, terms.deadline_s)
+        if metadata.deadline_s is not None:
+            limit_s = min(limit_s, metadata.deadline_s)
         return Success(
-            Call(request, terms, route, service, request.received_at + limit_s)
+            Call(
+                request, metadata, route, service, request.received_at + limit_s
+            )
         )
 
     async def _run(
-        self, call: Call, reply: Reply
-    ) -> WholeAnswer | Failure | None:
+        self, call: Call, writer: ResponseWriter
+    ) -> BufferedResponse | Failure | None:
         if not call.is_stream:
-            return await self._plain.run(call)
-        claim = _claim(call)
+            return await self._unary.run(call)
+        claim = _turn_claim(call)
         if claim is None:
-            return await self._streams.run(call, reply)
+            return await self._streams.run(call, writer)
         try:
-            admitted = await self._parts.ledger.admit(claim, call.deadline_at)
+            admitted = await self._dependencies.ledger.admit(
+                claim, call.deadline_at
+            )
             if isinstance(admitted, Failed):
                 failure: Failure = admitted.failure()
                 return failure
-            return await self._streams.run(call, reply)
+            return await self._streams.run(call, writer)
         finally:
             # Also after a refusal, and where the caller left before an
             # answer: the owner may have reserved the turn's tokens, and the
             # program would reach its budget too early.
             used = call.events * call.service.tokens_per_event
-            self._parts.ledger.settle(claim, used)
+            self._dependencies.ledger.settle(claim, used)
 
-    def _refuse(self, reply: Reply, request_id: str, failure: Failure) -> None:
+    def _send_error(
+        self, writer: ResponseWriter, request_id: str, failure: Failure
+    ) -> None:
         come_back_ms = failure.come_back_ms
-        fields = self._parts.dialect.refusal(
+        fields = self._dependencies.codec.error_headers(
             request_id, None if come_back_ms is None else come_back_ms / 1000
         )
         body = json.dumps(
             {"error": failure.kind.value, "message": str(failure)}
         ).encode()
-        reply.send(failure.answer.status, fields, body)
+        writer.send(failure.answer.status, fields, body)
 
     def _read_limits(self) -> ReadLimits:
-        configuration = self._parts.configuration()
+        configuration = self._dependencies.configuration()
         if configuration is None:
             return ReadLimits()
         limits = configuration.limits
@@ -225,33 +240,33 @@
             limits.idle_timeout_s,
         )
 
-    def _log(
+    def _record_outcome(
         self,
         call: Call | None,
-        terms: CallTerms,
-        reply: Reply,
-        outcome: WholeAnswer | Failure | None,
+        metadata: RequestMetadata,
+        writer: ResponseWriter,
+        outcome: BufferedResponse | Failure | None,
         took_s: float,
     ) -> None:
         failure = outcome if isinstance(outcome, Failure) else None
         kind = failure.kind.value if failure else "answered"
-        if outcome is None and not reply.is_finished:
+        if outcome is None and not writer.is_finished:
             kind = ErrorKind.BROKEN_OFF.value
         route = call.route if call else None
-        metrics = self._parts.metrics
+        metrics = self._dependencies.metrics
         metrics.count("requests_total", outcome=kind)
         metrics.observe(
             "request_seconds", took_s, kind=route.kind if route else "none"
         )
-        configuration = self._parts.configuration()
+        configuration = self._dependencies.configuration()
         logs.write_bounded(
             "request",
-            request_id=terms.request_id,
-            program_id=terms.program_id,
-            prompt_parts=terms.prompt_parts,
+            request_id=metadata.request_id,
+            program_id=metadata.program_id,
+            prompt_parts=metadata.prompt_parts,
             route=route.name if route else "",
             version=configuration.version if configuration else 0,
-            status=reply.status,
+            status=writer.status,
             outcome=kind,
             detail=failure.detail if failure else "",
             replicas=call.replica_ids if call else [],
@@ -260,15 +275,15 @@
         )
 
 
-def _claim(call: Call) -> TurnClaim | None:
-    terms = call.terms
-    if not terms.program_id or terms.budget_tokens is None:
+def _turn_claim(call: Call) -> TurnClaim | None:
+    metadata = call.metadata
+    if not metadata.program_id or metadata.budget_tokens is None:
         return None
     return TurnClaim(
-        program_id=terms.program_id,
-        request_id=terms.request_id,
-        budget_tokens=terms.budget_tokens,
-        turn_tokens=terms.turn_tokens,
+        program_id=metadata.program_id,
+        request_id=metadata.request_id,
+        budget_tokens=metadata.budget_tokens,
+        turn_tokens=metadata.turn_tokens,
     )
 
 
--- a/libs/ledger/src/masticdale_ledger/__init__.py
+++ b/libs/ledger/src/masticdale_ledger/__init__.py
@@ -1,17 +1,17 @@
 """Program budgets that hold over hosts, restarts and outages of the store."""
 
-from masticdale_ledger.acting import ActingStandby
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.client import SHARD_COUNT, LedgerClient
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
-from masticdale_ledger.keeper import (
-    LOOK_EVERY_S,
-    RENEW_EVERY_S,
-    ShardKeeper,
-)
+from masticdale_ledger.failover import StandbyFailover
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.leases import Lease, boot_time_s
 from masticdale_ledger.messages import LEDGER
-from masticdale_ledger.owner import COPY_EVERY_S, ShardOwner
+from masticdale_ledger.owner import REPLICATION_INTERVAL_S, ShardOwner
+from masticdale_ledger.reconciler import (
+    LEASE_CHECK_INTERVAL_S,
+    RECONCILE_INTERVAL_S,
+    ShardReconciler,
+)
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.service import LedgerService
 from masticdale_ledger.shards import SHARD_PREFIX, ShardMap, ShardRecord
@@ -20,27 +20,27 @@
 from masticdale_ledger.store_relay import FallbackStore
 
 __all__ = [
-    "COPY_EVERY_S",
+    "LEASE_CHECK_INTERVAL_S",
     "LEDGER",
-    "LOOK_EVERY_S",
-    "RENEW_EVERY_S",
+    "RECONCILE_INTERVAL_S",
+    "REPLICATION_INTERVAL_S",
     "SHARD_COUNT",
     "SHARD_PREFIX",
-    "ActingStandby",
     "FallbackStore",
     "Hosts",
     "Identity",
     "Lease",
     "LedgerClient",
     "LedgerService",
+    "LiveHosts",
     "ProgramRecords",
-    "SeenHosts",
     "ShardClaims",
-    "ShardKeeper",
     "ShardMap",
     "ShardOwner",
+    "ShardReconciler",
     "ShardRecord",
     "SharedWatches",
     "StandbyCopies",
+    "StandbyFailover",
     "boot_time_s",
 ]
--- a/libs/ledger/src/masticdale_ledger/service.py
+++ b/libs/ledger/src/masticdale_ledger/service.py
@@ -3,11 +3,10 @@
 from returns.result import Failure as Failed
 
 from masticdale_gateway.calls import TurnClaim
-from masticdale_ledger.acting import ActingStandby
 from masticdale_ledger.admissions import Admissions
 from masticdale_ledger.arbiter import Arbiter
-from masticdale_ledger.hosts import SeenHosts
-from masticdale_ledger.keeper import ShardKeeper
+from masticdale_ledger.failover import StandbyFailover
+from masticdale_ledger.hosts import LiveHosts
 from masticdale_ledger.messages import (
     AdmitReply,
     AdmitRequest,
@@ -28,6 +27,7 @@
 )
 from masticdale_ledger.owner import ShardOwner
 from masticdale_ledger.peer_store import serve_store
+from masticdale_ledger.reconciler import ShardReconciler
 from masticdale_ledger.shared_watches import SharedWatches
 from masticdale_ledger.standby import StandbyCopies
 from masticdale_platform import ObjectStore
@@ -39,11 +39,11 @@
     def __init__(
         self,
         owner: ShardOwner,
-        keeper: ShardKeeper,
-        acting: ActingStandby,
+        reconciler: ShardReconciler,
+        acting: StandbyFailover,
         copies: StandbyCopies,
         direct: ObjectStore,
-        seen: SeenHosts,
+        seen: LiveHosts,
         shared: SharedWatches | None,
     ) -> None:
         self._acting = acting
@@ -51,7 +51,7 @@
         self._admissions = Admissions(owner, acting)
         self._copies = copies
         self._owner = owner
-        self._keeper = keeper
+        self._reconciler = reconciler
         self._direct = direct
         self._seen = seen
         self._shared = shared
@@ -59,9 +59,9 @@
     async def admit(self, request: AdmitRequest) -> AdmitReply:
         """Admits a turn of an own shard."""
         if request.asker_stops:
-            self._seen.forget(request.asker)
+            self._seen.remove(request.asker)
         else:
-            self._seen.note(request.asker)
+            self._seen.record_request(request.asker)
         claim = TurnClaim(
             program_id=request.program_id,
             request_id=request.request_id,
@@ -84,7 +84,7 @@
 
     async def hand_over(self, request: HandOver) -> HandOverReply:
         """Takes over a shard."""
-        return await self._keeper.accept(request)
+        return await self._reconciler.accept(request)
 
     async def copy(self, request: CopyRequest) -> CopyReply:
         """Holds accounts of another host's shard."""
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -15,11 +15,10 @@
 from returns.result import Success
 
 from masticdale_common import ErrorKind, Failure, Metrics
-from masticdale_ledger.acting import ActingStandby
 from masticdale_ledger.claims import ShardClaims
-from masticdale_ledger.client import Unreachable
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
-from masticdale_ledger.keeper import ShardKeeper
+from masticdale_ledger.client import UnreachableOwner
+from masticdale_ledger.failover import StandbyFailover
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import (
     ADMIT,
@@ -29,6 +28,7 @@
     SettleRequest,
 )
 from masticdale_ledger.owner import ShardOwner
+from masticdale_ledger.reconciler import ShardReconciler
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.service import LedgerService
 from masticdale_ledger.shards import ShardMap, shard_key
@@ -150,7 +150,7 @@
         self.owner = ShardOwner(records, lease, Metrics())
         self.copies = StandbyCopies()
         links = Links(world, name)
-        self.seen = SeenHosts(identity.reached_at)
+        self.seen = LiveHosts(identity.host_address)
         self.client = types.SimpleNamespace(unreachable_by_shard={})
         claims = ShardClaims(
             identity,
@@ -163,10 +163,10 @@
             links,
             self.seen,
         )
-        self.acting = ActingStandby(
+        self.acting = StandbyFailover(
             identity, self.map, self.owner, lease, self.copies, claims, links
         )
-        self.keeper = ShardKeeper(
+        self.reconciler = ShardReconciler(
             identity,
             self.store,
             self.map,
@@ -181,7 +181,7 @@
         )
         self.service = LedgerService(
             self.owner,
-            self.keeper,
+            self.reconciler,
             self.acting,
             self.copies,
             self.store,
@@ -239,9 +239,9 @@
             await self.start(name)
         for process in self.process_by_name.values():
             for other in self.process_by_name.values():
-                process.seen.note(other.identity.reached_at)
+                process.seen.record_request(other.identity.host_address)
         first = self.process_by_name[self.names[1]]
-        await first.keeper.look()
+        await first.reconciler.reconcile()
         await self.learn()
 
     async def learn(self):
@@ -273,7 +273,7 @@
             request_id,
             self.budget,
             MOST,
-            process.identity.reached_at,
+            process.identity.host_address,
             process.is_stopping,
         )
         record = view.record
@@ -306,7 +306,7 @@
             known.pop(SHARD, None)
             return
         now = asyncio.get_running_loop().time()
-        known[SHARD] = Unreachable(view.version, now - 1.0, now)
+        known[SHARD] = UnreachableOwner(view.version, now - 1.0, now)
 
     def _give(self, program, request_id, asked):
         given = self.given_by_program.setdefault(program, {})
@@ -372,11 +372,11 @@
             case "end":
                 await self.end_turn(first % (MOST + 1))
             case "look" if process:
-                await process.keeper.look()
+                await process.reconciler.reconcile()
             case "learn" if process:
                 await process.read_map()
             case "copy" if process:
-                await process.owner.copy_changed()
+                await process.owner.replicate_changes()
             case "cut":
                 self.cuts.add(frozenset((name, other)))
             case "isolate":
@@ -403,7 +403,7 @@
                 await self.start(name)
             case "stop" if process and not process.is_stopping:
                 process.stop()
-                await process.keeper.hand_over_all()
+                await process.reconciler.hand_over_all()
             case "kill-all":
                 for each in names:
                     self.kill(each)
@@ -436,10 +436,10 @@
     with (
         mock.patch("masticdale_common.logs.write", write),
         mock.patch("masticdale_common.logs.write_bounded", write),
-        mock.patch("masticdale_ledger.owner._TURNS_END_WITHIN_S", 0.0),
-        mock.patch("masticdale_ledger.keeper._CLAIM_SPREAD_S", 0.0),
+        mock.patch("masticdale_ledger.owner._RESERVATION_WAIT_S", 0.0),
+        mock.patch("masticdale_ledger.reconciler._CLAIM_JITTER_S", 0.0),
         mock.patch("masticdale_ledger.standby.boot_time_s", world.clock),
-        mock.patch("masticdale_ledger.keeper.SHARD_COUNT", 1),
+        mock.patch("masticdale_ledger.reconciler.SHARD_COUNT", 1),
     ):
         yield
 
--- a/libs/ledger/tests/test_acting.py
+++ b/libs/ledger/tests/test_failover.py
@@ -9,10 +9,9 @@
 
 from masticdale_common import ErrorKind, Failure, Metrics
 from masticdale_gateway.calls import TurnClaim
-from masticdale_ledger.acting import ActingStandby
 from masticdale_ledger.claims import ShardClaims
-from masticdale_ledger.hosts import Hosts, Identity, SeenHosts
-from masticdale_ledger.keeper import ShardKeeper
+from masticdale_ledger.failover import StandbyFailover
+from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import (
     AccountState,
@@ -21,9 +20,10 @@
     SettleReply,
 )
 from masticdale_ledger.owner import ShardOwner
+from masticdale_ledger.reconciler import ShardReconciler
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
-    Previous,
+    PreviousOwner,
     ShardMap,
     ShardRecord,
     shard_key,
@@ -42,7 +42,7 @@
     address="127.0.0.1",
     port=1,
     epoch=1,
-    previous=Previous.NONE,
+    previous=PreviousOwner.NONE,
     standby_address="127.0.0.1",
     standby_port=2,
 )
@@ -101,7 +101,7 @@
         self.other = Owner()
         records = ProgramRecords(self.store, STANDBY.incarnation)
         self.owner = ShardOwner(records, self.lease, Metrics())
-        seen = SeenHosts(STANDBY.reached_at)
+        seen = LiveHosts(STANDBY.host_address)
         client = types.SimpleNamespace(unreachable_by_shard={})
         claims = ShardClaims(
             STANDBY,
@@ -114,7 +114,7 @@
             self.other,
             seen,
         )
-        self.acting = ActingStandby(
+        self.acting = StandbyFailover(
             STANDBY,
             self.map,
             self.owner,
@@ -123,7 +123,7 @@
             claims,
             self.other,
         )
-        self.keeper = ShardKeeper(
+        self.keeper = ShardReconciler(
             STANDBY,
             self.store,
             self.map,
@@ -168,7 +168,7 @@
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         self.assertIsNone(await self.admit(claim("r")))
         self.assertLess(loop.time() - began, 0.4)
         await asyncio.sleep(0.05)
@@ -179,9 +179,9 @@
 
     async def test_an_owner_that_answers_is_not_replaced(self):
         self.other.is_silent = False
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         self.assertIs(await self.admit(claim("r")), ErrorKind.NOT_OWNER)
-        self.assertTrue(self.copies.holds(SHARD, 1))
+        self.assertTrue(self.copies.is_usable(SHARD, 1))
 
     async def test_new_programs_wait_until_the_store_is_known_to_be_lost(self):
         """An owner that lives would count them from zero.
@@ -189,7 +189,7 @@
         It may reach the store, name another standby and never ask this one.
         """
         self.store.faults.delay_s = 0.3
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         self.assertIsNone(await self.admit(claim("r1")))
         waits = await self.admit(claim("r2", "new"))
         self.assertIs(waits, ErrorKind.LEDGER_UNAVAILABLE)
@@ -199,7 +199,7 @@
 
     async def test_what_was_given_meanwhile_is_counted_once_it_owns(self):
         self.store.faults.delay_s = 0.2
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         for number in range(2):
             self.assertIsNone(await self.admit(claim(f"r{number}")))
         await asyncio.sleep(0.6)
@@ -208,7 +208,7 @@
         account = shard.accounts.get("known")
         # 40 before, two turns here, and a half of 560 that the owner may
         # have given when it was alone.
-        self.assertGreaterEqual(account.taken_tokens, 40 + 200 + 280)
+        self.assertGreaterEqual(account.committed_tokens, 40 + 200 + 280)
 
 
 class UnknownClaimTest(ActingCase):
@@ -219,11 +219,11 @@
         When the store is back it names this process as the owner.
         """
         self.store.is_lossy = True
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         self.assertIsNone(await self.admit(claim("r")))
         await asyncio.sleep(0.05)
         await self.read_map()
-        await self.keeper.look()
+        await self.keeper.reconcile()
         shard = self.owner.owned()[SHARD]
         self.assertFalse(shard.is_acting)
         account = shard.accounts.get("known")
@@ -245,7 +245,7 @@
         )
         self.assertIs(reply.failure.kind, ErrorKind.WRITE_UNKNOWN)
         await self.read_map()
-        await self.keeper.look()
+        await self.keeper.reconcile()
         account = self.owner.owned()[SHARD].accounts.get("known")
         self.assertEqual(account.spent_tokens, 40)
 
@@ -265,15 +265,15 @@
         self.assertIs(reply.failure.kind, ErrorKind.WRITE_UNKNOWN)
         self.store.is_silent_for_lists = False
         await self.read_map()
-        await self.keeper.look()
+        await self.keeper.reconcile()
         account = self.owner.owned()[SHARD].accounts.get("known")
         self.assertEqual(account.spent_tokens, 40)
 
     async def test_a_claim_that_was_not_written_is_forgotten(self):
         self.store.faults.drop_writes = 1
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         await asyncio.sleep(0.05)
-        await self.keeper.look()
+        await self.keeper.reconcile()
         shard = self.owner.owned()[SHARD]
         self.assertFalse(shard.is_acting)
         self.assertEqual(shard.view.record.owner, "b")
--- a/libs/ledger/tests/test_seals.py
+++ b/libs/ledger/tests/test_seals.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from test_acting import SHARD, ActingCase, claim
+from test_failover import SHARD, ActingCase, claim
 
 from masticdale_common import ErrorKind
 from masticdale_ledger.messages import SealRequest
@@ -29,7 +29,7 @@
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.store.faults.down = True
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         await asyncio.sleep(0.05)
         self.assertIsNone(await self.admit(claim("r1")))
         self.assertIsNone(await self.admit(claim("r2", "new")))
@@ -51,7 +51,7 @@
         self.seal()
         refused = await self.admit(claim("r3", "new"))
         self.assertIs(refused, ErrorKind.NOT_OWNER)
-        await self.acting.act(SHARD)
+        await self.acting.fail_over(SHARD)
         refused = await self.admit(claim("r3", "new"))
         self.assertIs(refused, ErrorKind.NOT_OWNER)
 
@@ -73,7 +73,7 @@
         await self.acting.claim(shard)
         accounts = self.owner.owned()[SHARD].accounts
         self.assertIsNotNone(accounts.get("new"))
-        self.assertEqual(accounts.get("new").taken_tokens, 100)
+        self.assertEqual(accounts.get("new").committed_tokens, 100)
         known = accounts.get("known")
         self.assertEqual(known.spent_tokens, given["known"].spent_tokens)
 
--- a/libs/programs/src/masticdale_programs/testing.py
+++ b/libs/programs/src/masticdale_programs/testing.py
@@ -58,7 +58,7 @@
         self, call: ModelCall, sink: TextSink
     ) -> Result[ModelResult, Failure]:
         """See ``Executor.run_model``."""
-        sink.placed("engine-1")
+        sink.record_placement("engine-1")
         self.calls.append(call)
         await asyncio.sleep(self.faults.delay_s)
         if self.faults.fail_turns > 0:
@@ -128,7 +128,7 @@
     )
 
 
-async def follow(
+async def read_outcome(
     shard: Shard, key: RequestKey, workspace: str
 ) -> Result[Outcome, Failure]:
     """Reads a call's answer as an entry host does, until its outcome."""
--- a/libs/programs/tests/test_shards.py
+++ b/libs/programs/tests/test_shards.py
@@ -31,7 +31,7 @@
     UNREPEATABLE,
     FakeExecutor,
     answer_to,
-    follow,
+    read_outcome,
     sample_kind,
 )
 
@@ -44,7 +44,9 @@
 
 
 async def wait_for_outcome(shard, request_id, program_id="p1"):
-    return await follow(shard, RequestKey(program_id, request_id), WORKSPACE)
+    return await read_outcome(
+        shard, RequestKey(program_id, request_id), WORKSPACE
+    )
 
 
 def turn(request_id, message="go", sequence=None, branch=MAIN_BRANCH):
@@ -233,7 +235,7 @@
         self.assertIs(outcome.failure().kind, ErrorKind.PLATFORM_UNAVAILABLE)
         self.assertEqual(self.executions(), 0)
         self.store.faults.down = False
-        while self.shard.voiding:
+        while self.shard.voiding_intents:
             await asyncio.sleep(0.01)
         await self.shard.submit(filing("f0"), caller())
         outcome = await wait_for_outcome(self.shard, "f0")
@@ -261,11 +263,11 @@
         self.assertEqual(ids, ["r0", "r1"])
 
     async def test_paused_owner_finds_out_by_reading_the_head(self):
-        self.assertIsInstance(await self.shard.check_head(), Success)
+        self.assertIsInstance(await self.shard.check_ownership(), Success)
         await self.open("host-2")
-        outcome = await self.shard.check_head()
+        outcome = await self.shard.check_ownership()
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
-        self.assertFalse(self.shard.is_held)
+        self.assertFalse(self.shard.is_owned)
 
     async def test_own_write_with_a_lost_answer_is_recognised(self):
         self.store.faults.lose_write_answers = 2
--- a/libs/routing/src/masticdale_routing/__init__.py
+++ b/libs/routing/src/masticdale_routing/__init__.py
@@ -14,8 +14,8 @@
     )
     from masticdale_routing.limits import (
         HostShare,
+        HostShareLimiter,
         TokenBucket,
-        WorkspaceGate,
         WorkspaceLimits,
         split_share,
     )
@@ -29,7 +29,7 @@
     from masticdale_routing.placement import (
         Affinity,
         Candidate,
-        CostInSeconds,
+        LeastCost,
         LeastInFlight,
         Location,
         Placement,
@@ -52,8 +52,8 @@
         create_replica_queue,
     )
     from masticdale_routing.retries import (
-        Circuit,
-        CircuitSettings,
+        CircuitBreaker,
+        CircuitBreakerSettings,
         CircuitState,
         FailedAttempt,
         GiveUp,
@@ -90,7 +90,7 @@
     "limits": (
         "HostShare",
         "TokenBucket",
-        "WorkspaceGate",
+        "HostShareLimiter",
         "WorkspaceLimits",
         "split_share",
     ),
@@ -104,7 +104,7 @@
     "placement": (
         "Affinity",
         "Candidate",
-        "CostInSeconds",
+        "LeastCost",
         "LeastInFlight",
         "Location",
         "Placement",
@@ -127,8 +127,8 @@
         "create_replica_queue",
     ),
     "retries": (
-        "Circuit",
-        "CircuitSettings",
+        "CircuitBreaker",
+        "CircuitBreakerSettings",
         "CircuitState",
         "FailedAttempt",
         "GiveUp",
@@ -173,10 +173,9 @@
     "BranchKey",
     "CachePressure",
     "Candidate",
-    "Circuit",
-    "CircuitSettings",
+    "CircuitBreaker",
+    "CircuitBreakerSettings",
     "CircuitState",
-    "CostInSeconds",
     "DroppedTickets",
     "EngineSpeed",
     "EvictionRate",
@@ -184,7 +183,9 @@
     "GiveUp",
     "Granted",
     "HostShare",
+    "HostShareLimiter",
     "InFlightSettings",
+    "LeastCost",
     "LeastInFlight",
     "LoadObservation",
     "Location",
@@ -213,7 +214,6 @@
     "Ticket",
     "TicketResult",
     "TokenBucket",
-    "WorkspaceGate",
     "WorkspaceLimits",
     "choose_probes",
     "cost_s",
--- a/libs/routing/src/masticdale_routing/limits.py
+++ b/libs/routing/src/masticdale_routing/limits.py
@@ -111,7 +111,7 @@
         self._at = max(self._at, now)
 
 
-class WorkspaceGate:
+class HostShareLimiter:
     """Enforces one host's share of a workspace's limits."""
 
     def __init__(self, share: HostShare, now: float) -> None:
@@ -124,7 +124,7 @@
         """Turns in flight."""
         return len(self._active)
 
-    def change(self, share: HostShare, now: float) -> None:
+    def update_share(self, share: HostShare, now: float) -> None:
         """Sets another share, after hosts came or left."""
         self._share = share
         self._bucket.change(share.turns_per_s, share.burst, now)
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -65,21 +65,21 @@
     ),
     Edit(
         "lapse grace",
-        f"{_ENTRY}/knowledge.py",
+        f"{_ENTRY}/watched_state.py",
         "_LAPSED_GRACE_S = 1.9",
         "_LAPSED_GRACE_S = 0.0",
     ),
     Edit(
         "acting standby",
-        f"{_LEDGER}/acting.py",
-        "if view is None or not self._may_act(number, view):",
+        f"{_LEDGER}/failover.py",
+        "if view is None or not self._can_take_over(number, view):",
         "if view is None or number >= 0:",
     ),
     Edit(
         "waiting for turns",
         f"{_LEDGER}/owner.py",
-        "_TURNS_END_WITHIN_S = 1.0",
-        "_TURNS_END_WITHIN_S = 0.0",
+        "_RESERVATION_WAIT_S = 1.0",
+        "_RESERVATION_WAIT_S = 0.0",
     ),
     Edit(
         "watches through seeds",
@@ -108,8 +108,8 @@
     Edit(
         "half spent after a loss",
         f"{_LEDGER}/accounts.py",
-        "FIRST_STEP = 0.5",
-        "FIRST_STEP = 0.35",
+        "_UNRECORDED_SHARE = 0.5",
+        "_UNRECORDED_SHARE = 0.35",
     ),
 )
 
--- a/tools/load/src/masticdale_load/calls.py
+++ b/tools/load/src/masticdale_load/calls.py
@@ -19,9 +19,9 @@
     Affinity,
     BranchKey,
     Candidate,
-    CostInSeconds,
     FailedAttempt,
     GiveUp,
+    LeastCost,
     LeastInFlight,
     Location,
     PlacementRequest,
@@ -87,7 +87,7 @@
         return LeastInFlight()
     if policy.placement is PlacementKind.AFFINITY:
         return Affinity()
-    return CostInSeconds(policy.margin_s, policy.margin_share, policy.tie_s)
+    return LeastCost(policy.margin_s, policy.margin_share, policy.tie_s)
 
 
 class ModelCaller:
@@ -124,7 +124,7 @@
         offers = 0
         failed_replicas: list[str] = []
         self._counters.first_sends += 1
-        self._budget.first_sent()
+        self._budget.record_first_attempt()
         while True:
             offers += 1
             probe = self._probe(call, f"{call.call_id}.{offers}", queued_at)
@@ -207,7 +207,7 @@
             return Failed(Failure(ErrorKind.UPSTREAM_FAILED))
         self._count(call, result)
         tokens = call.prompt_tokens + call.generated_tokens
-        home.index.finished(call.branch, tokens, self._loop.time())
+        home.index.record_finished(call.branch, tokens, self._loop.time())
         return Success(CallDone(home.replica, service_s))
 
     def _count(self, call: ModelCall, result: EngineResult) -> None:
--- a/tools/load/src/masticdale_load/decisions.py
+++ b/tools/load/src/masticdale_load/decisions.py
@@ -8,8 +8,8 @@
 
 from masticdale_routing import (
     Candidate,
-    CostInSeconds,
     InFlightSettings,
+    LeastCost,
     Location,
     PlacementRequest,
     QueueSettings,
@@ -84,7 +84,7 @@
         for number in range(_CANDIDATES)
     ]
     request = PlacementRequest("p", 20_000, 150, "r3")
-    policy = CostInSeconds()
+    policy = LeastCost()
     return _timed(
         "place", _CANDIDATES, lambda _: place(request, candidates, policy)
     )
@@ -133,7 +133,7 @@
     def serve(_: int) -> None:
         running = queue.running()
         queue.withdraw(running[0].ticket_id, 0.0)
-        queue.grantable(0.0)
+        queue.take_granted(0.0)
 
     return [
         _timed(
--- a/tools/load/src/masticdale_load/homes.py
+++ b/tools/load/src/masticdale_load/homes.py
@@ -13,7 +13,7 @@
     BranchKey,
     CachePressure,
     Candidate,
-    Circuit,
+    CircuitBreaker,
     EvictionRate,
     InFlightSettings,
     LoadObservation,
@@ -60,7 +60,7 @@
         self.domain = domain
         self.engine = engine
         self.gate = gate
-        self.circuit = Circuit()
+        self.circuit = CircuitBreaker()
         self.index = PrefixIndex(engine.spec.restore_interval)
         self.index.capacity_tokens = engine.cache.capacity_tokens
         self.evictions = EvictionRate()
@@ -100,7 +100,7 @@
         Args:
             reuse_share: Share of evicted tokens that are asked for again.
         """
-        rate = self.evictions.per_s(self._loop.time())
+        rate = self.evictions.tokens_per_s(self._loop.time())
         capacity = self.engine.cache.capacity_tokens
         return CachePressure(
             capacity / rate if rate > 0 else _UNPRESSED_S,
@@ -113,15 +113,15 @@
         """Notes a call sent to the engine."""
         program_id = request.branch.program_id
         self._template_tokens_by_program[program_id] = request.template_tokens
-        self.index.sent(request, self._loop.time())
+        self.index.record_sent(request, self._loop.time())
 
     def finish(self, ticket_id: str, result: TicketResult) -> None:
         """Ends a granted call."""
         if not result.crashed:
-            self.circuit.succeeded()
+            self.circuit.record_success()
             self.gate.finish(ticket_id, result)
             return
-        self.circuit.failed(self._loop.time())
+        self.circuit.record_failure(self._loop.time())
         # Granting on would send every waiting call into the same failure and
         # spend a retry on each.
         if not self.usable:
@@ -135,7 +135,7 @@
 
     def come_back(self) -> None:
         """Takes work again, from an engine that lost its memory."""
-        self.index.restarted()
+        self.index.clear()
         self.gate.queue.reopen()
         self.present = True
 
@@ -145,7 +145,7 @@
 
     def forget(self, program_id: str) -> None:
         """Forgets a program that ended."""
-        self.index.released(program_id)
+        self.index.remove_program(program_id)
         self._template_tokens_by_program.pop(program_id, None)
 
     def evicted(self, key: str, left: int) -> None:
@@ -156,7 +156,7 @@
             return
         tokens = left + template if left > 0 else 0
         branch = BranchKey(program_id, branch_id)
-        self.index.evicted(branch, tokens, self._loop.time())
+        self.index.record_evicted(branch, tokens, self._loop.time())
 
     def _import_worth(self, tokens: int) -> int:
         # Importing takes time too; the tokens count for what they save.
@@ -188,7 +188,7 @@
             await asyncio.sleep(self._settings.report_period_s)
 
     def _evicted(self, key: str, left: int, freed: int) -> None:
-        self._home.evictions.add(freed, self._loop.time())
+        self._home.evictions.record_evicted(freed, self._loop.time())
         if self._random.random() < self._settings.event_loss:
             return
         lag_s = self._settings.event_lag_s
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -10,17 +10,17 @@
 
 from returns.result import Success
 
-from masticdale_adapter import PlatformDialect
+from masticdale_adapter import PlatformHeaderCodec
 from masticdale_common import Failure, Ran
 from masticdale_entry.entry import EntryHost
-from masticdale_entry.following import Follower
-from masticdale_entry.knowledge import ConfigurationInForce
 from masticdale_entry.main import main
+from masticdale_entry.watched_state import ActiveConfiguration
+from masticdale_entry.watching import Watcher
 from masticdale_gateway import Relay
 from masticdale_gateway.exchanges import Sender, SendFailure
 from masticdale_gateway.streaming import _Stream
 from masticdale_ledger import LedgerClient
-from masticdale_ledger.accounts import Account, Spent
+from masticdale_ledger.accounts import Account, BudgetExceeded
 from masticdale_routing.fleet import Fleet
 
 
@@ -33,13 +33,13 @@
 
 
 def take_any_answer():
-    PlatformDialect.answers = lambda self, head, request_id: True
-    read = PlatformDialect.read_answer
+    PlatformHeaderCodec.answers_request = lambda self, head, request_id: True
+    read = PlatformHeaderCodec.parse_response
 
-    def read_answer(self, head):
+    def parse_response(self, head):
         return dataclasses.replace(read(self, head), is_genuine=True)
 
-    PlatformDialect.read_answer = read_answer
+    PlatformHeaderCodec.parse_response = parse_response
 
 
 def repeat_events():
@@ -54,18 +54,18 @@
 
 
 def spend_budgets_early():
-    judge = Account.judge
+    judge = Account.evaluate
 
     def early(self, claim):
         if self.spent_tokens:
-            return Spent(self.spent_tokens, 0, True)
+            return BudgetExceeded(self.spent_tokens, 0, True)
         return judge(self, claim)
 
-    Account.judge = early
+    Account.evaluate = early
 
 
 def go_back_to_old_configurations():
-    take = ConfigurationInForce._take
+    take = ActiveConfiguration._take
     old = []
 
     def remember(self, value, revision):
@@ -74,11 +74,11 @@
         loop = asyncio.get_running_loop()
         loop.call_later(1.0, setattr, self, "_current", old[0])
 
-    ConfigurationInForce._take = remember
+    ActiveConfiguration._take = remember
 
 
 def take_changes_late():
-    take = ConfigurationInForce._take
+    take = ActiveConfiguration._take
 
     def later(self, value, revision):
         if self.current is None:
@@ -87,7 +87,7 @@
         loop = asyncio.get_running_loop()
         loop.call_later(4.0, take, self, value, revision)
 
-    ConfigurationInForce._take = later
+    ActiveConfiguration._take = later
 
 
 def ignore_drains():
@@ -133,13 +133,13 @@
 
 
 def stop_following_after_a_failure():
-    step = Follower._step
+    step = Watcher._step
 
     async def run(self):
-        while not self._was_away:
+        while not self._after_outage:
             await step(self)
 
-    Follower.run = run
+    Watcher.run = run
 
 
 def start_only_once():
