--- a/libs/programs/src/masticdale_programs/journal.py
+++ b/libs/programs/src/masticdale_programs/journal.py
@@ -28,9 +28,9 @@
     write_unknown,
 )
 from masticdale_programs.copies import CopyHolders
+from masticdale_programs.copy_writer import CopyWriter
 from masticdale_programs.heads import Head, head_key, segment_key
 from masticdale_programs.records import Record
-from masticdale_programs.write_behind import CopyWriter
 
 # Records beyond this are sealed into a segment, in bytes: each commit writes
 # the whole head.
