--- a/libs/programs/src/masticdale_programs/__init__.py
+++ b/libs/programs/src/masticdale_programs/__init__.py
@@ -1,4 +1,4 @@
-"""Program shards: journal, order, budget and unrepeatable calls."""
+"""Program shards: journaling, ordering, budgets and unrepeatable calls."""
 
 from masticdale_programs.budgets import count_tokens
 from masticdale_programs.copies import (
--- a/libs/programs/src/masticdale_programs/budgets.py
+++ b/libs/programs/src/masticdale_programs/budgets.py
@@ -1,4 +1,4 @@
-"""Reservations: a program's worst case is set aside before a call runs."""
+"""Budget reservations: a call's maximum cost is reserved before it runs."""
 
 import asyncio
 import dataclasses
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reservation:
-    """The worst case of one call."""
+    """The maximum cost of one call."""
 
     tokens: int = 0
     calls: int = 0
@@ -25,26 +25,27 @@
 
 
 def count_tokens(text: str) -> int:
-    """Returns the tokens charged for a caller's text."""
+    """Returns the number of tokens charged for a caller's text."""
     return math.ceil(len(text.encode()) / _BYTES_PER_TOKEN)
 
 
 async def reserve(
     program: Program, budget: Budget, reservation: Reservation, deadline: float
 ) -> Result[None, Failure]:
-    """Sets the worst case of a call aside.
+    """Reserves the maximum cost of a call.
 
-    Branches share the program's budget: while only their reservations stand
-    in the way, the call waits for them to be settled.
+    Branches share the program's budget. If the call fits once the
+    reservations of other branches are released, it waits for that.
 
     Args:
-        program: Its spending is changed.
-        budget: The budget in force.
-        reservation: The worst case.
-        deadline: Monotonic seconds after which nobody waits.
+        program: The program; its spending is changed.
+        budget: The program's current budget.
+        reservation: The maximum cost.
+        deadline: Monotonic time, in seconds, until which the caller waits.
 
     Returns:
-        BUDGET_EXCEEDED when what is spent already leaves too little.
+        BUDGET_EXCEEDED if the unspent budget is too small,
+        DEADLINE_EXCEEDED if the call did not fit before the deadline.
     """
     while True:
         shortage = _describe_shortage(program, budget, reservation)
@@ -69,7 +70,7 @@
 
 
 def release_reservation(program: Program, reservation: Reservation) -> None:
-    """Returns a reservation; what was spent is charged by the records."""
+    """Releases a reservation; committed records charge the actual cost."""
     program.spending.reserved_tokens -= reservation.tokens
     program.spending.reserved_calls -= reservation.calls
     program.spending.reserved_turns -= reservation.turns
@@ -107,7 +108,7 @@
 async def acquire_lock(
     lock: asyncio.Lock, deadline: float
 ) -> Result[None, Failure]:
-    """Waits for a branch's turn, at most until the deadline."""
+    """Acquires a branch's lock, or fails with DEADLINE_EXCEEDED."""
     try:
         async with asyncio.timeout(deadline - time.monotonic()):
             await lock.acquire()
--- a/libs/programs/src/masticdale_programs/calls.py
+++ b/libs/programs/src/masticdale_programs/calls.py
@@ -1,4 +1,9 @@
-"""One service call: at most once where it may not be repeated."""
+"""Runs service calls; unrepeatable calls are sent at most once.
+
+An intent is committed before an unrepeatable call is sent. An intent without
+an outcome therefore means that the call may have been sent, and it is never
+sent again.
+"""
 
 import asyncio
 import time
@@ -30,19 +35,19 @@
     stream: AnswerStream,
     deadline: float,
 ) -> CallResult:
-    """Runs one service call behind its predecessor and commits its outcome.
+    """Runs one service call after its predecessor and commits its outcome.
 
     Args:
-        shard: Owner of the program.
+        shard: Shard that owns the program.
         program: The program.
         branch: The branch.
         operation: The caller's request.
-        stream: Shows what the call waits for.
-        deadline: Monotonic seconds after which nobody waits.
+        stream: Records what the call waits for.
+        deadline: Monotonic time, in seconds, until which the caller waits.
 
     Returns:
-        The committed outcome. A failure whose kind says ``ran: no`` is true:
-        nothing was sent, or the service refused before running it.
+        The committed outcome. A failure of a kind with ``ran: no`` guarantees
+        that nothing was sent or that the service rejected the call unrun.
     """
     kind = shard.kind_of(program)
     if operation.operation not in kind.operations:
@@ -90,8 +95,8 @@
         operation.operation,
         operation.payload,
     )
-    # From here on the task is never cancelled for want of a reader: the
-    # outcome of what may have been sent must be learnt and committed.
+    # The task must not be cancelled from here on: the outcome of a call that
+    # may have been sent has to be committed.
     stream.cancellable = False
     stream.set_wait_reason("commit of the intent")
     committed = await _commit_intent(shard, program, intent)
@@ -131,11 +136,11 @@
 async def _commit_intent(
     shard: OwnedShard, program: Program, intent: IntentRecorded
 ) -> Result[None, Failure]:
-    """Commits an intent, or refuses and voids it.
+    """Commits an intent, or rejects the call and voids the intent.
 
-    While the platform is down the commit would hang. The refusal says that
-    the call was not run, so the intent must never lead to a send: it is
-    voided by a record that the journal's order puts behind it.
+    While the platform is down the commit does not complete. The caller is
+    then told that the call was not run, so the intent must not stay open: a
+    later record in the journal voids it.
     """
     commit = asyncio.ensure_future(shard.commit([intent], needs_platform=True))
     wait_s = shard.settings.commit_wait_s
@@ -144,7 +149,7 @@
         return commit.result()
     key = RequestKey(intent.program_id, intent.request_id)
     shard.voiding_intents.add(key)
-    # Until it is voided the intent may yet be charged by the journal.
+    # The intent may still be committed and charged until it is voided.
     budgets.reserve_unchecked(program, Reservation(calls=1))
     shard.spawn(_void_intent(shard, program, intent, commit, key))
     return Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
@@ -187,8 +192,8 @@
     if failure.answer.ran is Ran.NO:
         record = _call_record(intent, OutcomeStatus.NOT_RUN, "")
         await commit_finished(shard, record, stream, deadline)
-        # True also where the commit failed: the next owner closes the
-        # intent as unknown and never sends it.
+        # "Not run" holds even if the commit failed: the next owner resolves
+        # the intent as unknown and never sends it.
         return Failed(failure)
     return await _look_up_outcome(shard, intent, stream)
 
@@ -199,10 +204,10 @@
     intent: IntentRecorded,
     stream: AnswerStream,
 ) -> CallResult:
-    """Closes an intent whose outcome an earlier owner did not record.
+    """Resolves an intent whose outcome an earlier owner did not record.
 
-    It is never sent again: the earlier owner may have sent it just before it
-    died, and the service may not tell copies apart.
+    The call is never sent again: the earlier owner may have sent it before it
+    failed, and the service may not deduplicate requests.
     """
     lock = shard.branch_lock(program, program.branch_by_id[intent.branch_id])
     async with lock:
@@ -212,7 +217,7 @@
 async def retry_lookup(
     shard: OwnedShard, entry: CallFinished, stream: AnswerStream
 ) -> CallResult:
-    """Looks up an outcome that was unknown, for a caller that asks again."""
+    """Looks up an unknown outcome again when the caller retries."""
     intent = IntentRecorded(
         entry.program_id,
         entry.branch_id,
@@ -238,7 +243,8 @@
     if status is OutcomeStatus.UNKNOWN and not _is_intent_open(shard, intent):
         return _outcome_unknown(intent)
     if status is OutcomeStatus.UNKNOWN:
-        # Told at once: nothing that the commit can say would change it.
+        # The caller is answered before the commit, which cannot change the
+        # answer and may wait for the end of an outage.
         stream.finish(_outcome_unknown(intent))
     record = _call_record(intent, status, result)
     committed = await shard.commit([record])
@@ -275,7 +281,7 @@
 
 
 def idempotency_key(program_id: str, request_id: str) -> str:
-    """Returns the key under which a service knows a caller's request."""
+    """Returns the idempotency key that a service receives for a request."""
     return hashing.digest("call", program_id, request_id)
 
 
--- a/libs/programs/src/masticdale_programs/calls_in_flight.py
+++ b/libs/programs/src/masticdale_programs/calls_in_flight.py
@@ -1,4 +1,4 @@
-"""The calls of a shard from their start until their answers are read."""
+"""Running calls of a shard and the answers kept for their readers."""
 
 import asyncio
 import functools
@@ -14,8 +14,7 @@
 from masticdale_programs.streams import AnswerStream
 from masticdale_programs.types import CallResult, RequestKey, ShardSettings
 
-# Attempts are numbered apart by epoch and stream: no epoch has as many
-# streams, and no stream as many attempts.
+# Ranges of attempt numbers, so that no two epochs or streams share a number.
 _ATTEMPTS_PER_EPOCH = 1_000_000_000_000
 _ATTEMPTS_PER_STREAM = 1000
 
@@ -23,7 +22,7 @@
 
 
 class CallsInFlight:
-    """Tasks and answer streams by request."""
+    """The tasks and answer streams of a shard, by request."""
 
     def __init__(
         self,
@@ -32,13 +31,13 @@
         epoch: Callable[[], int],
         is_owned: Callable[[], bool],
     ) -> None:
-        """Begins without calls.
+        """Creates an empty registry.
 
         Args:
-            settings: How long answers are kept, and calls that nobody reads.
+            settings: Retention of answers and timeout of unread calls.
             state: The shard's programs.
-            epoch: The epoch under which the shard is owned.
-            is_owned: False once another host took the shard over.
+            epoch: Returns the epoch under which the shard is owned.
+            is_owned: Returns False once another host owns the shard.
         """
         self._settings = settings
         self._state = state
@@ -56,15 +55,15 @@
         return key in self._task_by_key
 
     def stream(self, key: RequestKey) -> AnswerStream | None:
-        """Returns the answer of a call, under way or kept."""
+        """Returns the answer stream of a running or recently finished call."""
         return self._stream_by_key.get(key)
 
     def busy_programs(self) -> set[str]:
-        """Returns the programs that have calls under way."""
+        """Returns the ids of the programs that have calls in flight."""
         return {key.program_id for key in self._task_by_key}
 
     def waiting_for(self, program_id: str) -> tuple[str, ...]:
-        """Returns a program's calls under way and what each waits for."""
+        """Returns a program's calls in flight and what each waits for."""
         return tuple(
             f"{key.request_id}: {stream.wait_reason}"
             for key, stream in self._stream_by_key.items()
@@ -72,11 +71,11 @@
         )
 
     def new_stream(self, key: RequestKey, content: str) -> AnswerStream:
-        """Makes the answer of a call that starts.
+        """Creates the answer stream of a new call.
 
-        No two streams of a request may share an attempt, also after the
-        first is forgotten: a reader that comes late would append the text of
-        the one to what it has of the other.
+        Streams of one request never share an attempt number, even after the
+        earlier stream was evicted. Otherwise a reader of the earlier stream
+        would append the new text to the old one.
         """
         first_attempt = self._epoch() * _ATTEMPTS_PER_EPOCH
         first_attempt += next(self._attempts) * _ATTEMPTS_PER_STREAM
@@ -88,33 +87,33 @@
     def start(
         self, key: RequestKey, stream: AnswerStream, work: CallCoroutine
     ) -> None:
-        """Runs a call; its end finishes the stream."""
+        """Starts a call as a task; the stream is finished when it ends."""
         task = asyncio.create_task(
             work, name=f"{key.program_id} {key.request_id}"
         )
         self._task_by_key[key] = task
-        # A callback, because a task that is cancelled before its first step
-        # runs nothing of its own: its reader would wait for ever.
+        # A done callback, because a task that is cancelled before its first
+        # step runs no code of its own and its reader would wait forever.
         task.add_done_callback(functools.partial(self._finish, key, stream))
 
     async def cancel_program(self, program_id: str) -> None:
-        """Cancels a program's calls; those that can't be wait for their end."""
+        """Cancels a program's cancellable calls and waits for all to end."""
         tasks = []
         for key, task in self._task_by_key.items():
             if key.program_id != program_id:
                 continue
             tasks.append(task)
-            # An unrepeatable call that is under way must learn its outcome.
+            # The outcome of an unrepeatable call in flight must be recorded.
             if self._stream_by_key[key].cancellable:
                 task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def evict_expired(self, now: float, retained: set[RequestKey]) -> None:
-        """Drops old answers, cancels calls that nobody reads.
+        """Evicts expired answers and cancels calls that nobody reads.
 
         Args:
-            now: Monotonic seconds.
-            retained: Calls whose answers are needed longer.
+            now: Monotonic time in seconds.
+            retained: Calls whose answers must not be evicted.
         """
         keep_s = self._settings.stream_retention_s
         for key, finished_at in list(self._finished_at_by_key.items()):
@@ -128,7 +127,7 @@
                 task.cancel()
 
     async def close(self) -> None:
-        """Cancels every call."""
+        """Cancels every call and waits for the tasks to end."""
         tasks = list(self._task_by_key.values())
         for task in tasks:
             task.cancel()
@@ -151,9 +150,9 @@
 
 def _call_result(task: asyncio.Task[CallResult], is_owned: bool) -> CallResult:
     if task.cancelled():
-        # Where the shard was lost, the next owner runs the call: its reader
-        # must ask there and not take it for cancelled. The call may have been
-        # sent, so it is not answered with a kind that says it was not run.
+        # If this host lost the shard, the reader has to ask the new owner, so
+        # the call must not be reported as cancelled. It may have been sent,
+        # so the error kind must not say that it was not run.
         kind = ErrorKind.CANCELLED if is_owned else ErrorKind.WRITE_UNKNOWN
         return Failed(Failure(kind))
     error = task.exception()
--- a/libs/programs/src/masticdale_programs/endings.py
+++ b/libs/programs/src/masticdale_programs/endings.py
@@ -1,4 +1,4 @@
-"""The end of programs: ended, engine memory released, forgotten."""
+"""Ends programs, releases their engine memory and removes their state."""
 
 import asyncio
 import time
@@ -17,13 +17,12 @@
 from masticdale_programs.state import Program
 from masticdale_programs.types import OwnedShard
 
-# Longest wait for an engine to confirm a release, in seconds; what it did not
-# confirm is asked for again by the next sweep.
+# Timeout of one release request; the next sweep retries it.
 _RELEASE_TIMEOUT_S = 5.0
 
 
 class ProgramTerminator:
-    """Ends a shard's programs and what is left of them."""
+    """Ends a shard's programs and cleans up after them."""
 
     def __init__(self, shard: OwnedShard, calls: CallsInFlight) -> None:
         self._shard = shard
@@ -33,7 +32,7 @@
         self._forgetting: set[str] = set()
 
     def admission_failure(self, program: Program) -> Failed[Failure] | None:
-        """Returns why a program takes no calls, if it has ended or does."""
+        """Returns the failure of new calls once a program is ending."""
         is_ending = program.program_id in self._ending
         if program.end_reason is None and not is_ending:
             return None
@@ -42,7 +41,7 @@
     async def end(
         self, program: Program, reason: EndReason
     ) -> Result[None, Failure]:
-        """Ends a program: turns in flight are cancelled, calls finish."""
+        """Ends a program: cancels cancellable calls and waits for the rest."""
         if program.end_reason is not None:
             return Success(None)
         self._ending.add(program.program_id)
@@ -62,7 +61,7 @@
         return outcome
 
     async def release_memory(self, program: Program) -> None:
-        """Frees an ended program's engine memory where it is still owed."""
+        """Frees the engine memory that replicas still hold for a program."""
         if program.program_id in self._releasing:
             return
         self._releasing.add(program.program_id)
@@ -73,7 +72,12 @@
             self._releasing.discard(program.program_id)
 
     def sweep(self, program: Program, is_busy: bool) -> None:
-        """Ends, releases or forgets a program where that is due."""
+        """Ends or cleans up a program if one of its timeouts has passed.
+
+        Args:
+            program: The program.
+            is_busy: Whether it has calls in flight or intents being voided.
+        """
         now_ms = unix_time_ms()
         settings = self._shard.settings
         if program.end_reason is not None:
@@ -111,7 +115,7 @@
         except TimeoutError:
             outcome = Failed(Failure(ErrorKind.TIMED_OUT, replica))
         if isinstance(outcome, Failed):
-            # The next sweep asks again.
+            # The next sweep retries the release.
             logs.write_bounded(
                 "memory_not_released",
                 program_id=program.program_id,
@@ -131,5 +135,5 @@
 
 
 def unix_time_ms() -> int:
-    """Returns Unix milliseconds, as records hold them."""
+    """Returns the Unix time in milliseconds, as stored in records."""
     return time.time_ns() // 1_000_000
--- a/libs/programs/src/masticdale_programs/heads.py
+++ b/libs/programs/src/masticdale_programs/heads.py
@@ -1,4 +1,4 @@
-"""A shard's head object, as it is stored."""
+"""The stored head object of a shard."""
 
 import pydantic
 from returns.result import Failure as Failed
@@ -13,15 +13,15 @@
     """The head object of a shard.
 
     Attributes:
-        epoch: Grows with each owner.
-        owner: Host that holds the shard.
-        writer: Names one opening by one process.
+        epoch: Fencing epoch; increases with each owner.
+        owner: Host that owns the shard.
+        writer: Identifies one opening of the journal by one process.
         sequence: Number of the newest commit.
-        released: True once the owner handed the shard over.
+        released: True once the owner has handed the shard off.
         segments: Keys of the sealed segments, oldest first.
         tail: Records since the newest segment.
-        copy_holders: Hosts that hold what the owner acknowledges in an
-            outage; both have confirmed it under this epoch.
+        copy_holders: Hosts that keep copies of the commits acknowledged
+            during an outage; both confirmed this epoch.
     """
 
     epoch: int
@@ -42,8 +42,8 @@
 def segment_key(shard: int, sequence: int, writer: str) -> str:
     """Returns the key of the segment that ends before a commit.
 
-    The key carries the writer, so only one opening writes it and an existing
-    object is this same segment, written before.
+    The key includes the writer, so only one opening of the journal writes it.
+    An object that already exists is the same segment from an earlier attempt.
     """
     return f"shards/{shard:03d}/segments/{sequence:012d}-{writer}"
 
@@ -51,7 +51,7 @@
 async def read_head(
     store: ObjectStore, shard: int
 ) -> Result[Head | None, Failure]:
-    """Returns a shard's head as it is stored now."""
+    """Reads a shard's head from the store; None if there is none."""
     outcome = await store.read(head_key(shard))
     if isinstance(outcome, Failed):
         return outcome
--- a/libs/programs/src/masticdale_programs/streams.py
+++ b/libs/programs/src/masticdale_programs/streams.py
@@ -1,4 +1,4 @@
-"""The answer of one call in flight: text so far, then a final outcome."""
+"""The answer of a call in flight: text so far, then the final outcome."""
 
 import asyncio
 import dataclasses
@@ -12,14 +12,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamPart:
-    """What a reader gets.
+    """One chunk of an answer, as returned to a reader.
 
     Attributes:
-        attempt: Grows when another replica began the answer anew; the reader
-            then forgets what it has.
-        offset: Characters of this attempt before ``text``.
-        text: New characters.
-        outcome: The committed outcome or final failure; None while it runs.
+        attempt: Increases when another replica restarts the answer; the
+            reader then discards the text it has.
+        offset: Position of ``text`` in this attempt, in characters.
+        text: New text.
+        outcome: Committed outcome or final failure; None while the call runs.
     """
 
     attempt: int
@@ -29,7 +29,16 @@
 
 
 class AnswerStream:
-    """Collects one answer; any number of readers follow it by offset."""
+    """Buffers one answer for any number of readers, which poll by offset.
+
+    Attributes:
+        request_id: The caller's request id.
+        content_digest: Digest of the request, to detect reused request ids.
+        wait_reason: What the call waits for, for operators.
+        cancellable: Whether the call's task may be cancelled.
+        replicas: Replicas that may hold engine memory for the call.
+        last_read: Monotonic time of the last read, in seconds.
+    """
 
     def __init__(
         self, request_id: str, content_digest: str, first_attempt: int
@@ -47,12 +56,12 @@
 
     @property
     def attempt(self) -> int:
-        """The present attempt."""
+        """Number of the current attempt."""
         return self._attempt
 
     @property
     def outcome(self) -> Result[Outcome, Failure] | None:
-        """The final outcome, once there is one."""
+        """The final outcome; None while the call runs."""
         return self._outcome
 
     def record_placement(self, replica: str) -> None:
@@ -78,7 +87,7 @@
         self._notify_readers()
 
     def finish(self, outcome: Result[Outcome, Failure]) -> None:
-        """Sets the final outcome and wakes every reader."""
+        """Sets the final outcome and notifies every reader."""
         self.wait_reason = "nothing"
         self._outcome = outcome
         self._notify_readers()
@@ -86,12 +95,12 @@
     async def read(
         self, attempt: int, offset: int, wait_s: float
     ) -> StreamPart:
-        """Waits for something new.
+        """Waits for new text or the outcome (long polling).
 
         Args:
-            attempt: The attempt the reader follows.
-            offset: Characters of that attempt it already has.
-            wait_s: Longest wait; an empty part says nothing is new.
+            attempt: Attempt that the reader last received.
+            offset: Number of characters of that attempt it has.
+            wait_s: Longest wait in seconds; the part is empty on timeout.
         """
         self.last_read = time.monotonic()
         try:
--- a/libs/programs/src/masticdale_programs/turns.py
+++ b/libs/programs/src/masticdale_programs/turns.py
@@ -1,4 +1,4 @@
-"""One model turn: order, reservation, run, commit, answer."""
+"""Runs model turns: lock, budget reservation, execution and commit."""
 
 import asyncio
 import time
@@ -24,10 +24,10 @@
 def check_sequence(
     branch: Branch, operation: SendTurn | CallService
 ) -> Failed[Failure] | None:
-    """Refuses a call whose place in the branch is not the next one.
+    """Rejects a call whose sequence number is not the next of its branch.
 
-    A call that was accepted behind a predecessor that then failed would run
-    without it: the history would lack a step that the caller built on.
+    Otherwise a call whose predecessor failed would run on a history without
+    the step that the caller relies on.
     """
     if operation.sequence in (None, branch.finished_count):
         return None
@@ -43,15 +43,15 @@
     stream: AnswerStream,
     deadline: float,
 ) -> CallResult:
-    """Runs one turn behind its predecessor and commits it.
+    """Runs one turn after its predecessor and commits it.
 
     Args:
-        shard: Owner of the program.
+        shard: Shard that owns the program.
         program: The program.
         branch: The branch.
         operation: The caller's request.
-        stream: Where the text goes as it comes.
-        deadline: Monotonic seconds after which nobody waits.
+        stream: Receives the generated text.
+        deadline: Monotonic time, in seconds, until which the caller waits.
 
     Returns:
         The committed answer, or the failure; after a failure nothing of the
@@ -119,21 +119,21 @@
     stream: AnswerStream,
     deadline: float,
 ) -> Result[None, Failure]:
-    """Commits a call that ran.
+    """Commits the record of a call that ran.
 
-    Past the deadline the caller is told TIMED_OUT, but the call keeps its
-    place in the branch until the commit is settled: a successor would be
-    built on a history without it, and the same request sent again would run
-    and stand in the history twice.
+    After the deadline the caller gets TIMED_OUT, but this waits for the
+    commit and the caller of this function keeps the branch locked. Otherwise
+    a successor would run on a history without the call, and a retry of the
+    request would run it again and enter it twice.
 
     Args:
-        shard: Owner of the program.
-        record: What the call did.
-        stream: Tells the caller.
-        deadline: Monotonic seconds after which nobody waits.
+        shard: Shard that owns the program.
+        record: Result of the call.
+        stream: Answers the caller when the deadline passes.
+        deadline: Monotonic time, in seconds, until which the caller waits.
 
     Returns:
-        The commit's outcome. It never says that the call was not run.
+        The commit's outcome, never of a kind with ``ran: no``.
     """
     stream.cancellable = False
     stream.set_wait_reason("commit")
--- a/libs/programs/src/masticdale_programs/types.py
+++ b/libs/programs/src/masticdale_programs/types.py
@@ -1,4 +1,4 @@
-"""What the parts of a shard share: keys, settings and the shard they see."""
+"""Types shared by the modules of a shard: keys, settings and protocols."""
 
 import asyncio
 import dataclasses
@@ -19,15 +19,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ShardSettings:
-    """Times of a shard.
+    """Timeouts and intervals of a shard, in seconds.
 
     Attributes:
-        unread_cancel_s: A model turn that nobody reads is cancelled then.
-        idle_end_s: A program without calls is ended as abandoned then.
-        retention_s: An ended program can be read that long.
+        unread_cancel_s: A model turn is cancelled if its answer has not been
+            read for this long.
+        idle_end_s: A program without calls for this long ends as abandoned.
+        retention_s: How long an ended program can be read.
         stream_retention_s: How long a finished answer stays in memory.
         commit_wait_s: Longest wait for an intent's commit before the call is
-            refused as not run.
+            rejected as not run.
         copy_check_interval_s: Time between two checks of the copy holders.
     """
 
@@ -41,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestKey:
-    """One caller's request."""
+    """Identifies one request of a program's caller."""
 
     program_id: str
     request_id: str
@@ -49,11 +50,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Caller:
-    """On whose behalf an operation runs.
+    """The caller of an operation.
 
     Attributes:
-        workspace: Workspace that the key belongs to.
-        deadline: Monotonic seconds after which nobody waits.
+        workspace: Workspace of the caller's API key.
+        deadline: Monotonic time, in seconds, until which the caller waits.
     """
 
     workspace: str
@@ -61,7 +62,15 @@
 
 
 class OwnedShard(Protocol):
-    """The shard as the code of one call sees it."""
+    """The part of a shard that the code running a call may use.
+
+    Attributes:
+        executor: Runs calls at upstreams.
+        settings: Timeouts and intervals.
+        state: The shard's programs.
+        voiding_intents: Calls rejected as not run whose intents may still be
+            committed and are then voided.
+    """
 
     executor: Executor
     settings: ShardSettings
@@ -70,21 +79,21 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch this host owns the shard under."""
+        """The epoch under which this host owns the shard."""
         ...
 
     async def commit(
         self, records: Sequence[Record], needs_platform: bool = False
     ) -> Result[None, Failure]:
-        """Commits records to the journal."""
+        """Commits records to the journal; see ``Journal.commit``."""
         ...
 
     def kind_of(self, program: Program) -> ProgramKind:
-        """Returns the program's kind with budget and priority in force."""
+        """Returns the program's kind with its current budget and priority."""
         ...
 
     def branch_lock(self, program: Program, branch: Branch) -> asyncio.Lock:
-        """Returns the lock that a branch's calls take in turn."""
+        """Returns the lock that serializes a branch's calls."""
         ...
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
