--- a/libs/programs/src/masticdale_programs/calls_in_flight.py
+++ b/libs/programs/src/masticdale_programs/calls_in_flight.py
@@ -70,7 +70,7 @@
             if key.program_id == program_id and stream.outcome is None
         )
 
-    def new_stream(self, key: RequestKey, content: str) -> AnswerStream:
+    def new_stream(self, key: RequestKey, content_digest: str) -> AnswerStream:
         """Creates the answer stream of a new call.
 
         Streams of one request never share an attempt number, even after the
@@ -79,7 +79,7 @@
         """
         first_attempt = self._epoch() * _ATTEMPTS_PER_EPOCH
         first_attempt += next(self._attempts) * _ATTEMPTS_PER_STREAM
-        stream = AnswerStream(key.request_id, content, first_attempt)
+        stream = AnswerStream(key.request_id, content_digest, first_attempt)
         self._stream_by_key[key] = stream
         self._finished_at_by_key.pop(key, None)
         return stream
--- a/libs/programs/src/masticdale_programs/shards.py
+++ b/libs/programs/src/masticdale_programs/shards.py
@@ -1,4 +1,4 @@
-"""A program shard at its owner: order, deduplication, answers in flight."""
+"""A shard of programs at its owner: ordering, deduplication and answers."""
 
 import asyncio
 import dataclasses
@@ -54,7 +54,16 @@
 
 
 class Shard:
-    """One shard that this host owns; made by ``open_shard``."""
+    """A shard that this host owns; created by ``open_shard``.
+
+    Attributes:
+        number: Number of the shard.
+        executor: Runs calls at upstreams.
+        settings: Timeouts and intervals.
+        state: The shard's programs.
+        voiding_intents: Calls rejected as not run whose intents may still be
+            committed and are then voided.
+    """
 
     def __init__(
         self,
@@ -79,28 +88,28 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch this host owns the shard under."""
+        """The epoch under which this host owns the shard."""
         return self._require_journal().epoch
 
     @property
     def is_owned(self) -> bool:
-        """False once another host took the shard over."""
+        """Whether this host still owns the shard, as far as it knows."""
         return self._require_journal().is_owned
 
     @property
     def in_flight(self) -> int:
-        """Number of calls that have no final outcome yet."""
+        """Number of calls without a final outcome."""
         return len(self._calls)
 
     def attach(self, opened: journal.Journal) -> None:
-        """Sets the journal and resumes what its records left open."""
+        """Sets the journal and resolves intents without an outcome."""
         self._journal = opened
         self.spawn(opened.refresh_copy_holders())
         for program in self.state.program_by_id.values():
             program.last_call_ms = unix_time_ms()
             for intent in list(program.intent_by_request_id.values()):
                 key = RequestKey(program.program_id, intent.request_id)
-                self._resume_call(key, program)
+                self._resume_lookup(key, program)
 
     async def commit(
         self, records: Sequence[Record], needs_platform: bool = False
@@ -109,11 +118,12 @@
         return await self._require_journal().commit(records, needs_platform)
 
     def kind_of(self, program: Program) -> ProgramKind:
-        """Returns the program's kind with budget and priority in force.
+        """Returns the program's kind with its current budget and priority.
 
-        The template body stays the one the program began with, because a
-        changed prompt or model would break its prefix and its history; what
-        operators use to rein a program in takes hold at once.
+        Changes of budget and priority apply to running programs at once, so
+        that operators can limit them. Prompt and model stay those of the
+        program's creation: a change would not match its history and would
+        invalidate cached prefixes.
         """
         current = self._find_kind(program.workspace, program.kind.name)
         if current is None:
@@ -123,11 +133,11 @@
         )
 
     def branch_lock(self, program: Program, branch: Branch) -> asyncio.Lock:
-        """Returns the lock that its calls take in the order of arrival."""
+        """Returns the lock that serializes a branch's calls, in FIFO order."""
         return branch.lock
 
     def find(self, program_id: str, workspace: str) -> Program | None:
-        """Returns a program of a workspace; another's does not exist."""
+        """Returns a program, or None if the workspace has no such program."""
         program = self.state.program_by_id.get(program_id)
         if program is None or program.workspace != workspace:
             return None
@@ -136,14 +146,15 @@
     async def submit(
         self, operation: Operation, caller: Caller
     ) -> Result[OperationResult, Failure]:
-        """Runs or accepts one operation; safe to send again.
+        """Runs one operation or accepts a call; idempotent by request id.
 
         Args:
-            operation: What the caller asks.
-            caller: On whose behalf.
+            operation: The operation.
+            caller: The caller.
 
         Returns:
-            The result; calls are ``Accepted`` and then read as a stream.
+            The result. Turns and service calls return ``Accepted``; their
+            answers are read with ``read``.
         """
         if not self.is_owned:
             return Failed(Failure(ErrorKind.NOT_OWNER, f"shard {self.number}"))
@@ -162,17 +173,18 @@
         offset: int,
         wait_s: float,
     ) -> Result[StreamPart, Failure]:
-        """Follows the answer of a call.
+        """Waits for the next part of a call's answer.
 
         Args:
             key: The call.
             workspace: Workspace of the reader.
-            attempt: Attempt the reader follows; see ``StreamPart``.
-            offset: Characters of it the reader has.
-            wait_s: Longest wait for news.
+            attempt: Attempt that the reader last received.
+            offset: Number of characters of that attempt it has.
+            wait_s: Longest wait in seconds.
 
         Returns:
-            The next part; NOT_FOUND when the call must be submitted again.
+            The next part, empty on timeout; NOT_FOUND if the call is unknown
+            and must be submitted again.
         """
         program = self.find(key.program_id, workspace)
         if program is None:
@@ -189,7 +201,7 @@
     async def _submit(
         self, operation: Operation, program: Program, caller: Caller
     ) -> Result[OperationResult, Failure]:
-        raise TypeError(f"no rule for {type(operation).__name__}")
+        raise TypeError(f"unsupported operation {type(operation).__name__}")
 
     @_submit.register
     async def _(
@@ -230,31 +242,33 @@
     async def _(
         self, operation: SendTurn, program: Program, caller: Caller
     ) -> Result[OperationResult, Failure]:
-        content = hashing.digest("turn", operation.branch_id, operation.message)
-        return self._accept(operation, program, caller, content)
+        content_digest = hashing.digest(
+            "turn", operation.branch_id, operation.message
+        )
+        return self._accept(operation, program, caller, content_digest)
 
     @_submit.register
     async def _(
         self, operation: CallService, program: Program, caller: Caller
     ) -> Result[OperationResult, Failure]:
-        content = hashing.digest(
+        content_digest = hashing.digest(
             "call", operation.branch_id, operation.operation, operation.payload
         )
-        return self._accept(operation, program, caller, content)
+        return self._accept(operation, program, caller, content_digest)
 
     def _accept(
         self,
         operation: SendTurn | CallService,
         program: Program,
         caller: Caller,
-        content: str,
+        content_digest: str,
     ) -> Result[OperationResult, Failure]:
         key = RequestKey(program.program_id, operation.request_id)
         accepted = Accepted(operation.request_id, self.epoch)
-        known = self._match_known_request(key, program, content)
+        known = self._match_known_request(key, program, content_digest)
         if known is not None:
             return known.map(lambda _: accepted)
-        if self._resume_call(key, program):
+        if self._resume_lookup(key, program):
             return Success(accepted)
         refused = self._terminator.admission_failure(program)
         if refused is not None:
@@ -266,7 +280,7 @@
         if branch is None:
             return Failed(Failure(ErrorKind.NOT_FOUND, operation.branch_id))
         program.last_call_ms = unix_time_ms()
-        stream = self._calls.new_stream(key, content)
+        stream = self._calls.new_stream(key, content_digest)
         if isinstance(operation, SendTurn):
             work = turns.run_turn(
                 self, program, branch, operation, stream, caller.deadline
@@ -279,14 +293,16 @@
         return Success(accepted)
 
     def _match_known_request(
-        self, key: RequestKey, program: Program, content: str
+        self, key: RequestKey, program: Program, content_digest: str
     ) -> Result[None, Failure] | None:
-        """Recognises a request that was sent before.
+        """Looks for an earlier submission of a request.
 
         Returns:
-            Success to join it, REQUEST_ID_REUSED for other content, None for
-            a request that must run: a new one, or one whose earlier try ended
-            in a failure that promised it can be sent again.
+            Success if the caller may read the earlier call's answer,
+            REQUEST_ID_REUSED if the content differs, PLATFORM_UNAVAILABLE
+            while the earlier call's intent is being voided. None otherwise:
+            the request is new, its earlier attempt failed, or its outcome is
+            unknown.
         """
         stream = self._calls.stream(key)
         entry = program.entry_by_request_id.get(key.request_id)
@@ -295,7 +311,7 @@
         )
         if seen is None:
             return None
-        if seen.content_digest != content:
+        if seen.content_digest != content_digest:
             detail = f"request id {key.request_id!r}"
             return Failed(Failure(ErrorKind.REQUEST_ID_REUSED, detail))
         if key in self._calls:
@@ -306,14 +322,14 @@
             return None
         return Success(None)
 
-    def _resume_call(self, key: RequestKey, program: Program) -> bool:
-        """Asks for the outcome of a call that must not be sent again.
+    def _resume_lookup(self, key: RequestKey, program: Program) -> bool:
+        """Starts the lookup of an unresolved call, if the request has one.
 
         A call whose intent is committed may have been sent. Running it as a
-        new request, because its task broke off, would send it twice.
+        new request could send it twice.
 
         Returns:
-            False where the request may run.
+            False if the request may run.
         """
         intent = program.intent_by_request_id.get(key.request_id)
         if intent is not None:
@@ -347,27 +363,31 @@
             # Another workspace's program has the id.
             return Failed(Failure(ErrorKind.NOT_FOUND, operation.program_id))
         if program.kind.name != operation.kind.name:
-            detail = "the request id began another kind of program"
+            detail = "the request id created a program of another kind"
             return Failed(Failure(ErrorKind.REQUEST_ID_REUSED, detail))
         return views.program_view(program, (), "")
 
     async def end_program(
         self, program: Program, reason: EndReason
     ) -> Result[None, Failure]:
-        """Ends a program: turns in flight are cancelled, calls finish.
+        """Ends a program: cancels cancellable calls and waits for the rest.
 
         Args:
-            program: The program; one that has ended stays as it is.
+            program: The program; ending it again has no effect.
             reason: Recorded as the cause.
         """
         return await self._terminator.end(program, reason)
 
     async def release_memory(self, program: Program) -> None:
-        """Frees an ended program's engine memory where it is still owed."""
+        """Frees the engine memory that replicas still hold for a program."""
         await self._terminator.release_memory(program)
 
     async def sweep(self) -> None:
-        """Ends, cancels, releases and forgets what is due; run each second."""
+        """Runs the periodic maintenance; call it every second.
+
+        Evicts answers, cancels unread calls, ends and removes programs, and
+        checks the copy holders and the platform.
+        """
         now = time.monotonic()
         self._calls.evict_expired(now, self.voiding_intents)
         if (
@@ -383,7 +403,11 @@
             self._terminator.sweep(program, program.program_id in busy_ids)
 
     async def check_ownership(self) -> Result[None, Failure]:
-        """Finds out whether this host was deposed; call it after a pause."""
+        """Checks in the store whether this host still owns the shard.
+
+        Call it after the process was paused: another host may have taken the
+        shard over in the meantime.
+        """
         return await self._require_journal().check_ownership()
 
     def waiting_for(self, program: Program) -> tuple[str, ...]:
@@ -391,7 +415,7 @@
         return self._calls.waiting_for(program.program_id)
 
     def describe(self) -> dict[str, Any]:
-        """Returns the shard's state for a dump."""
+        """Returns the shard's state for a diagnostic dump."""
         return {
             "epoch": self.epoch,
             "held": self.is_owned,
@@ -401,11 +425,11 @@
         }
 
     async def hand_off(self) -> Result[None, Failure]:
-        """Releases the shard for the next owner, once nothing is in flight."""
+        """Hands the shard off; call it once no calls are in flight."""
         return await self._require_journal().release()
 
     async def close(self) -> None:
-        """Stops every task without handing over."""
+        """Stops every task without handing the shard off."""
         await self._calls.close()
         tasks = list(self._background)
         for task in tasks:
@@ -415,7 +439,7 @@
 
     def _require_journal(self) -> journal.Journal:
         if self._journal is None:
-            raise RuntimeError("the shard has no journal yet")
+            raise RuntimeError("shard has no journal; call attach() first")
         return self._journal
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
@@ -436,24 +460,24 @@
     copies: CopyHolders | None = None,
     forced: bool = False,
 ) -> Result[Shard, Failure]:
-    """Takes a shard over and rebuilds its programs.
+    """Takes a shard over and rebuilds its programs from the journal.
 
     Args:
-        store: The platform's objects.
-        number: The shard.
-        host: This host.
+        store: The platform's object store.
+        number: Number of the shard.
+        host: Name of this host.
         writer: Incarnation of this process.
         executor: Runs calls at upstreams.
         find_kind: Returns the current program kind by workspace and name.
-        settings: Times.
-        copies: Hosts that hold copies during an outage of the platform; None
-            to wait for it.
-        forced: Takes the shard although no holder gave its copies; the log
-            names what may be lost.
+        settings: Timeouts and intervals.
+        copies: Hosts that keep copies during an outage of the platform; if
+            None, commits wait for the end of the outage.
+        forced: Takes the shard over even if no copy holder returns its
+            copies; the possible loss is logged.
 
     Returns:
-        The shard; CONFLICT when another host was faster; PEER_UNAVAILABLE
-        when no holder gave its copies.
+        The shard; CONFLICT if another host took it first; PEER_UNAVAILABLE
+        if no copy holder returned its copies.
     """
     shard = Shard(number, executor, find_kind, settings)
     opened = await takeovers.open_journal(
--- a/libs/programs/src/masticdale_programs/state.py
+++ b/libs/programs/src/masticdale_programs/state.py
@@ -1,4 +1,4 @@
-"""A shard's programs in memory, rebuilt from its records alone."""
+"""In-memory state of a shard's programs, rebuilt by replaying its records."""
 
 import asyncio
 import dataclasses
@@ -25,16 +25,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Spending:
-    """What of a budget is spent or reserved.
+    """Spent and reserved amounts of a budget.
 
     Attributes:
         tokens: Tokens charged by finished turns.
-        calls: Finished turns and service calls sent, also those whose outcome
-            is unknown.
-        turns: Finished turns.
-        reserved_tokens: Worst case of the turns in flight.
-        reserved_calls: Turns and service calls in flight.
-        reserved_turns: Turns in flight.
+        calls: Number of finished turns and of service calls sent, including
+            calls with an unknown outcome.
+        turns: Number of finished turns.
+        reserved_tokens: Maximum tokens of the turns in flight.
+        reserved_calls: Number of turns and service calls in flight.
+        reserved_turns: Number of turns in flight.
     """
 
     tokens: int = 0
@@ -47,15 +47,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Branch:
-    """One chain of dependent calls.
+    """A sequence of dependent calls.
 
     Attributes:
         branch_id: Unique within the program.
         parent_id: Branch it was opened from; empty for the main branch.
-        entries: Finished turns and calls, oldest first, the parent's first.
-        inherited_count: How many of the entries are the parent's.
-        replica: Replica that holds the branch's prefix, if any.
-        lock: Taken by its calls in the order of arrival.
+        entries: Finished turns and calls, oldest first, starting with those
+            inherited from the parent.
+        inherited_count: Number of entries inherited from the parent.
+        replica: Replica that caches the branch's prefix; empty if none.
+        lock: Serializes the branch's calls in FIFO order.
     """
 
     branch_id: str
@@ -67,28 +68,29 @@
 
     @property
     def finished_count(self) -> int:
-        """Number of calls the branch itself has finished."""
+        """Number of finished calls, without the inherited ones."""
         return len(self.entries) - self.inherited_count
 
 
 @dataclasses.dataclass(slots=True)
 class Program:
-    """One program.
+    """The state of one program.
 
     Attributes:
-        program_id: Names the program and, by hash, its shard.
-        workspace: Workspace it belongs to.
-        kind: The template body it began with.
-        created_ms: Wall clock milliseconds.
+        program_id: Id of the program; its hash selects the shard.
+        workspace: Workspace that owns the program.
+        kind: Program kind as of the program's creation.
+        created_ms: Unix time of creation, in milliseconds.
         branch_by_id: Its branches.
         entry_by_request_id: Finished turns and calls, for deduplication.
         intent_by_request_id: Unrepeatable calls without an outcome.
-        spending: What of the budget is spent or reserved.
+        spending: Spent and reserved amounts of the budget.
         replicas: Replicas that may hold engine memory for it.
-        attained_ms: Engine time its turns have had.
+        attained_ms: Engine time used by its turns, in milliseconds.
         end_reason: Why it ended; None while it runs.
-        ended_ms: When it ended.
-        last_call_ms: When its last call began; not durable.
+        ended_ms: Unix time of its end, in milliseconds; 0 while it runs.
+        last_call_ms: Unix time in milliseconds at which its last call was
+            accepted; not durable.
         reservation_released: Set and replaced at each release of a reservation.
     """
 
@@ -142,13 +144,13 @@
 def apply_record(record: Record, state: ShardState) -> None:
     """Applies one committed record to the state.
 
-    A record may come behind its program's end of retention, such as the
-    outcome of a late lookup. It is passed over: an error here would come
-    again at each replay, and no host could open the shard any more.
+    A record of a program that was already removed, such as the outcome of a
+    late lookup, is skipped. An error would recur at every replay, so that no
+    host could open the shard.
 
     Args:
         record: The record.
-        state: Changed in place.
+        state: The state; changed in place.
     """
     if isinstance(record, ProgramCreated):
         if record.program_id not in state.program_by_id:
@@ -160,7 +162,7 @@
 
 @functools.singledispatch
 def _apply(record: Record, state: ShardState) -> None:
-    raise TypeError(f"no rule for {type(record).__name__}")
+    raise TypeError(f"unsupported record {type(record).__name__}")
 
 
 @_apply.register
@@ -215,8 +217,8 @@
     if earlier is None:
         branch.entries.append(record)
         return
-    # A later lookup resolved an unknown outcome: it replaces the entry in
-    # every branch that inherited it.
+    # The record resolves an unknown outcome; it replaces the entry in every
+    # branch that inherited it.
     for each in program.branch_by_id.values():
         each.entries = [
             record if e.request_id == record.request_id else e
