--- a/libs/programs/src/masticdale_programs/commit_queue.py
+++ b/libs/programs/src/masticdale_programs/commit_queue.py
@@ -1,4 +1,4 @@
-"""The commits of a shard's journal, from their callers to the platform."""
+"""Queue of a journal's commits, from the callers to the platform."""
 
 import asyncio
 import dataclasses
@@ -12,10 +12,10 @@
 from masticdale_programs.copies import CopyEntry
 from masticdale_programs.records import Record
 
-# The most of one commit, in bytes: with the tail it stays below what the
-# platform takes as one object.
+# Maximum size of one commit, in bytes. Together with the tail it stays below
+# the platform's object size limit.
 BATCH_LIMIT_BYTES = 600_000
-# The most of one shard that waits in memory for the platform, in bytes.
+# Maximum backlog of one shard that waits for the platform, in bytes.
 BACKLOG_LIMIT_BYTES = 4_000_000
 
 OnCommitted = Callable[[Record], None]
@@ -23,7 +23,14 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class PendingCommit:
-    """Records that wait for one commit."""
+    """Records of one caller that are not yet part of a batch.
+
+    Attributes:
+        records: The records.
+        size: Encoded size in bytes.
+        needs_platform: Whether copies are not enough to acknowledge them.
+        done: Set to the outcome.
+    """
 
     records: tuple[Record, ...]
     size: int
@@ -33,12 +40,12 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Batch:
-    """One commit of the journal, from its number to the platform.
+    """One numbered commit of the journal that the platform may not have yet.
 
     Attributes:
-        entry: Its number and records.
-        size: Its size in bytes.
-        pending: Who waits for it.
+        entry: Its sequence number and records.
+        size: Encoded size in bytes.
+        pending: The callers' commits that it combines.
         is_acknowledged: Whether the platform or both holders have it.
     """
 
@@ -49,12 +56,13 @@
 
 
 class CommitQueue:
-    """Numbers what callers add, and tells them what became of it.
+    """Combines callers' commits into numbered batches and reports outcomes.
 
     Attributes:
         last_sequence: Number of the newest batch.
-        pending: What has no number yet, oldest first.
-        batches: What the platform isn't known to hold, oldest first.
+        pending: Commits that are not part of a batch yet, oldest first.
+        batches: The backlog: batches that the platform is not known to have,
+            oldest first.
     """
 
     def __init__(self, last_sequence: int, on_committed: OnCommitted) -> None:
@@ -65,18 +73,18 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing waits."""
+        """Whether there are neither pending commits nor batches."""
         return not self.pending and not self.batches
 
     @property
     def backlog_bytes(self) -> int:
-        """Size of what is not yet known to be in the platform."""
+        """Encoded size of the backlog, in bytes."""
         return sum(batch.size for batch in self.batches)
 
     def add(
         self, records: Sequence[Record], size: int, needs_platform: bool
     ) -> asyncio.Future[Result[None, Failure]]:
-        """Adds records; the future is done once their fate is known."""
+        """Adds a pending commit; returns a future of its outcome."""
         done: asyncio.Future[Result[None, Failure]]
         done = asyncio.get_running_loop().create_future()
         self.pending.append(
@@ -85,14 +93,14 @@
         return done
 
     def batch_pending(self) -> None:
-        """Makes a batch of what waits, in its order."""
+        """Combines pending commits into a batch, in their order."""
         self._create_batch(self.pending)
 
     def next_to_copy(self) -> Batch | None:
-        """Returns the oldest batch that nobody has acknowledged.
+        """Returns the oldest unacknowledged batch; creates one if needed.
 
-        What needs the platform gets no number here: it would be copied, and
-        its caller could then not be told that it has not been written.
+        Commits that need the platform are left out of a new batch. Once
+        copied, they could no longer be reported as not written.
         """
         for batch in self.batches:
             if not batch.is_acknowledged:
@@ -103,7 +111,7 @@
         return self._create_batch(copied)
 
     def oldest_batches(self) -> list[Batch]:
-        """Returns the oldest batches, as many as fit into one write."""
+        """Returns the oldest batches that fit into one write."""
         taken: list[Batch] = []
         size = 0
         for batch in self.batches:
@@ -114,7 +122,7 @@
         return taken
 
     def entries_up_to(self, batch: Batch) -> list[CopyEntry]:
-        """Returns the numbered commits up to one of them."""
+        """Returns the entries of the backlog up to a batch."""
         return [
             each.entry
             for each in self.batches
@@ -122,10 +130,10 @@
         ]
 
     def acknowledge(self, batch: Batch, outcome: Result[None, Failure]) -> None:
-        """Applies a batch and tells who waits for it.
+        """Applies a batch to the state and resolves its callers' commits.
 
-        Applied here, in the journal's order, so that memory never differs
-        from what a replay of the journal would build.
+        Records are applied here, in journal order, so that the state always
+        equals that of a replay.
         """
         if not batch.is_acknowledged:
             batch.is_acknowledged = True
@@ -134,13 +142,13 @@
         resolve(batch.pending, outcome)
 
     def drop_oldest(self) -> None:
-        """Forgets the oldest batch: the platform holds it."""
+        """Drops the oldest batch after the platform has stored it."""
         self.batches.popleft()
 
     def fail_pending(
         self, failed: Failed[Failure], only_needing_platform: bool = False
     ) -> None:
-        """Refuses what has no number yet: it is surely not written."""
+        """Fails pending commits; they have certainly not been written."""
         refused = [
             p
             for p in self.pending
@@ -150,7 +158,7 @@
         resolve(refused, failed)
 
     def fail_batches(self, failed: Failed[Failure]) -> None:
-        """Tells who waits for a number's fate that nobody knows it."""
+        """Fails the callers of all batches that are not resolved."""
         for batch in self.batches:
             resolve(batch.pending, failed)
 
@@ -174,19 +182,19 @@
 def resolve(
     waiting: Sequence[PendingCommit], outcome: Result[None, Failure]
 ) -> None:
-    """Tells callers what became of their records, those not told before."""
+    """Sets the outcome of those commits that do not have one yet."""
     for pending in waiting:
         if not pending.done.done():
             pending.done.set_result(outcome)
 
 
 def not_owner(shard: int) -> Failed[Failure]:
-    """Returns the failure of records that were surely not written."""
+    """Returns the failure of records that were certainly not written."""
     return Failed(Failure(ErrorKind.NOT_OWNER, f"shard {shard}"))
 
 
 def write_unknown(shard: int) -> Failed[Failure]:
-    """Returns the failure of records that the next owner may find."""
+    """Returns the failure of records that may have been written."""
     return Failed(Failure(ErrorKind.WRITE_UNKNOWN, f"shard {shard}"))
 
 
--- a/libs/programs/src/masticdale_programs/copies.py
+++ b/libs/programs/src/masticdale_programs/copies.py
@@ -1,8 +1,8 @@
-"""Copies of a shard's records on two other hosts during an outage.
+"""Copies of a shard's commits on two other hosts during an outage.
 
-While the platform's service is down, a record is acknowledged once its owner
-and both of two holders have it. A taker that seals one holder has them all,
-and stops the owner: what needs both holders can no longer be acknowledged.
+While the platform is down, a commit is acknowledged once the owner and both
+copy holders have it. A new owner seals at least one holder: that returns every
+acknowledged commit and fences the old owner, which needs both holders.
 """
 
 import dataclasses
@@ -24,7 +24,7 @@
 
     Attributes:
         sequence: Number of the commit.
-        records: Its records.
+        records: Records of the commit.
     """
 
     sequence: int
@@ -33,13 +33,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyBatch:
-    """What an owner gives a holder, and a sealed holder a taker.
+    """Commits sent by an owner to a holder, or by a holder to a new owner.
 
     Attributes:
-        shard: The shard.
-        epoch: The owner's epoch.
-        drained: The platform holds every commit up to this one.
-        after: The entries follow this commit without a gap.
+        shard: Number of the shard.
+        epoch: Epoch of the owner that made the commits.
+        drained: Sequence number up to which the platform has every commit.
+        after: Sequence number that the entries follow without a gap.
         entries: Commits, oldest first.
     """
 
@@ -51,20 +51,20 @@
 
 
 class CopyHolders(Protocol):
-    """The hosts that hold copies; the daemon brings it over peers."""
+    """Access to the copy holders; implemented by the daemon."""
 
     def choose(self, shard: int, current: Sequence[str]) -> tuple[str, ...]:
         """Returns the hosts for a shard's copies; see ``choose_holders``."""
         ...
 
     async def put(self, holder: str, batch: CopyBatch) -> Result[None, Failure]:
-        """Gives a holder a batch; see ``CopyStore.put``."""
+        """Sends a batch to a holder; see ``CopyStore.put``."""
         ...
 
     async def seal(
         self, holder: str, shard: int, epoch: int
     ) -> Result[CopyBatch, Failure]:
-        """Seals a holder and gets its copies; see ``CopyStore.seal``."""
+        """Seals a holder and returns its copies; see ``CopyStore.seal``."""
         ...
 
 
@@ -72,12 +72,12 @@
 
 
 def encode_batch(batch: CopyBatch) -> bytes:
-    """Returns a batch as JSON."""
+    """Encodes a batch as JSON."""
     return _BATCH.dump_json(batch)
 
 
 def decode_batch(data: bytes) -> CopyBatch:
-    """Returns the batch of a JSON text; raises on malformed text."""
+    """Decodes a batch from JSON; raises on malformed data."""
     return _BATCH.validate_json(data)
 
 
@@ -89,18 +89,18 @@
 ) -> tuple[str, ...]:
     """Chooses the holders of a shard's copies.
 
-    Present holders stay while they live, so that membership's noise costs no
-    head updates.
+    Current holders are kept while they are alive, so that membership changes
+    of other hosts cause no head updates.
 
     Args:
-        shard: The shard.
-        owner: Its owner.
-        domain_by_host: Failure domains of the live hosts, the owner's too.
-        current: The present holders.
+        shard: Number of the shard.
+        owner: Host that owns the shard.
+        domain_by_host: Failure domains of the live hosts, owner included.
+        current: The current holders.
 
     Returns:
-        Two hosts, in domains other than the owner's and each other's; none
-        where there are no two such hosts.
+        Two hosts in failure domains other than the owner's and each other's,
+        or an empty tuple if there are no two such hosts.
     """
     chosen: list[str] = []
     used_domains = {domain_by_host.get(owner)}
--- a/libs/programs/src/masticdale_programs/copy_store.py
+++ b/libs/programs/src/masticdale_programs/copy_store.py
@@ -1,4 +1,4 @@
-"""A holder's copies of other hosts' shards, bounded, in memory."""
+"""A copy holder's bounded in-memory store of other hosts' commits."""
 
 import dataclasses
 
@@ -14,13 +14,13 @@
 
 @dataclasses.dataclass(slots=True)
 class _ShardCopies:
-    """What is held of one shard.
+    """The copies of one shard.
 
     Attributes:
-        epoch: The owner's epoch.
-        drained: The platform holds every commit up to this one.
-        entry_by_sequence: Commits beyond it, without a gap.
-        size_by_sequence: Their sizes in bytes.
+        epoch: Epoch of the owner that sent them.
+        drained: Sequence number up to which the platform has every commit.
+        entry_by_sequence: Later commits, without a gap.
+        size_by_sequence: Their encoded sizes in bytes.
     """
 
     epoch: int
@@ -32,12 +32,12 @@
 
     @property
     def last_sequence(self) -> int:
-        """The newest commit that the holder or the platform has."""
+        """Number of the newest commit that the holder or the platform has."""
         return max(self.entry_by_sequence, default=self.drained)
 
 
 class CopyStore:
-    """Holds copies of any number of shards up to a limit of bytes."""
+    """Stores copies of any number of shards up to a size limit in bytes."""
 
     def __init__(self, limit_bytes: int = DEFAULT_LIMIT_BYTES) -> None:
         self._limit_bytes = limit_bytes
@@ -46,7 +46,7 @@
 
     @property
     def held_bytes(self) -> int:
-        """Size of everything held."""
+        """Encoded size of all copies, in bytes."""
         return sum(
             size
             for copies in self._copies_by_shard.values()
@@ -54,17 +54,18 @@
         )
 
     def put(self, batch: CopyBatch) -> Result[None, Failure]:
-        """Holds a batch and drops what the platform has.
+        """Stores a batch and drops the commits that the platform has.
 
         Args:
-            batch: Without entries it tells what is drained and asks whether
-                the holder has everything up to ``after``.
+            batch: The batch. Without entries it updates ``drained`` and
+                checks that the holder has every commit up to ``after``.
 
         Returns:
-            Success once everything up to the batch's end is held; NOT_OWNER
-            when a later epoch sealed the shard; NOT_FOUND when commits before
-            the batch are missing here, as after a restart: the owner then
-            sends everything that is not drained; OVERLOADED when full.
+            Success if every commit up to the end of the batch is stored;
+            NOT_OWNER if a later epoch has sealed or written the shard;
+            NOT_FOUND if earlier commits are missing, for example after a
+            restart, so that the owner has to send every commit that is not
+            drained; OVERLOADED if the store is full.
         """
         copies = self._copies_by_shard.get(batch.shard)
         newest_epoch = max(
@@ -74,8 +75,8 @@
         if batch.epoch < newest_epoch:
             return _failure(ErrorKind.NOT_OWNER, batch.shard)
         if copies is None or copies.epoch < batch.epoch:
-            # A holder that lost its copies must not begin in the middle: a
-            # taker would miss what was acknowledged before.
+            # A holder that lost its copies must not accept later commits
+            # alone: a new owner would miss the acknowledged ones before.
             if batch.after != batch.drained:
                 return _failure(ErrorKind.NOT_FOUND, batch.shard)
             copies = _ShardCopies(batch.epoch, batch.drained)
@@ -86,15 +87,16 @@
         return self._add(copies, batch)
 
     def seal(self, shard: int, epoch: int) -> Result[CopyBatch, Failure]:
-        """Refuses smaller epochs from now on and returns what is held.
+        """Fences earlier epochs and returns the copies.
 
         Args:
-            shard: The shard.
-            epoch: The taker's epoch.
+            shard: Number of the shard.
+            epoch: Epoch of the new owner; batches of earlier epochs are
+                rejected from now on.
 
         Returns:
-            The copies with their owner's epoch; NOT_FOUND where nothing is
-            known of the shard, which does not say that nothing was held.
+            The copies with the epoch of the owner that sent them. NOT_FOUND
+            if there are none; they may have been lost in a restart.
         """
         sealed = self._sealed_by_shard.get(shard, 0)
         self._sealed_by_shard[shard] = max(sealed, epoch)
--- a/libs/programs/src/masticdale_programs/journal.py
+++ b/libs/programs/src/masticdale_programs/journal.py
@@ -1,9 +1,9 @@
-"""A shard's journal: one conditional head object, sealed segments, epochs.
+"""A shard's journal: a head object updated by compare-and-swap, and segments.
 
-``shards/{n}/head`` holds the owner's epoch and the newest records; when these
-grow, they are sealed into an immutable ``shards/{n}/segments/...`` object
-that the head refers to. Every commit is a conditional update of the head, so
-the commit of an owner that was deposed fails whatever that owner believes.
+``shards/{n}/head`` holds the owner's epoch and the newest records. When these
+exceed a size limit, they are sealed into an immutable
+``shards/{n}/segments/...`` object that the head refers to. Every commit is a
+conditional update of the head, which fences former owners.
 """
 
 import asyncio
@@ -32,26 +32,27 @@
 from masticdale_programs.heads import Head, head_key, segment_key
 from masticdale_programs.records import Record
 
-# Records beyond this are sealed into a segment, in bytes: each commit writes
-# the whole head.
+# Size of the tail, in bytes, from which it is sealed into a segment: each
+# commit writes the whole head.
 TAIL_LIMIT_BYTES = 64_000
-# Between two tries of a write that failed, in seconds; doubles to the second.
+# Exponential backoff between attempts of a failed write, in seconds.
 _RETRY_INITIAL_S = 0.05
 _RETRY_MAX_S = 2.0
-# Between two tries of a copy, in seconds; a holder restarts within some.
+# Delay before a failed copy is retried, in seconds.
 _COPY_RETRY_S = 0.2
-# From a head's write without an answer until commits are copied instead, in
-# seconds: a hundred usual writes, and shorter than callers notice.
+# Duration of a head write, in seconds, after which commits are acknowledged
+# by the copy holders instead.
 _OUTAGE_AFTER_S = 0.5
-# The rest is for the calls that run when the limit is reached.
+# Backlog from which new calls are rejected; the rest of the limit is for the
+# commits of the calls in flight.
 _ADMISSION_LIMIT_BYTES = BACKLOG_LIMIT_BYTES * 3 // 4
 
 
 class Journal:
     """The journal of one shard while this host owns it.
 
-    ``open_journal`` takes the shard over; ``commit`` appends; ``release``
-    hands the shard over. After a lost race every call answers NOT_OWNER.
+    ``open_journal`` takes the shard over, ``commit`` appends and ``release``
+    hands the shard off. Once ownership is lost, calls fail with NOT_OWNER.
     """
 
     def __init__(
@@ -87,31 +88,30 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch this host owns the shard under."""
+        """The epoch under which this host owns the shard."""
         return self._head.epoch
 
     @property
     def is_owned(self) -> bool:
-        """False once another host took the shard over."""
+        """Whether this host still owns the shard, as far as it knows."""
         return not self._ownership_lost
 
     @property
     def copy_holders(self) -> tuple[str, ...]:
-        """The hosts that hold copies in an outage."""
+        """The hosts that keep copies during an outage."""
         return self._head.copy_holders
 
     @property
     def backlog_bytes(self) -> int:
-        """Size of what is not yet known to be in the platform."""
+        """Encoded size of the commits that the platform may not have yet."""
         return self._queue.backlog_bytes
 
     def admission_failure(self) -> Failure | None:
-        """Returns why a new call could not be acknowledged now.
+        """Returns the failure of new calls while commits can't be acknowledged.
 
-        To refuse before a call runs is true and cheap; a call that ran while
-        nobody can hold its record is lost work for its caller. A platform
-        that has only been slow so far is waited for: a restart of one copy
-        holder would else have callers refused on every busy moment.
+        Rejecting a call before it runs avoids work whose result can't be
+        committed. Calls are not rejected while the platform is only slow:
+        otherwise the restart of a copy holder under load would reject calls.
         """
         if self._copy_writer is None or not self._in_outage:
             return None
@@ -119,7 +119,7 @@
         is_lost = self._copy_writer.is_failing and self._write_failed
         if not is_full and not is_lost:
             return None
-        detail = "copies are full" if is_full else "a copy holder is gone"
+        detail = "commit backlog is full" if is_full else "copy holder is down"
         return Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail)
 
     async def commit(
@@ -128,27 +128,27 @@
         """Appends records durably.
 
         Commits that arrive while a write is in flight share the next write.
+        Without copy holders a commit waits for the end of an outage; a caller
+        that stops waiting must assume that the records may be written.
 
         Args:
-            records: Appended together or not at all.
-            needs_platform: Copies do not do: refuses once a call of the
-                platform has failed, waits while it is only slow.
+            records: Records to append atomically.
+            needs_platform: Copies are not enough: the commit fails once a
+                write to the platform has failed, and waits while the platform
+                is only slow.
 
         Returns:
-            Success once the platform or, in an outage, owner and both copy
-            holders have them; NOT_OWNER when this host was
-            deposed and TOO_LARGE when they fit no object, which both mean
-            that they were not written, as does PLATFORM_UNAVAILABLE;
-            WRITE_UNKNOWN when the next owner may find them. Without copies
-            the call waits through an outage: a caller that gives up must
-            assume they may be written.
+            Success once the platform has the records or, in an outage, the
+            owner and both copy holders. NOT_OWNER, TOO_LARGE and
+            PLATFORM_UNAVAILABLE mean that the records were not written;
+            WRITE_UNKNOWN means that the next owner may find them.
         """
         if self._ownership_lost or self._releasing:
             return not_owner(self._shard)
         size = len(codec.encode(records))
         if size > BATCH_LIMIT_BYTES:
-            # The platform would refuse the head for ever, and every later
-            # commit of the shard would wait behind it.
+            # The platform would reject every attempt to write the head, and
+            # all later commits of the shard would wait behind it.
             return Failed(Failure(ErrorKind.TOO_LARGE, f"{size} bytes"))
         if (
             self._is_platform_down
@@ -159,10 +159,10 @@
         return await self._enqueue(records, size, needs_platform)
 
     async def refresh_copy_holders(self) -> None:
-        """Names the copy holders that should be, once they confirm.
+        """Updates the copy holders in the head once the holders confirm.
 
-        Call it every few seconds: a holder that was restarted begins anew,
-        so that a later taker can tell "nothing held" from "lost".
+        Call it every few seconds. It initializes a restarted holder, so that
+        a new owner can tell a holder without copies from one that lost them.
         """
         if self._copy_writer is None or self._ownership_lost or self._releasing:
             return
@@ -178,8 +178,8 @@
         ):
             return
         if self._copy_writer.is_sealed:
-            # Sealed by a taker that never took the head: the holders take
-            # copies again under an epoch beyond that one's.
+            # A host sealed the holders but did not take the shard over. They
+            # accept copies again under a higher epoch.
             self._must_raise_epoch = True
             wanted = ()
         elif not confirmed:
@@ -192,11 +192,11 @@
                 self._must_raise_epoch = False
 
     async def probe_platform(self) -> None:
-        """Ends an outage once the platform answers and nothing waits for it.
+        """Ends the outage if the platform responds and the backlog is empty.
 
-        A write ends an outage, too; but calls are refused while a copy holder
-        is gone, so without this no write would ever come and the refusals
-        would outlast the outage for good.
+        A successful write ends an outage too. But while a copy holder is down
+        calls are rejected, so there may be no write, and without this probe
+        calls would be rejected forever.
         """
         if not self._in_outage or self._queue.batches:
             return
@@ -206,13 +206,14 @@
             self._write_failed = False
 
     async def check_ownership(self) -> Result[None, Failure]:
-        """Finds out whether another host took the shard over.
+        """Reads the head to check whether another host took the shard over.
 
-        Without it, an owner that was paused goes on accepting calls until
-        its next commit fails.
+        Otherwise an owner that was paused would accept calls until its next
+        commit fails.
 
         Returns:
-            NOT_OWNER after a takeover; a failed read says nothing.
+            NOT_OWNER after a takeover; other failures mean that the head
+            could not be read.
         """
         outcome = await self._store.read(head_key(self._shard))
         if isinstance(outcome, Failed):
@@ -224,7 +225,7 @@
 
     @property
     def _is_platform_down(self) -> bool:
-        """Whether the platform has failed, and was not only slow."""
+        """Whether a write to the platform failed, rather than being slow."""
         return self._in_outage and self._write_failed
 
     def _is_own(self, value: bytes) -> bool:
@@ -239,11 +240,11 @@
         return await asyncio.shield(future)
 
     async def release(self) -> Result[None, Failure]:
-        """Hands the shard over after everything pending is written.
+        """Hands the shard off after all pending commits are written.
 
-        The writing task itself marks the head as released: two writers at
-        once would each take the other's head for their own older one and
-        overwrite the records that it had just acknowledged.
+        The writer task marks the head as released. A second concurrent writer
+        could mistake the first one's head for its own earlier write and
+        overwrite records that were already acknowledged.
         """
         if self._ownership_lost or self._releasing:
             return not_owner(self._shard)
@@ -255,8 +256,8 @@
     async def close(self) -> None:
         """Stops writing.
 
-        What is pending fails with NOT_OWNER; what is being written fails
-        with WRITE_UNKNOWN, because the write may have taken effect.
+        Pending commits fail with NOT_OWNER. Commits that are being written
+        fail with WRITE_UNKNOWN, because the write may take effect.
         """
         self._lose_ownership()
         for task in self._tasks:
@@ -267,8 +268,9 @@
         try:
             await work()
         except Exception as error:
-            # A dead writer would leave every later commit waiting for ever;
-            # given up, the shard is opened again from what is stored.
+            # Without a writer task, later commits would wait forever. The
+            # journal gives up ownership, so that the shard is opened again
+            # from the store.
             logs.write("journal_failed", shard=self._shard, error=repr(error))
         finally:
             self._lose_ownership()
@@ -306,7 +308,7 @@
 
     def _record_write_failure(self) -> None:
         self._write_failed = True
-        # What can't be copied is refused from now on.
+        # Commits that need the platform now fail.
         self._copy_wakeup.set()
 
     def _begin_outage(self) -> None:
@@ -317,7 +319,7 @@
         self._copy_wakeup.set()
 
     async def _copy_batches(self, copy_writer: CopyWriter) -> None:
-        """Acknowledges through copies while the platform is silent."""
+        """Replicates and acknowledges batches during an outage."""
         while not self._ownership_lost:
             await self._copy_wakeup.wait()
             self._copy_wakeup.clear()
@@ -333,9 +335,10 @@
                     await asyncio.sleep(_COPY_RETRY_S)
 
     async def _copy_batch(self, copy_writer: CopyWriter, batch: Batch) -> bool:
-        """Returns whether the batch is acknowledged, one way or the other."""
+        """Replicates a batch; returns False if it has to be retried."""
         if self._proposed_holders is not None:
-            # It is unknown which holders a taker would find in the head.
+            # A head with other holders may have been written, so it is not
+            # known which holders a new owner would seal.
             copy_writer.is_failing = True
             return False
         entries = self._queue.entries_up_to(batch)
@@ -400,7 +403,7 @@
             delay_s = min(delay_s * 2, _RETRY_MAX_S)
 
     async def _swap_head(self, head: Head) -> Result[None, Failure]:
-        """Replaces the head; tries until it knows whether that took effect."""
+        """Replaces the head; retries until the outcome is known."""
         value = head.model_dump_json().encode()
         delay_s = _RETRY_INITIAL_S
         may_be_written = False
@@ -428,15 +431,15 @@
     async def _resolve_head_write(
         self, head: Head
     ) -> Result[None, Failure] | None:
-        """Finds out whether a write whose answer was lost took effect.
+        """Reads the head to resolve a write whose response was lost.
 
-        Without this, an owner would take its own write, answered late, for
-        another's and give the shard up, or append the batch twice. Writer,
-        epoch and sequence together name one write of one process.
+        Otherwise the owner could mistake its own write for another host's and
+        give the shard up, or append the batch twice. Writer, epoch and
+        sequence together identify one write.
 
         Returns:
-            Success if the head is ours, NOT_OWNER if another's, None if the
-            write must be tried again.
+            Success if the write took effect, NOT_OWNER if another host wrote
+            the head, None if the write must be retried.
         """
         outcome = await self._store.read(head_key(self._shard))
         if isinstance(outcome, Failed):
--- a/libs/programs/src/masticdale_programs/shards.py
+++ b/libs/programs/src/masticdale_programs/shards.py
@@ -360,7 +360,7 @@
                 return outcome
             program = self.find(operation.program_id, caller.workspace)
         if program is None:
-            # Another workspace's program has the id.
+            # The id belongs to a program of another workspace.
             return Failed(Failure(ErrorKind.NOT_FOUND, operation.program_id))
         if program.kind.name != operation.kind.name:
             detail = "the request id created a program of another kind"
--- a/libs/programs/src/masticdale_programs/takeovers.py
+++ b/libs/programs/src/masticdale_programs/takeovers.py
@@ -1,4 +1,4 @@
-"""Taking a shard over: seal the copies, take the head, read the records."""
+"""Shard takeover: seals the copies, swaps the head and reads the records."""
 
 import uuid
 from collections.abc import Sequence
@@ -27,22 +27,22 @@
     copies: CopyHolders | None = None,
     forced: bool = False,
 ) -> Result[Journal, Failure]:
-    """Takes a shard over: from now on every earlier owner's commit fails.
+    """Takes a shard over and fences its earlier owners.
 
     Args:
-        store: The platform's objects.
-        shard: Which shard.
-        host: This host.
+        store: The platform's object store.
+        shard: Number of the shard.
+        host: Name of this host.
         writer: Incarnation of this process.
-        on_committed: Called with every record, also those found in the
-            journal, in the journal's order.
-        copies: Hosts that hold copies; None to do without.
-        forced: Takes the shard although no holder gave its copies: what was
-            acknowledged during an outage may be lost.
+        on_committed: Called with every record in journal order, first with
+            those already in the journal.
+        copies: Access to the copy holders; None to run without copies.
+        forced: Takes the shard over even if no copy holder returns its
+            copies; commits acknowledged during an outage may be lost.
 
     Returns:
-        The opened journal; CONFLICT when another host was faster;
-        PEER_UNAVAILABLE when no holder gave its copies.
+        The opened journal; CONFLICT if another host took the shard first;
+        PEER_UNAVAILABLE if no copy holder returned its copies.
     """
     outcome = await store.read(head_key(shard))
     if isinstance(outcome, Failed):
@@ -50,8 +50,9 @@
     stored = outcome.unwrap()
     version = stored.version if stored else MUST_NOT_EXIST
     found = Head.model_validate_json(stored.value) if stored else _empty_head()
-    # Sealed before the head is taken: an owner that is cut off from the
-    # platform alone could otherwise acknowledge records after they were read.
+    # The copies are sealed before the head is replaced. Otherwise an owner
+    # that is partitioned from the platform only could still acknowledge
+    # commits after the copies were read.
     sealed = await _seal_copies(copies, shard, found)
     if isinstance(sealed, Failed):
         if not forced:
@@ -61,8 +62,9 @@
         update={
             "epoch": found.epoch + 1,
             "owner": host,
-            # Two openings by one process must differ, or each would take
-            # the other's writes for its own with a lost answer.
+            # The nonce tells two openings by one process apart. Otherwise
+            # each would mistake the other's head for its own write whose
+            # response was lost.
             "writer": f"{writer}-{uuid.uuid4().hex[:_NONCE_DIGITS]}",
             "released": False,
             "copy_holders": (),
@@ -75,8 +77,8 @@
     taken = await _write_head(store, shard, head, version)
     if isinstance(taken, Failed):
         return taken
-    # The segments are read after the head is ours: an earlier owner may
-    # replace segments until then, and none may afterwards.
+    # The segments are read after the head is replaced, because an earlier
+    # owner may replace segments until then.
     loaded = await _load_segments(store, head)
     if isinstance(loaded, Failed):
         return loaded
@@ -113,8 +115,8 @@
                 return Success(entries)
     holders = " and ".join(found.copy_holders)
     detail = (
-        f"shard {shard}: neither {holders} gave its copies of epoch "
-        f"{found.epoch}; what {found.owner} acknowledged after commit "
+        f"shard {shard}: no copies of epoch {found.epoch} from {holders}; "
+        f"commits that {found.owner} acknowledged after "
         f"{found.sequence} may be lost"
     )
     return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, detail))
@@ -123,7 +125,7 @@
 def _entries_after(
     found: Head, sealed: CopyBatch
 ) -> tuple[CopyEntry, ...] | None:
-    """Returns the commits beyond the head; None where the copies have gaps."""
+    """Returns the commits after the head's; None if the copies lack any."""
     if sealed.epoch != found.epoch:
         return None
     entries = tuple(e for e in sealed.entries if e.sequence > found.sequence)
@@ -136,7 +138,7 @@
 async def _append_entries(
     store: ObjectStore, shard: int, head: Head, entries: Sequence[CopyEntry]
 ) -> Result[Head, Failure]:
-    """Adds commits to a head that is not stored yet, sealing what is long."""
+    """Adds commits to a head before it is stored; seals a full tail."""
     segments = list(head.segments)
     tail = list(head.tail)
     size = len(codec.encode(tail))
