--- a/libs/programs/src/masticdale_programs/copy_writer.py
+++ b/libs/programs/src/masticdale_programs/copy_writer.py
@@ -1,4 +1,4 @@
-"""The owner's side of copies: both holders or no acknowledgement."""
+"""Replication of an owner's commits to both copy holders."""
 
 import asyncio
 from collections.abc import Sequence
@@ -17,11 +17,11 @@
 
 
 class CopyWriter:
-    """Gives a shard's undrained commits to the holders named in its head.
+    """Sends a shard's undrained commits to the holders named in its head.
 
     Attributes:
-        is_sealed: A holder was sealed by a taker, or by one that gave up.
-        is_failing: The last batch was not held by both.
+        is_sealed: Whether a holder was sealed by another host.
+        is_failing: Whether the last batch was not stored by both holders.
     """
 
     def __init__(self, copies: CopyHolders, shard: int) -> None:
@@ -31,18 +31,18 @@
         self._shard = shard
 
     def choose_holders(self, head: Head) -> tuple[str, ...]:
-        """Returns the holders that the shard should have now."""
+        """Returns the holders that the shard should have, given live hosts."""
         return self._copies.choose(self._shard, head.copy_holders)
 
     async def replicate(self, head: Head, entries: Sequence[CopyEntry]) -> bool:
-        """Gives the newest entry to both holders.
+        """Sends the newest entry to both holders.
 
         Args:
             head: The newest head that is known to be stored.
-            entries: Every commit beyond it, up to the one to be held.
+            entries: Every commit after it, up to the one to replicate.
 
         Returns:
-            Whether both hold it, and with it everything before.
+            Whether both holders have it and every commit before it.
         """
         holders = head.copy_holders
         if len(holders) < HOLDER_COUNT:
@@ -57,16 +57,16 @@
     async def confirm_holders(
         self, holders: Sequence[str], head: Head, last_sequence: int
     ) -> bool:
-        """Asks holders whether they have everything and tells what is drained.
+        """Checks that holders are complete and tells them what is drained.
 
         Args:
-            holders: Present or future holders.
+            holders: Current or new holders.
             head: The newest head that is known to be stored.
             last_sequence: Number of the newest commit.
 
         Returns:
-            Whether each has. A holder without any copies begins with this
-            batch where everything is drained.
+            Whether every holder is complete. A holder without copies is
+            initialized if every commit is drained.
         """
         batch = CopyBatch(self._shard, head.epoch, head.sequence, last_sequence)
         outcomes = await asyncio.gather(
@@ -88,7 +88,7 @@
         )
         outcome = await self._copies.put(holder, batch)
         if _is_missing(outcome):
-            # The holder was restarted, or was given none of them yet.
+            # The holder was restarted or has not received earlier commits.
             batch = CopyBatch(
                 self._shard,
                 head.epoch,
--- a/libs/programs/src/masticdale_programs/executors.py
+++ b/libs/programs/src/masticdale_programs/executors.py
@@ -1,4 +1,4 @@
-"""What a shard needs done outside: the daemon brings an ``Executor``."""
+"""Interface between a shard and the upstreams that run its calls."""
 
 import dataclasses
 from collections.abc import Callable
@@ -20,16 +20,17 @@
         request_id: The caller's request id.
         model: Model to run it on.
         prompt: The whole context in parts.
-        content_digest: Digest of model and context, for crash suspects.
-        max_tokens: Most tokens to generate.
-        priority: Priority class; 0 is first.
-        attained_s: Engine seconds the program has had.
-        replica: Replica that holds the branch's prefix; may be empty.
-        deadline: Monotonic seconds after which nobody waits.
+        content_digest: Digest of model and prompt, to recognize content that
+            may have crashed an engine.
+        max_tokens: Limit of generated tokens.
+        priority: Priority class; 0 is the highest.
+        attained_s: Engine time the program has used, in seconds.
+        replica: Replica that caches the branch's prefix; may be empty.
+        deadline: Monotonic time, in seconds, until which the caller waits.
         kind: Name of the program kind.
-        template_digest: Digest of the prompt's shared first part.
-        parent_id: Branch this one was opened from; empty for none.
-        parent_tokens: Tokens of the history it began with.
+        template_digest: Digest of the system prompt.
+        parent_id: Branch from which this one was opened; empty for none.
+        parent_tokens: Number of tokens of the inherited history.
     """
 
     workspace: str
@@ -52,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelResult:
-    """A whole answer and what it cost."""
+    """A complete answer with its token counts and engine time."""
 
     text: str
     replica: str
@@ -73,9 +74,9 @@
         key: Idempotency key.
         operation: Name of the operation.
         payload: JSON text.
-        fencing: The shard's epoch.
-        priority: Priority class; 0 is first.
-        deadline: Monotonic seconds after which nobody waits.
+        fencing: Fencing token: the shard's epoch.
+        priority: Priority class; 0 is the highest.
+        deadline: Monotonic time, in seconds, until which the caller waits.
     """
 
     workspace: str
@@ -90,22 +91,22 @@
 
 
 class TextSink(Protocol):
-    """Where an executor puts the text as it comes."""
+    """Receives a turn's text and progress from an executor."""
 
     def record_placement(self, replica: str) -> None:
-        """Notes a replica that may hold engine memory from now on."""
+        """Records a replica that may hold engine memory from now on."""
         ...
 
     def set_wait_reason(self, reason: str) -> None:
-        """Notes what the call waits for, for operators."""
+        """Records what the call waits for, for operators."""
         ...
 
     def restart(self) -> None:
-        """Forgets the text so far: another replica begins anew."""
+        """Discards the text so far; another replica restarts the answer."""
         ...
 
     def append(self, text: str) -> None:
-        """Adds generated text."""
+        """Appends generated text."""
         ...
 
 
@@ -115,7 +116,7 @@
     async def run_model(
         self, call: ModelCall, sink: TextSink
     ) -> Result[ModelResult, Failure]:
-        """Places, admits and runs a turn, retrying where that is safe."""
+        """Places, admits and runs a turn; retries where that is safe."""
         ...
 
     def is_repeatable(self, workspace: str, operation: str) -> bool:
@@ -125,15 +126,15 @@
     async def call_service(self, call: ServiceCall) -> Result[str, Failure]:
         """Sends a service call once.
 
-        Failures whose table row says ``ran: no`` promise that it was not run.
+        A failure of a kind with ``ran: no`` guarantees that it was not run.
         """
         ...
 
     async def look_up(self, call: ServiceCall) -> Result[str | None, Failure]:
-        """Asks the service for the outcome under the call's key.
+        """Looks up a call's outcome at the service by its idempotency key.
 
         Returns:
-            The result; None where the service does not tell or knows nothing.
+            The result; None if the service has no lookup or no such call.
         """
         ...
 
--- a/libs/programs/src/masticdale_programs/operations.py
+++ b/libs/programs/src/masticdale_programs/operations.py
@@ -1,4 +1,4 @@
-"""What callers ask of a program and what they are told: typed, JSON-coded."""
+"""Operations on programs and their results, with their JSON codec."""
 
 import dataclasses
 from typing import Annotated, Literal
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CreateProgram:
-    """Begins a program; the id is derived from workspace and request id."""
+    """Creates a program; the id is derived from workspace and request id."""
 
     program_id: str
     kind: ProgramKind
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenBranch:
-    """Opens a sub-agent's branch."""
+    """Opens a branch, for example for a sub-agent."""
 
     program_id: str
     branch_id: str
@@ -30,15 +30,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendTurn:
-    """Sends a message and asks for the model's answer.
+    """Sends a message to the model and requests its answer.
 
     Attributes:
         program_id: The program.
         branch_id: The branch.
-        request_id: Makes the call safe to send again.
-        sequence: Place in the branch, from 0; None takes the next place.
-        message: New text; the history is added by the owner.
-        max_tokens: Most tokens to generate; 0 takes the program kind's.
+        request_id: Idempotency key of the caller's request.
+        sequence: Position in the branch, from 0; None for the next position.
+        message: New text; the owner adds the history.
+        max_tokens: Limit of generated tokens; 0 for the program kind's limit.
     """
 
     program_id: str
@@ -57,10 +57,10 @@
     Attributes:
         program_id: The program.
         branch_id: The branch.
-        request_id: Makes the call safe to send again.
+        request_id: Idempotency key of the caller's request.
         operation: Name of the operation.
         payload: JSON text.
-        sequence: Place in the branch, from 0; None takes the next place.
+        sequence: Position in the branch, from 0; None for the next position.
     """
 
     program_id: str
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndProgram:
-    """Ends a program; ending it again changes nothing."""
+    """Ends a program; ending it again has no effect."""
 
     program_id: str
     reason: EndReason = EndReason.FINISHED
@@ -102,7 +102,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryItem:
-    """One finished call as its caller sees it."""
+    """One finished call of a branch, as shown to callers."""
 
     request_id: str
     kind: str
@@ -118,13 +118,13 @@
     Attributes:
         program_id: The program.
         kind: Name of the program kind.
-        state: ``running`` or the reason of the end.
+        state: ``running`` or the reason for its end.
         branches: Ids of the branches.
-        tokens_spent: Tokens charged.
-        calls_spent: Model turns and service calls charged.
-        turns_spent: Model turns charged.
+        tokens_spent: Number of tokens charged.
+        calls_spent: Number of model turns and service calls charged.
+        turns_spent: Number of model turns charged.
         waiting_for: Request ids in flight, with what each waits for.
-        history: The finished calls of the branch asked for.
+        history: Finished calls of the requested branch.
     """
 
     program_id: str
@@ -141,7 +141,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """A call was ordered; its answer is read from the stream."""
+    """A call was accepted; its answer is read from a stream."""
 
     request_id: str
     epoch: int
@@ -150,7 +150,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnOutcome:
-    """A turn's whole answer, committed."""
+    """A turn's committed answer."""
 
     request_id: str
     text: str
@@ -187,30 +187,30 @@
 
 
 def encode_operation(operation: Operation) -> str:
-    """Returns an operation as JSON."""
+    """Encodes an operation as JSON."""
     return _OPERATION.dump_json(operation).decode()
 
 
 def decode_operation(text: str) -> Operation:
-    """Returns the operation of a JSON text; raises on malformed text."""
+    """Decodes an operation from JSON; raises on malformed text."""
     return _OPERATION.validate_json(text)
 
 
 def encode_result(result: OperationResult) -> str:
-    """Returns an operation's result as JSON."""
+    """Encodes an operation's result as JSON."""
     return _RESULT.dump_json(result).decode()
 
 
 def decode_result(text: str) -> OperationResult:
-    """Returns the result of a JSON text; raises on malformed text."""
+    """Decodes an operation's result from JSON; raises on malformed text."""
     return _RESULT.validate_json(text)
 
 
 def encode_outcome(outcome: Outcome) -> str:
-    """Returns an outcome as JSON."""
+    """Encodes a call's outcome as JSON."""
     return _OUTCOME.dump_json(outcome).decode()
 
 
 def decode_outcome(text: str) -> Outcome:
-    """Returns the outcome of a JSON text; raises on malformed text."""
+    """Decodes a call's outcome from JSON; raises on malformed text."""
     return _OUTCOME.validate_json(text)
--- a/libs/programs/src/masticdale_programs/takeovers.py
+++ b/libs/programs/src/masticdale_programs/takeovers.py
@@ -115,8 +115,8 @@
                 return Success(entries)
     holders = " and ".join(found.copy_holders)
     detail = (
-        f"shard {shard}: no copies of epoch {found.epoch} from {holders}; "
-        f"commits that {found.owner} acknowledged after "
+        f"shard {shard}: {holders} returned no copies of epoch "
+        f"{found.epoch}; commits that {found.owner} acknowledged after "
         f"{found.sequence} may be lost"
     )
     return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, detail))
--- a/libs/programs/src/masticdale_programs/views.py
+++ b/libs/programs/src/masticdale_programs/views.py
@@ -1,4 +1,4 @@
-"""What callers see of a program."""
+"""Conversion of a program's state into results for callers."""
 
 import functools
 
@@ -22,13 +22,14 @@
 from masticdale_programs.state import Program
 from masticdale_programs.streams import StreamPart
 
-# Differs from every attempt in flight, so a reader compares the whole text.
+# Differs from every attempt of a call in flight, so that a reader replaces the
+# text it has.
 COMMITTED_ATTEMPT = -1
 
 
 @functools.singledispatch
 def outcome_of(entry: TurnFinished | CallFinished) -> Result[Outcome, Failure]:
-    """Returns the answer that a finished call gives each time it is asked."""
+    """Returns the outcome of a finished call, the same for every request."""
     raise TypeError(f"no rule for {type(entry).__name__}")
 
 
@@ -56,7 +57,7 @@
 
 @functools.singledispatch
 def history_item(entry: TurnFinished | CallFinished) -> HistoryItem:
-    """Returns a finished call as its caller sees it."""
+    """Returns a finished call as an item of its branch's history."""
     raise TypeError(f"no rule for {type(entry).__name__}")
 
 
@@ -79,7 +80,7 @@
 
 
 def finished_part(entry: TurnFinished | CallFinished) -> StreamPart:
-    """Returns a finished call's whole answer as one stream part."""
+    """Returns a finished call's complete answer as one stream part."""
     text = entry.text if isinstance(entry, TurnFinished) else ""
     return StreamPart(COMMITTED_ATTEMPT, 0, text, outcome_of(entry))
 
@@ -91,8 +92,11 @@
 
     Args:
         program: The program.
-        waiting: Calls in flight with what they wait for.
+        waiting: Calls in flight and what each waits for.
         history_of: Branch whose history is included; empty for none.
+
+    Returns:
+        The status; NOT_FOUND if the branch does not exist.
     """
     history: tuple[HistoryItem, ...] = ()
     if history_of:
