--- a/libs/programs/src/masticdale_programs/testing.py
+++ b/libs/programs/src/masticdale_programs/testing.py
@@ -1,4 +1,4 @@
-"""A fake executor and sample values, for tests of programs."""
+"""A fake executor and sample values for tests."""
 
 import asyncio
 import dataclasses
@@ -26,15 +26,16 @@
 
 @dataclasses.dataclass(slots=True)
 class ExecutorFaults:
-    """What goes wrong, a call at a time.
+    """Faults of the fake executor; counters decrease with each fault.
 
     Attributes:
-        lose_answers: Service calls that run and answer OUTCOME_UNKNOWN.
-        refuse: Service calls that do not run and answer NO_UPSTREAM.
-        fail_turns: Model turns that answer UPSTREAM_FAILED.
-        can_look_up: Whether the service tells outcomes by key.
-        delay_s: Each call takes this long.
-        hung_replicas: Replicas that never answer a release.
+        lose_answers: Number of service calls that run, but fail with
+            OUTCOME_UNKNOWN.
+        refuse: Number of service calls that fail with NO_UPSTREAM unrun.
+        fail_turns: Number of model turns that fail with UPSTREAM_FAILED.
+        can_look_up: Whether the service supports lookups by key.
+        delay_s: Duration of each call, in seconds.
+        hung_replicas: Replicas that never respond to a release.
     """
 
     lose_answers: int = 0
@@ -46,7 +47,14 @@
 
 
 class FakeExecutor:
-    """Answers turns with a text made from the prompt; counts executions."""
+    """Answers turns with a text derived from the prompt; counts executions.
+
+    Attributes:
+        faults: Faults to inject.
+        calls: Model calls received, oldest first.
+        execution_count_by_key: Executed service calls by idempotency key.
+        released: Program ids and replicas of completed releases.
+    """
 
     def __init__(self) -> None:
         self.faults = ExecutorFaults()
@@ -131,7 +139,7 @@
 async def read_outcome(
     shard: Shard, key: RequestKey, workspace: str
 ) -> Result[Outcome, Failure]:
-    """Reads a call's answer as an entry host does, until its outcome."""
+    """Reads a call's answer until its outcome, as an entry host does."""
     attempt = 0
     offset = 0
     while True:
--- a/libs/programs/src/masticdale_programs/testing_hosts.py
+++ b/libs/programs/src/masticdale_programs/testing_hosts.py
@@ -1,4 +1,4 @@
-"""One host's view of the platform and of services, with faults of its own."""
+"""Fakes of the platform, upstreams and peers with faults per host."""
 
 import asyncio
 import enum
@@ -27,7 +27,13 @@
 
 
 class WriteFault(enum.StrEnum):
-    """What becomes of a write that is answered WRITE_UNKNOWN."""
+    """Effect of a write that fails with WRITE_UNKNOWN.
+
+    Attributes:
+        LOSE_ANSWER: The write takes effect.
+        DROP: The write never takes effect.
+        LATE: The write takes effect later.
+    """
 
     LOSE_ANSWER = "lose_answer"
     DROP = "drop"
@@ -38,8 +44,8 @@
     """Faults of one host.
 
     Attributes:
-        is_partitioned: The platform cannot be reached.
-        write_faults: Faults of the next writes.
+        is_partitioned: Whether the host can't reach the platform.
+        write_faults: Faults of the next writes, one each.
     """
 
     def __init__(self) -> None:
@@ -49,21 +55,21 @@
         self._running.set()
 
     def pause(self) -> None:
-        """Stops the host where its calls begin and end."""
+        """Pauses the host at the start and end of its calls."""
         self._running.clear()
 
     def resume(self) -> None:
-        """Lets the host go on, unaware of the time that passed."""
+        """Resumes the host, which does not notice the pause."""
         self._running.set()
 
     async def wait_until_running(self) -> None:
-        """Takes a moment, or as long as the host is paused."""
+        """Waits for a short delay and for the end of a pause."""
         await asyncio.sleep(_CALL_DELAY_S)
         await self._running.wait()
 
 
 class HostStore:
-    """The shared store as one host reaches it; an ``ObjectStore``."""
+    """An ``ObjectStore`` that injects one host's faults into a shared store."""
 
     def __init__(self, store: MemoryStore, faults: HostFaults) -> None:
         self._store = store
@@ -131,9 +137,9 @@
 
 
 class HostExecutor:
-    """The shared upstreams as one host reaches them; an ``Executor``.
+    """An ``Executor`` that injects one host's faults into a shared executor.
 
-    It counts what this host alone caused, by request id.
+    It counts the executions that this host caused, by request id.
     """
 
     def __init__(self, shared: FakeExecutor, faults: HostFaults) -> None:
@@ -152,7 +158,7 @@
         return outcome
 
     def run_count(self, request_id: str) -> int:
-        """Returns how often this host ran a request at an upstream."""
+        """Returns how many times this host ran a request at an upstream."""
         return self._run_count_by_request_id[request_id]
 
     def is_repeatable(self, workspace: str, operation: str) -> bool:
@@ -183,10 +189,10 @@
 
 
 class HostCopies:
-    """The shared copy holders as one host reaches them; a ``CopyHolders``.
+    """A ``CopyHolders`` that injects one host's faults into shared stores.
 
     Attributes:
-        store_by_holder: Every holder; one that was taken out is gone.
+        store_by_holder: The reachable holders' stores.
     """
 
     def __init__(
--- a/libs/programs/src/masticdale_programs/testing_time.py
+++ b/libs/programs/src/masticdale_programs/testing_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps, for tests of long outages in no time."""
+"""An event loop that skips waiting, for tests of long timeouts."""
 
 import asyncio
 import selectors
@@ -9,7 +9,7 @@
 
 
 class _TimeSkippingSelector(selectors.DefaultSelector):
-    """Skips each wait and tells by how much the clock has to jump."""
+    """Returns from each wait at once and adds up the time skipped."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -18,26 +18,26 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Returns at once."""
+        """Polls without waiting and advances the skipped time."""
         if timeout is None:
-            raise RuntimeError("every task waits and no timer runs")
+            raise RuntimeError("deadlock: tasks wait and no timer is pending")
         self.skipped_s += max(0.0, timeout)
         return super().select(0)
 
 
 class TimeSkippingLoop(asyncio.SelectorEventLoop):
-    """An event loop that never waits for its timers."""
+    """An event loop whose clock advances by the time it skips."""
 
     def __init__(self) -> None:
         self._time_selector = _TimeSkippingSelector()
         super().__init__(self._time_selector)
 
     def time(self) -> float:
-        """Returns the sum of the waits that were skipped."""
+        """Returns the total time skipped, in seconds."""
         return self._time_selector.skipped_s
 
 
 def run(work: Coroutine[Any, Any, ResultT]) -> ResultT:
-    """Runs a coroutine on a loop of its own without real waits."""
+    """Runs a coroutine in a new time-skipping event loop."""
     with asyncio.Runner(loop_factory=TimeSkippingLoop) as runner:
         return runner.run(work)
