--- a/libs/programs/tests/test_copies.py
+++ b/libs/programs/tests/test_copies.py
@@ -1,4 +1,4 @@
-"""Tests of copies: acknowledged in an outage, sealed by a taker, not lost."""
+"""Tests of copies: acknowledgement in an outage, sealing and takeover."""
 
 import asyncio
 import unittest
@@ -30,7 +30,7 @@
         self.store = CopyStore(limit_bytes=2000)
         self.store.put(batch(1, 4, 4))
 
-    def refused_as(self, given):
+    def rejection_kind(self, given):
         return self.store.put(given).failure().kind
 
     def sealed_sequences(self, epoch=2):
@@ -42,33 +42,39 @@
         self.store.put(batch(1, 6, 7))
         self.assertEqual(self.sealed_sequences(), [7])
 
-    def test_sent_again_is_held_once(self):
+    def test_duplicate_commit_is_stored_once(self):
         self.store.put(batch(1, 4, 4, 5))
         self.store.put(batch(1, 4, 4, 5, 6))
         self.assertEqual(self.sealed_sequences(), [5, 6])
 
-    def test_gap_is_refused(self):
-        self.assertIs(self.refused_as(batch(1, 4, 5, 6)), ErrorKind.NOT_FOUND)
+    def test_gap_is_rejected(self):
+        self.assertIs(
+            self.rejection_kind(batch(1, 4, 5, 6)), ErrorKind.NOT_FOUND
+        )
 
-    def test_restarted_holder_does_not_begin_in_the_middle(self):
-        # Commit 5 was acknowledged and lost by the restart. Had the holder
-        # taken commit 6, a taker would believe that it is all there was.
+    def test_restarted_holder_rejects_later_commits(self):
+        # Commit 5 was acknowledged and lost in a restart. If the holder
+        # accepted commit 6, a new owner would miss commit 5.
         self.store = CopyStore()
-        self.assertIs(self.refused_as(batch(1, 4, 5, 6)), ErrorKind.NOT_FOUND)
-        self.assertIs(self.refused_as(batch(1, 4, 5)), ErrorKind.NOT_FOUND)
+        self.assertIs(
+            self.rejection_kind(batch(1, 4, 5, 6)), ErrorKind.NOT_FOUND
+        )
+        self.assertIs(self.rejection_kind(batch(1, 4, 5)), ErrorKind.NOT_FOUND)
         sealed = self.store.seal(SHARD, 1)
         self.assertIs(sealed.failure().kind, ErrorKind.NOT_FOUND)
         self.assertIsInstance(self.store.put(batch(1, 4, 4, 5, 6)), Success)
 
-    def test_sealed_holder_refuses_earlier_epochs(self):
+    def test_sealed_holder_rejects_earlier_epochs(self):
         self.store.seal(SHARD, 2)
-        self.assertIs(self.refused_as(batch(1, 4, 4, 5)), ErrorKind.NOT_OWNER)
+        self.assertIs(
+            self.rejection_kind(batch(1, 4, 4, 5)), ErrorKind.NOT_OWNER
+        )
 
-    def test_full_store_refuses(self):
+    def test_full_store_rejects(self):
         big = batch(1, 4, 4, *range(5, 105))
-        self.assertIs(self.refused_as(big), ErrorKind.OVERLOADED)
+        self.assertIs(self.rejection_kind(big), ErrorKind.OVERLOADED)
 
-    def test_holders_stand_in_domains_of_their_own(self):
+    def test_holders_are_in_different_failure_domains(self):
         domains = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c"}
         chosen = choose_holders(SHARD, "a1", domains, ("b2",))
         self.assertEqual(chosen, ("b2", "c1"))
@@ -76,23 +82,23 @@
         self.assertEqual(choose_holders(SHARD, "a1", domains, ()), ())
 
 
-class World:
-    """One store, three holders, journals of several hosts."""
+class Cluster:
+    """One store, three copy holders, and journals opened by several hosts."""
 
     def __init__(self):
         self.store = MemoryStore()
         self.holders = {name: CopyStore() for name in ("c1", "c2", "c3")}
-        self.found = []
+        self.committed_ids = []
 
     async def open(self, **options):
-        self.found = []
+        self.committed_ids = []
         self.faults = HostFaults()
         opened = await open_journal(
             HostStore(self.store, self.faults),
             SHARD,
             "host",
             "process",
-            lambda added: self.found.append(added.program_id),
+            lambda record: self.committed_ids.append(record.program_id),
             HostCopies(self.holders, self.faults),
             **options,
         )
@@ -100,7 +106,7 @@
             await opened.unwrap().refresh_copy_holders()
         return opened
 
-    async def start(self):
+    async def start_partitioned(self):
         journal = (await self.open()).unwrap()
         await journal.commit([record("p1")])
         self.faults.is_partitioned = True
@@ -108,91 +114,91 @@
 
 
 class WriteBehindTest(unittest.TestCase):
-    def test_owner_that_dies_in_an_outage_loses_nothing(self):
-        # Two commits were acknowledged while the platform was down; then the
-        # owner and one of its holders died. The taker has both commits.
+    def test_owner_that_fails_in_an_outage_loses_nothing(self):
+        # The owner and one holder fail after two commits were acknowledged
+        # during an outage. The new owner must have both.
         async def check():
-            world = World()
-            journal = await world.start()
+            cluster = Cluster()
+            journal = await cluster.start_partitioned()
             for name in ("p2", "p3"):
                 outcome = await journal.commit([record(name)])
                 self.assertIsInstance(outcome, Success)
             await journal.close()
-            del world.holders[journal.copy_holders[0]]
-            await (await world.open()).unwrap().close()
-            self.assertEqual(world.found, ["p1", "p2", "p3"])
+            del cluster.holders[journal.copy_holders[0]]
+            await (await cluster.open()).unwrap().close()
+            self.assertEqual(cluster.committed_ids, ["p1", "p2", "p3"])
 
         run(check())
 
-    def test_owner_that_was_cut_off_cannot_acknowledge_after_a_takeover(self):
-        # Only the owner is cut off from the platform. A taker that had not
-        # sealed a holder would never hear of what the owner says is done.
+    def test_partitioned_owner_cannot_acknowledge_after_a_takeover(self):
+        # Only the owner is partitioned from the platform. The new owner would
+        # miss commits acknowledged by copies if it did not seal a holder.
         async def check():
-            world = World()
-            journal = await world.start()
+            cluster = Cluster()
+            journal = await cluster.start_partitioned()
             await journal.commit([record("p2")])
-            taker = (await world.open()).unwrap()
+            new_owner = (await cluster.open()).unwrap()
             late = asyncio.create_task(journal.commit([record("p3")]))
             await asyncio.sleep(30)
             self.assertFalse(late.done())
             self.assertIsNotNone(journal.admission_failure())
-            self.assertEqual(world.found, ["p1", "p2"])
+            self.assertEqual(cluster.committed_ids, ["p1", "p2"])
             await journal.close()
-            await taker.close()
+            await new_owner.close()
 
         run(check())
 
-    def test_intent_is_refused_in_an_outage(self):
+    def test_intent_is_rejected_in_an_outage(self):
         async def check():
-            world = World()
-            journal = await world.start()
+            cluster = Cluster()
+            journal = await cluster.start_partitioned()
             await journal.commit([record("p2")])
             intent = journal.commit([record("i")], needs_platform=True)
             kind = (await intent).failure().kind
             self.assertIs(kind, ErrorKind.PLATFORM_UNAVAILABLE)
             await journal.close()
-            await (await world.open()).unwrap().close()
-            self.assertNotIn("i", world.found)
+            await (await cluster.open()).unwrap().close()
+            self.assertNotIn("i", cluster.committed_ids)
 
         run(check())
 
-    def test_intent_under_way_when_the_outage_begins_is_not_acknowledged(self):
-        # Its write may have reached the platform, so its commit is copied
-        # whole; but the call must not be sent, and its owner voids it.
+    def test_intent_in_flight_when_the_outage_begins_is_unknown(self):
+        # Its write may have reached the platform, so the commit is copied.
+        # But it is not acknowledged: the call must not be sent.
         async def check():
-            world = World()
-            journal = await world.start()
+            cluster = Cluster()
+            journal = await cluster.start_partitioned()
             intent = await journal.commit([record("i")], needs_platform=True)
             self.assertIs(intent.failure().kind, ErrorKind.WRITE_UNKNOWN)
             await journal.close()
 
         run(check())
 
-    def test_return_of_the_platform_drains_in_order(self):
+    def test_backlog_drains_in_order_after_an_outage(self):
         async def check():
-            world = World()
-            journal = await world.start()
+            cluster = Cluster()
+            journal = await cluster.start_partitioned()
             names = [f"p{n}" for n in range(2, 9)]
             for name in names:
                 await journal.commit([record(name)])
-            world.faults.is_partitioned = False
+            cluster.faults.is_partitioned = False
             await asyncio.sleep(10)
             self.assertEqual(journal.backlog_bytes, 0)
             await journal.refresh_copy_holders()
-            held = [store.held_bytes for store in world.holders.values()]
+            held = [store.held_bytes for store in cluster.holders.values()]
             self.assertEqual(held, [0, 0, 0])
             await journal.close()
-            world.holders.clear()
-            await (await world.open(forced=True)).unwrap().close()
-            self.assertEqual(world.found, ["p1", *names])
+            cluster.holders.clear()
+            await (await cluster.open(forced=True)).unwrap().close()
+            self.assertEqual(cluster.committed_ids, ["p1", *names])
 
         run(check())
 
-    def test_without_a_holder_calls_are_refused_before_they_run(self):
+    def test_without_a_holder_calls_are_rejected_before_they_run(self):
         async def check():
-            world = World()
-            journal = await world.start()
-            del world.holders[journal.copy_holders[0]]
+            cluster = Cluster()
+            journal = await cluster.start_partitioned()
+            del cluster.holders[journal.copy_holders[0]]
             commit = asyncio.create_task(journal.commit([record("p2")]))
             await asyncio.sleep(5)
             self.assertFalse(commit.done())
@@ -202,16 +208,15 @@
 
         run(check())
 
-    def test_slow_platform_is_waited_for_while_a_holder_restarts(self):
-        # Callers were refused in a rolling restart beside heavy load. The
-        # platform took longer than the time after which commits are copied,
-        # and a copy holder was being restarted; no call had failed.
+    def test_calls_are_accepted_while_platform_is_slow_and_holder_down(self):
+        # Calls must not be rejected while writes take longer than the outage
+        # threshold and a holder restarts, if no write has failed.
         async def check():
-            world = World()
-            journal = (await world.open()).unwrap()
+            cluster = Cluster()
+            journal = (await cluster.open()).unwrap()
             await journal.commit([record("p1")])
-            del world.holders[journal.copy_holders[0]]
-            world.store.faults.delay_s = 1.0
+            del cluster.holders[journal.copy_holders[0]]
+            cluster.store.faults.delay_s = 1.0
             commit = asyncio.create_task(journal.commit([record("p2")]))
             await asyncio.sleep(0.8)
             self.assertFalse(commit.done())
@@ -220,27 +225,27 @@
             self.assertIsInstance(intent, Success)
             self.assertIsInstance(await commit, Success)
             await journal.close()
-            world.store.faults.delay_s = 0.0
-            await (await world.open(forced=True)).unwrap().close()
-            self.assertEqual(world.found, ["p1", "p2", "i"])
+            cluster.store.faults.delay_s = 0.0
+            await (await cluster.open(forced=True)).unwrap().close()
+            self.assertEqual(cluster.committed_ids, ["p1", "p2", "i"])
 
         run(check())
 
-    def test_waiting_intent_is_refused_once_the_platform_fails(self):
-        # Its call must not be sent on copies alone, and its caller is told at
-        # once that it was not run.
+    def test_waiting_intent_is_rejected_once_the_platform_fails(self):
+        # An intent must not be acknowledged by copies alone, and its caller
+        # must not wait for the end of the outage.
         async def check():
-            world = World()
-            journal = (await world.open()).unwrap()
+            cluster = Cluster()
+            journal = (await cluster.open()).unwrap()
             await journal.commit([record("p1")])
-            world.store.faults.delay_s = 1.0
+            cluster.store.faults.delay_s = 1.0
             commit = asyncio.create_task(journal.commit([record("p2")]))
             await asyncio.sleep(0.8)
             intent = asyncio.create_task(
                 journal.commit([record("i")], needs_platform=True)
             )
-            world.faults.is_partitioned = True
-            world.store.faults.delay_s = 0.0
+            cluster.faults.is_partitioned = True
+            cluster.store.faults.delay_s = 0.0
             kind = (await intent).failure().kind
             self.assertIs(kind, ErrorKind.PLATFORM_UNAVAILABLE)
             self.assertIsInstance(await commit, Success)
@@ -248,18 +253,17 @@
 
         run(check())
 
-    def test_refusals_end_with_the_outage_although_a_holder_is_gone(self):
-        # Callers were refused for ever after an outage: the journal learnt
-        # that the platform is back only from a write, and refused every call
-        # that would have led to one.
+    def test_rejections_end_with_the_outage_while_a_holder_is_down(self):
+        # Calls would be rejected forever if only a write could end the
+        # outage, because rejected calls cause no write.
         async def check():
-            world = World()
-            journal = await world.start()
-            del world.holders[journal.copy_holders[0]]
+            cluster = Cluster()
+            journal = await cluster.start_partitioned()
+            del cluster.holders[journal.copy_holders[0]]
             commit = asyncio.create_task(journal.commit([record("p2")]))
             await asyncio.sleep(5)
             self.assertIsNotNone(journal.admission_failure())
-            world.faults.is_partitioned = False
+            cluster.faults.is_partitioned = False
             self.assertIsInstance(await commit, Success)
             await journal.probe_platform()
             self.assertIsNone(journal.admission_failure())
@@ -267,51 +271,51 @@
 
         run(check())
 
-    def test_restarted_holder_gets_everything_again(self):
-        # One holder lost its copies in the outage and the other one died
-        # after it: the taker must still find every acknowledged commit.
+    def test_restarted_holder_receives_the_whole_backlog(self):
+        # One holder loses its copies in an outage, then the other fails. The
+        # new owner must still have every acknowledged commit.
         async def check():
-            world = World()
-            journal = await world.start()
+            cluster = Cluster()
+            journal = await cluster.start_partitioned()
             await journal.commit([record("p2")])
             first, second = journal.copy_holders
-            world.holders[first] = CopyStore()
+            cluster.holders[first] = CopyStore()
             outcome = await journal.commit([record("p3")])
             self.assertIsInstance(outcome, Success)
             await journal.close()
-            del world.holders[second]
-            await (await world.open()).unwrap().close()
-            self.assertEqual(world.found, ["p1", "p2", "p3"])
+            del cluster.holders[second]
+            await (await cluster.open()).unwrap().close()
+            self.assertEqual(cluster.committed_ids, ["p1", "p2", "p3"])
 
         run(check())
 
-    def test_taker_without_copies_fails_unless_it_is_forced(self):
+    def test_takeover_without_copies_fails_unless_forced(self):
         async def check():
-            world = World()
-            journal = await world.start()
+            cluster = Cluster()
+            journal = await cluster.start_partitioned()
             await journal.commit([record("p2")])
             await journal.close()
             for name in journal.copy_holders:
-                world.holders[name] = CopyStore()
-            refused = await world.open()
-            self.assertIn("may be lost", refused.failure().detail)
-            await (await world.open(forced=True)).unwrap().close()
-            self.assertEqual(world.found, ["p1"])
+                cluster.holders[name] = CopyStore()
+            rejected = await cluster.open()
+            self.assertIn("may be lost", rejected.failure().detail)
+            await (await cluster.open(forced=True)).unwrap().close()
+            self.assertEqual(cluster.committed_ids, ["p1"])
 
         run(check())
 
-    def test_holders_sealed_by_a_taker_that_died_serve_again(self):
-        # A taker sealed the holders and died before it took the head. The
-        # owner raises its epoch, or the next outage would stop its programs.
+    def test_holders_sealed_by_an_abandoned_takeover_are_used_again(self):
+        # A host seals the holders and fails before it replaces the head. The
+        # owner must raise its epoch to be able to use the holders.
         async def check():
-            world = World()
-            journal = await world.start()
-            world.faults.is_partitioned = False
-            for store in world.holders.values():
+            cluster = Cluster()
+            journal = await cluster.start_partitioned()
+            cluster.faults.is_partitioned = False
+            for store in cluster.holders.values():
                 store.seal(SHARD, journal.epoch + 1)
             for _ in range(2):
                 await journal.refresh_copy_holders()
-            world.faults.is_partitioned = True
+            cluster.faults.is_partitioned = True
             outcome = await journal.commit([record("p2")])
             self.assertIsInstance(outcome, Success)
             await journal.close()
--- a/libs/programs/tests/test_journal.py
+++ b/libs/programs/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Tests of a shard's journal: one writer, truthful answers, no hanging."""
+"""Tests of a shard's journal: fencing, commit outcomes and liveness."""
 
 import asyncio
 import unittest
@@ -11,7 +11,7 @@
 from masticdale_programs.takeovers import open_journal
 
 SHARD = 3
-HUGE = ProgramForgotten("p" * 700_000)
+TOO_LARGE = ProgramForgotten("p" * 700_000)
 
 
 class JournalTest(unittest.IsolatedAsyncioTestCase):
@@ -36,17 +36,17 @@
         await self.open(lambda record: found.append(record.program_id))
         return found
 
-    async def test_too_large_is_refused_and_holds_nothing_up(self):
-        # The caller sees TOO_LARGE. The platform would refuse the write for
-        # ever, and each later commit of the shard would wait behind it.
-        refused = await self.journal.commit([HUGE])
-        self.assertIs(refused.failure().kind, ErrorKind.TOO_LARGE)
-        after = await self.journal.commit([ProgramForgotten("p1")])
-        self.assertIsInstance(after, Success)
-
-    async def test_close_answers_the_commit_under_way(self):
-        # The write may have taken effect: its waiter is told so instead of
-        # waiting for a task that no longer runs.
+    async def test_too_large_commit_is_rejected_and_blocks_no_other(self):
+        # The platform would reject the write forever, and later commits of
+        # the shard would wait behind it.
+        rejected = await self.journal.commit([TOO_LARGE])
+        self.assertIs(rejected.failure().kind, ErrorKind.TOO_LARGE)
+        later = await self.journal.commit([ProgramForgotten("p1")])
+        self.assertIsInstance(later, Success)
+
+    async def test_close_resolves_the_commit_in_flight(self):
+        # The caller would wait forever for a writer task that has ended. The
+        # write may have taken effect, so the outcome is WRITE_UNKNOWN.
         self.store.faults.delay_s = 60
         waiting = asyncio.create_task(
             self.journal.commit([ProgramForgotten("p1")])
@@ -57,31 +57,31 @@
         self.assertIs(outcome.failure().kind, ErrorKind.WRITE_UNKNOWN)
         self.store.faults.delay_s = 0
 
-    async def test_release_loses_no_commit_that_comes_with_it(self):
-        # The daemon hands over while calls still commit: what was answered
-        # with success must be there for the next owner.
+    async def test_release_loses_no_concurrent_commit(self):
+        # Calls may commit during a handoff. The next owner must read every
+        # commit that succeeded.
         self.store.faults.delay_s = 0.005
-        names = [f"p{number}" for number in range(20)]
+        program_ids = [f"p{number}" for number in range(20)]
         commits = []
-        for name in names:
-            commit = self.journal.commit([ProgramForgotten(name)])
+        for program_id in program_ids:
+            commit = self.journal.commit([ProgramForgotten(program_id)])
             commits.append(asyncio.create_task(commit))
-            if name == "p10":
-                handed = asyncio.create_task(self.journal.release())
+            if program_id == "p10":
+                release = asyncio.create_task(self.journal.release())
             await asyncio.sleep(0.001)
         outcomes = await asyncio.gather(*commits)
-        self.assertIsInstance(await handed, Success)
-        done = [
-            n
-            for n, o in zip(names, outcomes, strict=True)
-            if isinstance(o, Success)
+        self.assertIsInstance(await release, Success)
+        committed = [
+            program_id
+            for program_id, outcome in zip(program_ids, outcomes, strict=True)
+            if isinstance(outcome, Success)
         ]
-        self.assertEqual(await self.stored_ids(), done)
+        self.assertEqual(await self.stored_ids(), committed)
 
-    async def test_second_opening_by_the_same_process_deposes_the_first(self):
-        # Both openings carry the host's name; the second's write was lost
-        # before it took effect, the first one's arrived. If the second took
-        # the head for its own, each would overwrite the other's records.
+    async def test_second_opening_by_the_same_process_is_told_apart(self):
+        # Two openings by one process race, and the write of one is dropped.
+        # If it mistook the other's head for its own, each would overwrite the
+        # other's records.
         self.store.faults.drop_writes = 1
         self.store.faults.delay_s = 0.001
         results = await asyncio.gather(
@@ -96,29 +96,29 @@
         self.journals.extend(opened)
         self.assertEqual(len(opened), 1)
 
-    async def test_deposed_by_a_taker_that_may_have_the_records(self):
-        # The write's answer is lost and so is the platform; a taker found
-        # the record in the head. "Not written" would be false.
+    async def test_commit_that_a_new_owner_may_have_is_unknown(self):
+        # The response of a write is lost, and a new owner reads its record
+        # before the old one reads the head. NOT_OWNER would be false.
         self.store.faults.lose_write_answers = 1
-        taken = asyncio.Event()
+        taken_over = asyncio.Event()
         read = self.store.read
 
-        async def read_late(key):
-            await taken.wait()
+        async def delayed_read(key):
+            await taken_over.wait()
             return await read(key)
 
-        self.store.read = read_late
+        self.store.read = delayed_read
         commit = asyncio.create_task(
             self.journal.commit([ProgramForgotten("p1")])
         )
         await asyncio.sleep(0.01)
         self.store.read = read
         self.assertEqual(await self.stored_ids(), ["p1"])
-        taken.set()
+        taken_over.set()
         outcome = await commit
         self.assertIs(outcome.failure().kind, ErrorKind.WRITE_UNKNOWN)
 
-    async def test_writer_that_fails_gives_the_shard_up(self):
+    async def test_failed_writer_gives_up_ownership(self):
         def fail(record):
             raise ValueError(record.program_id)
 
