--- a/libs/programs/tests/test_interleavings.py
+++ b/libs/programs/tests/test_interleavings.py
@@ -1,10 +1,10 @@
-"""Properties of a shard over interleavings of faults, takeovers, retries.
+"""Property tests of a shard under interleaved faults, takeovers and retries.
 
-Each example is a list of steps: callers submit and send again, also to hosts
-that were deposed; hosts are paused, cut off from the platform, killed; writes
-lose their answer, are dropped or land late; other hosts take the shard over.
-What callers were told is then held against the services' executions and the
-history that a last owner reads from the platform.
+Each example is a list of steps: callers submit and retry requests, also at
+former owners; hosts are paused, partitioned from the platform or killed;
+writes lose their response, are dropped or take effect late; other hosts take
+the shard over. The answers to callers are then checked against the services'
+executions and the history that a last owner reads from the platform.
 """
 
 import asyncio
@@ -52,16 +52,16 @@
 WORKSPACE = "tengri"
 SETTINGS = ShardSettings(commit_wait_s=0.2)
 KIND = sample_kind(tokens=500, calls=2, turns=4)
-PLACES = (("p1", MAIN_BRANCH), ("p1", "sub"), ("p2", MAIN_BRANCH))
-CALLER_WAITS_S = 2.0
-SHORT_S = 0.003
+BRANCHES = (("p1", MAIN_BRANCH), ("p1", "sub"), ("p2", MAIN_BRANCH))
+CALLER_TIMEOUT_S = 2.0
+SHORT_DELAY_S = 0.003
 OUTAGE_S = 1.6
 RECOVERY_S = 120.0
 
 
 @dataclasses.dataclass
 class Host:
-    """One owner, present or deposed."""
+    """The current owner or a former one."""
 
     shard: object
     faults: HostFaults
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass
 class Answer:
-    """What one caller was told."""
+    """The answer to one submission, and executions at its host until then."""
 
     operation: object
     host: Host
@@ -78,18 +78,18 @@
     host_executions: int
 
 
-class World:
-    """Hosts, callers and what they were told."""
+class Cluster:
+    """Owners, copy holders and callers, and the answers to callers."""
 
     def __init__(self):
         self.store = MemoryStore()
         self.executor = FakeExecutor()
         self.hosts = []
         self.holders = {name: CopyStore() for name in ("c1", "c2", "c3")}
-        self.lost_holders = {}
+        self.unreachable_holders = {}
         self.answers = []
-        self.sent = []
-        self.done_before = {}
+        self.submitted = []
+        self.done_before_submit = {}
         self.callers = []
 
     async def start(self):
@@ -99,7 +99,7 @@
         await self.ask(OpenBranch("p1", "sub"))
 
     async def ask(self, operation):
-        caller = Caller(WORKSPACE, time.monotonic() + CALLER_WAITS_S)
+        caller = Caller(WORKSPACE, time.monotonic() + CALLER_TIMEOUT_S)
         return await self.hosts[-1].shard.submit(operation, caller)
 
     async def take_over(self):
@@ -120,17 +120,17 @@
             self.hosts.append(Host(opened.unwrap(), faults, executor))
 
     def submit(self, operation, host):
-        self.sent.append((operation, host))
+        self.submitted.append((operation, host))
         done = {
             a.operation.request_id
             for a in self.answers
             if isinstance(a.outcome, Success)
         }
-        self.done_before.setdefault(operation.request_id, done)
+        self.done_before_submit.setdefault(operation.request_id, done)
         self.callers.append(asyncio.create_task(self._call(operation, host)))
 
     async def _call(self, operation, host):
-        caller = Caller(WORKSPACE, time.monotonic() + CALLER_WAITS_S)
+        caller = Caller(WORKSPACE, time.monotonic() + CALLER_TIMEOUT_S)
         accepted = await host.shard.submit(operation, caller)
         if not isinstance(accepted, Success):
             return
@@ -139,11 +139,11 @@
         ran = host.executor.run_count(operation.request_id)
         self.answers.append(Answer(operation, host, outcome, ran))
         if isinstance(outcome, Success):
-            was_sent_once = self.executor.execution_count_by_key[
-                key_of(operation)
+            execution_count = self.executor.execution_count_by_key[
+                service_key(operation)
             ]
-            if is_filing(operation):
-                assert was_sent_once == 1, "done, but not run once"
+            if is_unrepeatable(operation):
+                assert execution_count == 1, "done, but not executed once"
 
     async def sweep(self):
         while True:
@@ -158,7 +158,7 @@
             host.faults.write_faults.clear()
             host.faults.resume()
         self.executor.faults.delay_s = 0.0
-        self.holders.update(self.lost_holders)
+        self.holders.update(self.unreachable_holders)
         await asyncio.sleep(RECOVERY_S)
         await self.take_over()
         await asyncio.sleep(RECOVERY_S)
@@ -172,19 +172,19 @@
             await host.shard.close()
 
 
-def key_of(operation):
+def service_key(operation):
     return idempotency_key(operation.program_id, operation.request_id)
 
 
-def is_filing(operation):
+def is_unrepeatable(operation):
     return (
         isinstance(operation, CallService)
         and operation.operation == UNREPEATABLE
     )
 
 
-def make_operation(place, number, kind):
-    program_id, branch_id = PLACES[place]
+def make_operation(branch, number, kind):
+    program_id, branch_id = BRANCHES[branch]
     request_id = f"{program_id}-{branch_id}-{kind}-{number}"
     if kind == "turn":
         return SendTurn(program_id, branch_id, request_id, request_id)
@@ -193,115 +193,115 @@
 
 
 class Step:
-    """Steps are functions of the world; hosts are picked by recency."""
+    """Makes steps, functions of the cluster; hosts are picked by recency."""
 
     @staticmethod
-    def submit(operation, back):
-        async def run(world):
-            world.submit(operation, pick(world, back))
+    def submit(operation, hosts_back):
+        async def run(cluster):
+            cluster.submit(operation, pick(cluster, hosts_back))
 
         return run
 
     @staticmethod
-    def send_again(index, back):
-        async def run(world):
-            if world.sent:
-                operation, _ = world.sent[index % len(world.sent)]
-                world.submit(operation, pick(world, back))
+    def retry(index, hosts_back):
+        async def run(cluster):
+            if cluster.submitted:
+                operation, _ = cluster.submitted[index % len(cluster.submitted)]
+                cluster.submit(operation, pick(cluster, hosts_back))
 
         return run
 
     @staticmethod
-    def outage(operation, then, seconds):
-        async def run(world):
-            world.submit(operation, world.hosts[-1])
-            await asyncio.sleep(SHORT_S)
-            for host in world.hosts:
+    def outage(operation, second, seconds):
+        async def run(cluster):
+            cluster.submit(operation, cluster.hosts[-1])
+            await asyncio.sleep(SHORT_DELAY_S)
+            for host in cluster.hosts:
                 host.faults.is_partitioned = True
             await asyncio.sleep(seconds)
-            world.submit(then, world.hosts[-1])
-            await asyncio.sleep(SHORT_S)
-            for host in world.hosts:
+            cluster.submit(second, cluster.hosts[-1])
+            await asyncio.sleep(SHORT_DELAY_S)
+            for host in cluster.hosts:
                 host.faults.is_partitioned = False
 
         return run
 
     @staticmethod
-    def die_in_outage(operations, is_killed):
-        async def run(world):
-            host = world.hosts[-1]
+    def fail_in_outage(operations, is_killed):
+        async def run(cluster):
+            host = cluster.hosts[-1]
             host.faults.is_partitioned = True
             for operation in operations:
-                world.submit(operation, host)
+                cluster.submit(operation, host)
             await asyncio.sleep(OUTAGE_S)
             if is_killed:
                 await host.shard.close()
             else:
                 host.faults.pause()
-            await world.take_over()
+            await cluster.take_over()
 
         return run
 
     @staticmethod
     def holder(name, change):
-        async def run(world):
-            if change == "restart" and name in world.holders:
-                world.holders[name] = CopyStore()
-            elif change == "lose" and not world.lost_holders:
-                world.lost_holders[name] = world.holders.pop(name)
-            elif change == "find":
-                world.holders.update(world.lost_holders)
-                world.lost_holders.clear()
+        async def run(cluster):
+            if change == "restart" and name in cluster.holders:
+                cluster.holders[name] = CopyStore()
+            elif change == "disconnect" and not cluster.unreachable_holders:
+                cluster.unreachable_holders[name] = cluster.holders.pop(name)
+            elif change == "reconnect":
+                cluster.holders.update(cluster.unreachable_holders)
+                cluster.unreachable_holders.clear()
 
         return run
 
     @staticmethod
     def burst(operations):
-        async def run(world):
+        async def run(cluster):
             for operation in operations:
-                world.submit(operation, world.hosts[-1])
+                cluster.submit(operation, cluster.hosts[-1])
 
         return run
 
     @staticmethod
-    def interrupt(operation, steps_s, is_killed):
-        async def run(world):
-            host = world.hosts[-1]
-            world.submit(operation, host)
-            await asyncio.sleep(steps_s)
+    def interrupt(operation, delay_s, is_killed):
+        async def run(cluster):
+            host = cluster.hosts[-1]
+            cluster.submit(operation, host)
+            await asyncio.sleep(delay_s)
             if is_killed:
                 await host.shard.close()
             else:
                 host.faults.pause()
-            await world.take_over()
-            world.submit(operation, world.hosts[-1])
+            await cluster.take_over()
+            cluster.submit(operation, cluster.hosts[-1])
 
         return run
 
     @staticmethod
-    def fault(name, back):
-        async def run(world):
-            host = pick(world, back)
+    def fault(name, hosts_back):
+        async def run(cluster):
+            host = pick(cluster, hosts_back)
             if name == "pause":
                 host.faults.pause()
             elif name == "resume":
                 host.faults.resume()
             else:
-                host.faults.is_partitioned = name == "cut"
+                host.faults.is_partitioned = name == "partition"
 
         return run
 
     @staticmethod
-    def write_fault(fault, back):
-        async def run(world):
-            pick(world, back).faults.write_faults.append(fault)
+    def write_fault(fault, hosts_back):
+        async def run(cluster):
+            pick(cluster, hosts_back).faults.write_faults.append(fault)
 
         return run
 
     @staticmethod
     def service(name):
-        async def run(world):
-            faults = world.executor.faults
+        async def run(cluster):
+            faults = cluster.executor.faults
             if name == "lookup":
                 faults.can_look_up = not faults.can_look_up
             elif name == "slow":
@@ -313,42 +313,42 @@
 
     @staticmethod
     def wait(seconds):
-        async def run(world):
+        async def run(cluster):
             await asyncio.sleep(seconds)
 
         return run
 
     @staticmethod
     def take_over():
-        return World.take_over
+        return Cluster.take_over
 
 
-def pick(world, back):
-    return world.hosts[max(-len(world.hosts), -1 - back)]
+def pick(cluster, hosts_back):
+    return cluster.hosts[max(-len(cluster.hosts), -1 - hosts_back)]
 
 
-BACK = st.sampled_from((0, 0, 0, 1, 2))
+HOSTS_BACK = st.sampled_from((0, 0, 0, 1, 2))
 WAIT = st.builds(Step.wait, st.sampled_from((0.0005, 0.0021, 0.05, 0.4, 3)))
 OPERATION = st.builds(
     make_operation,
-    st.integers(0, len(PLACES) - 1),
+    st.integers(0, len(BRANCHES) - 1),
     st.integers(0, 1),
     st.sampled_from(("turn", "turn", "filing", "filing", "reading")),
 )
-SUBMIT = st.builds(Step.submit, OPERATION, BACK)
+SUBMIT = st.builds(Step.submit, OPERATION, HOSTS_BACK)
 OUTAGE = st.builds(
     Step.outage, OPERATION, OPERATION, st.sampled_from((0.3, 3.0))
 )
 BURST = st.builds(Step.burst, st.lists(OPERATION, min_size=2, max_size=5))
-DIE_IN_OUTAGE = st.builds(
-    Step.die_in_outage,
+FAIL_IN_OUTAGE = st.builds(
+    Step.fail_in_outage,
     st.lists(OPERATION, min_size=1, max_size=4),
     st.booleans(),
 )
 HOLDER = st.builds(
     Step.holder,
     st.sampled_from(("c1", "c2", "c3")),
-    st.sampled_from(("restart", "lose", "find", "find")),
+    st.sampled_from(("restart", "disconnect", "reconnect", "reconnect")),
 )
 INTERRUPT = st.builds(
     Step.interrupt,
@@ -356,13 +356,15 @@
     st.integers(0, 14).map(lambda steps: steps * 0.0005),
     st.booleans(),
 )
-SEND_AGAIN = st.builds(Step.send_again, st.integers(0, 20), BACK)
+RETRY = st.builds(Step.retry, st.integers(0, 20), HOSTS_BACK)
 FAULT = st.builds(
     Step.fault,
-    st.sampled_from(("pause", "pause", "resume", "cut", "heal")),
-    BACK,
+    st.sampled_from(("pause", "pause", "resume", "partition", "heal")),
+    HOSTS_BACK,
+)
+WRITE_FAULT = st.builds(
+    Step.write_fault, st.sampled_from(WriteFault), HOSTS_BACK
 )
-WRITE_FAULT = st.builds(Step.write_fault, st.sampled_from(WriteFault), BACK)
 SERVICE = st.builds(
     Step.service,
     st.sampled_from(("lookup", "slow", "lose_answers", "refuse", "fail_turns")),
@@ -371,8 +373,8 @@
     st.one_of(
         SUBMIT,
         SUBMIT,
-        SEND_AGAIN,
-        SEND_AGAIN,
+        RETRY,
+        RETRY,
         WAIT,
         FAULT,
         WRITE_FAULT,
@@ -380,7 +382,7 @@
         OUTAGE,
         BURST,
         INTERRUPT,
-        DIE_IN_OUTAGE,
+        FAIL_IN_OUTAGE,
         HOLDER,
         st.builds(Step.take_over),
     ),
@@ -393,96 +395,104 @@
     @settings(max_examples=300, derandomize=True, deadline=None, database=None)
     @given(STEPS)
     def test_promises_hold(self, steps):
-        # Callers see done, not run or unknown; whichever it is must be true
-        # of the service, and whatever was answered must be in the history
-        # once, in its place, whoever owned the shard in between.
+        # A reported outcome (done, not run or unknown) must be true of the
+        # service, and each acknowledged call must be in the history once and
+        # in order, whichever hosts owned the shard.
         testing_time.run(self.run_steps(steps))
 
     async def run_steps(self, steps):
-        world = World()
-        await world.start()
-        sweeper = asyncio.create_task(world.sweep())
+        cluster = Cluster()
+        await cluster.start()
+        sweeper = asyncio.create_task(cluster.sweep())
         for step in steps:
-            await step(world)
-        await world.recover()
-        self.check_executions(world)
-        await self.check_histories(world)
+            await step(cluster)
+        await cluster.recover()
+        self.check_executions(cluster)
+        await self.check_histories(cluster)
         sweeper.cancel()
-        await world.close()
-
-    def check_executions(self, world):
-        for key, count in world.executor.execution_count_by_key.items():
-            filings = {key_of(o) for o, _ in world.sent if is_filing(o)}
-            if key in filings:
-                self.assertLessEqual(count, 1, "ran more than once")
-        for answer in world.answers:
-            self.check_refusal(world, answer)
-
-    def check_refusal(self, world, answer):
+        await cluster.close()
+
+    def check_executions(self, cluster):
+        for key, count in cluster.executor.execution_count_by_key.items():
+            unrepeatable_keys = {
+                service_key(o)
+                for o, _ in cluster.submitted
+                if is_unrepeatable(o)
+            }
+            if key in unrepeatable_keys:
+                self.assertLessEqual(count, 1, "executed more than once")
+        for answer in cluster.answers:
+            self.check_rejection(cluster, answer)
+
+    def check_rejection(self, cluster, answer):
         if isinstance(answer.outcome, Success):
             return
         if answer.outcome.failure().answer.ran is not Ran.NO:
             return
-        sent_there = [
+        submitted_there = [
             o
-            for o, h in world.sent
+            for o, h in cluster.submitted
             if h is answer.host and o == answer.operation
         ]
-        if is_filing(answer.operation) or len(sent_there) == 1:
-            self.assertEqual(answer.host_executions, 0, "had run")
-        if len(sent_there) == 1:
+        if is_unrepeatable(answer.operation) or len(submitted_there) == 1:
+            self.assertEqual(
+                answer.host_executions, 0, "executed before the rejection"
+            )
+        if len(submitted_there) == 1:
             ran = answer.host.executor.run_count(answer.operation.request_id)
-            self.assertEqual(ran, 0, "refused, but ran later")
+            self.assertEqual(ran, 0, "executed after the rejection")
 
-    async def check_histories(self, world):
-        history_by_place = {}
-        for program_id, branch_id in PLACES:
-            view = await world.ask(GetProgram(program_id, branch_id))
-            history_by_place[program_id, branch_id] = view.unwrap().history
+    async def check_histories(self, cluster):
+        history_by_branch = {}
+        for program_id, branch_id in BRANCHES:
+            view = await cluster.ask(GetProgram(program_id, branch_id))
+            history_by_branch[program_id, branch_id] = view.unwrap().history
             self.check_branch(program_id, branch_id, view.unwrap().history)
-            self.check_budget(world, program_id, view.unwrap())
-        for answer in world.answers:
+            self.check_budget(cluster, program_id, view.unwrap())
+        for answer in cluster.answers:
             if isinstance(answer.outcome, Success):
-                self.check_answer(world, answer, history_by_place)
+                self.check_answer(cluster, answer, history_by_branch)
 
     def check_branch(self, program_id, branch_id, history):
         ids = [item.request_id for item in history]
-        self.assertEqual(len(ids), len(set(ids)), "stands twice")
-        for place, item in enumerate(history):
+        self.assertEqual(len(ids), len(set(ids)), "duplicate in history")
+        for position, item in enumerate(history):
             self.assertTrue(
                 item.request_id.startswith(f"{program_id}-{branch_id}-"),
-                "stands in another program's history",
+                "in the history of another branch",
             )
             if item.kind == "turn":
-                # The fake model answers with the length of its prompt.
-                expected = f"answer {2 + 2 * place} to {item.request_id}"
-                self.assertEqual(item.answer, expected, "ran out of order")
+                # The fake model's answer contains the length of its prompt.
+                expected = f"answer {2 + 2 * position} to {item.request_id}"
+                self.assertEqual(item.answer, expected, "executed out of order")
 
-    def check_budget(self, world, program_id, view):
+    def check_budget(self, cluster, program_id, view):
         budget = KIND.budget
         self.assertLessEqual(view.calls_spent, budget.calls)
         self.assertLessEqual(view.turns_spent, budget.turns)
         self.assertLessEqual(view.tokens_spent, budget.tokens)
         keys = {
-            key_of(o)
-            for o, _ in world.sent
-            if is_filing(o) and o.program_id == program_id
+            service_key(o)
+            for o, _ in cluster.submitted
+            if is_unrepeatable(o) and o.program_id == program_id
         }
-        executions = world.executor.execution_count_by_key
+        executions = cluster.executor.execution_count_by_key
         self.assertLessEqual(sum(executions[k] for k in keys), budget.calls)
 
-    def check_answer(self, world, answer, history_by_place):
+    def check_answer(self, cluster, answer, history_by_branch):
         operation = answer.operation
-        history = history_by_place[operation.program_id, operation.branch_id]
+        history = history_by_branch[operation.program_id, operation.branch_id]
         ids = [item.request_id for item in history]
-        self.assertIn(operation.request_id, ids, "acknowledged and lost")
+        self.assertIn(operation.request_id, ids, "acknowledged, but lost")
         item = history[ids.index(operation.request_id)]
         outcome = answer.outcome.unwrap()
         is_call = isinstance(outcome, CallOutcome)
-        told = outcome.result if is_call else outcome.text
-        self.assertEqual(item.answer, told, "another answer was told")
+        returned = outcome.result if is_call else outcome.text
+        self.assertEqual(
+            item.answer, returned, "answer differs from the history"
+        )
         later = set(ids[ids.index(operation.request_id) :])
-        earlier = world.done_before[operation.request_id]
+        earlier = cluster.done_before_submit[operation.request_id]
         self.assertFalse(later & (earlier - {operation.request_id}))
 
 
