--- a/libs/programs/src/masticdale_programs/calls.py
+++ b/libs/programs/src/masticdale_programs/calls.py
@@ -59,9 +59,9 @@
         return acquired
     reservation = Reservation(calls=1)
     try:
-        refused = check_sequence(branch, operation)
-        if refused is not None:
-            return refused
+        rejection = check_sequence(branch, operation)
+        if rejection is not None:
+            return rejection
         reserved = await budgets.reserve(
             program, kind.budget, reservation, deadline
         )
--- a/libs/programs/src/masticdale_programs/commit_queue.py
+++ b/libs/programs/src/masticdale_programs/commit_queue.py
@@ -105,10 +105,10 @@
         for batch in self.batches:
             if not batch.is_acknowledged:
                 return batch
-        copied = [p for p in self.pending if not p.needs_platform]
-        if not copied or self.backlog_bytes > BACKLOG_LIMIT_BYTES:
+        copyable = [p for p in self.pending if not p.needs_platform]
+        if not copyable or self.backlog_bytes > BACKLOG_LIMIT_BYTES:
             return None
-        return self._create_batch(copied)
+        return self._create_batch(copyable)
 
     def oldest_batches(self) -> list[Batch]:
         """Returns the oldest batches that fit into one write."""
@@ -149,16 +149,16 @@
         self, failed: Failed[Failure], only_needing_platform: bool = False
     ) -> None:
         """Fails pending commits; they have certainly not been written."""
-        refused = [
+        rejected = [
             p
             for p in self.pending
             if p.needs_platform or not only_needing_platform
         ]
-        self.pending = [p for p in self.pending if p not in refused]
-        resolve(refused, failed)
+        self.pending = [p for p in self.pending if p not in rejected]
+        resolve(rejected, failed)
 
     def fail_batches(self, failed: Failed[Failure]) -> None:
-        """Fails the callers of all batches that are not resolved."""
+        """Fails the commits in batches that have no outcome yet."""
         for batch in self.batches:
             resolve(batch.pending, failed)
 
--- a/libs/programs/src/masticdale_programs/copy_writer.py
+++ b/libs/programs/src/masticdale_programs/copy_writer.py
@@ -48,10 +48,10 @@
         if len(holders) < HOLDER_COUNT:
             self.is_failing = True
             return False
-        held = await asyncio.gather(
+        stored = await asyncio.gather(
             *(self._put(holder, head, entries) for holder in holders)
         )
-        self.is_failing = not all(held)
+        self.is_failing = not all(stored)
         return not self.is_failing
 
     async def confirm_holders(
--- a/libs/programs/src/masticdale_programs/journal.py
+++ b/libs/programs/src/masticdale_programs/journal.py
@@ -116,8 +116,8 @@
         if self._copy_writer is None or not self._in_outage:
             return None
         is_full = self.backlog_bytes > _ADMISSION_LIMIT_BYTES
-        is_lost = self._copy_writer.is_failing and self._write_failed
-        if not is_full and not is_lost:
+        is_holder_down = self._copy_writer.is_failing and self._write_failed
+        if not is_full and not is_holder_down:
             return None
         detail = "commit backlog is full" if is_full else "copy holder is down"
         return Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail)
@@ -166,9 +166,9 @@
         """
         if self._copy_writer is None or self._ownership_lost or self._releasing:
             return
-        wanted = self._copy_writer.choose_holders(self._head)
+        holders = self._copy_writer.choose_holders(self._head)
         confirmed = await self._copy_writer.confirm_holders(
-            wanted, self._head, self._queue.last_sequence
+            holders, self._head, self._queue.last_sequence
         )
         if (
             self._in_outage
@@ -181,11 +181,11 @@
             # A host sealed the holders but did not take the shard over. They
             # accept copies again under a higher epoch.
             self._must_raise_epoch = True
-            wanted = ()
+            holders = ()
         elif not confirmed:
-            wanted = ()
-        if wanted != self._head.copy_holders or self._must_raise_epoch:
-            self._proposed_holders = wanted
+            holders = ()
+        if holders != self._head.copy_holders or self._must_raise_epoch:
+            self._proposed_holders = holders
             outcome = await self._enqueue((), 0, needs_platform=True)
             if _is_unavailable(outcome):
                 self._proposed_holders = None
@@ -225,7 +225,7 @@
 
     @property
     def _is_platform_down(self) -> bool:
-        """Whether a write to the platform failed, rather than being slow."""
+        """Whether a write failed in this outage, rather than being slow."""
         return self._in_outage and self._write_failed
 
     def _is_own(self, value: bytes) -> bool:
@@ -290,7 +290,7 @@
             self._queue.batch_pending()
         batches = self._queue.oldest_batches()
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         outage_timer = loop.call_later(_OUTAGE_AFTER_S, self._begin_outage)
         try:
             outcome = await self._append_batches(batches)
@@ -303,7 +303,7 @@
         for batch in batches:
             self._queue.acknowledge(batch, outcome)
             self._queue.drop_oldest()
-        if loop.time() - began < _OUTAGE_AFTER_S:
+        if loop.time() - started_at < _OUTAGE_AFTER_S:
             self._in_outage = False
 
     def _record_write_failure(self) -> None:
@@ -447,12 +447,12 @@
         stored = outcome.unwrap()
         if stored is None:
             return self._lose_ownership()
-        found = Head.model_validate_json(stored.value)
+        stored_head = Head.model_validate_json(stored.value)
         self._version = stored.version
-        if found == head:
+        if stored_head == head:
             self._head = head
             return Success(None)
-        if found == self._head:
+        if stored_head == self._head:
             return None
         return self._lose_ownership()
 
--- a/libs/programs/src/masticdale_programs/shards.py
+++ b/libs/programs/src/masticdale_programs/shards.py
@@ -216,9 +216,9 @@
     ) -> Result[OperationResult, Failure]:
         if operation.branch_id in program.branch_by_id:
             return views.program_view(program, (), "")
-        refused = self._terminator.admission_failure(program)
-        if refused is not None:
-            return refused
+        rejection = self._terminator.admission_failure(program)
+        if rejection is not None:
+            return rejection
         if operation.parent_id not in program.branch_by_id:
             return Failed(Failure(ErrorKind.NOT_FOUND, operation.parent_id))
         record = BranchOpened(
@@ -270,12 +270,12 @@
             return known.map(lambda _: accepted)
         if self._resume_lookup(key, program):
             return Success(accepted)
-        refused = self._terminator.admission_failure(program)
-        if refused is not None:
-            return refused
-        unacceptable = self._require_journal().admission_failure()
-        if unacceptable is not None:
-            return Failed(unacceptable)
+        rejection = self._terminator.admission_failure(program)
+        if rejection is not None:
+            return rejection
+        journal_failure = self._require_journal().admission_failure()
+        if journal_failure is not None:
+            return Failed(journal_failure)
         branch = program.branch_by_id.get(operation.branch_id)
         if branch is None:
             return Failed(Failure(ErrorKind.NOT_FOUND, operation.branch_id))
--- a/libs/programs/src/masticdale_programs/takeovers.py
+++ b/libs/programs/src/masticdale_programs/takeovers.py
@@ -49,18 +49,20 @@
         return outcome
     stored = outcome.unwrap()
     version = stored.version if stored else MUST_NOT_EXIST
-    found = Head.model_validate_json(stored.value) if stored else _empty_head()
+    current = (
+        Head.model_validate_json(stored.value) if stored else _empty_head()
+    )
     # The copies are sealed before the head is replaced. Otherwise an owner
     # that is partitioned from the platform only could still acknowledge
     # commits after the copies were read.
-    sealed = await _seal_copies(copies, shard, found)
+    sealed = await _seal_copies(copies, shard, current)
     if isinstance(sealed, Failed):
         if not forced:
             return sealed
         logs.write("copies_given_up", shard=shard, lost=str(sealed.failure()))
-    head = found.model_copy(
+    head = current.model_copy(
         update={
-            "epoch": found.epoch + 1,
+            "epoch": current.epoch + 1,
             "owner": host,
             # The nonce tells two openings by one process apart. Otherwise
             # each would mistake the other's head for its own write whose
@@ -102,34 +104,34 @@
 
 
 async def _seal_copies(
-    copies: CopyHolders | None, shard: int, found: Head
+    copies: CopyHolders | None, shard: int, current: Head
 ) -> Result[tuple[CopyEntry, ...], Failure]:
-    if found.released or not found.copy_holders:
+    if current.released or not current.copy_holders:
         return Success(())
-    for holder in found.copy_holders if copies is not None else ():
+    for holder in current.copy_holders if copies is not None else ():
         assert copies is not None
-        sealed = await copies.seal(holder, shard, found.epoch + 1)
+        sealed = await copies.seal(holder, shard, current.epoch + 1)
         if isinstance(sealed, Success):
-            entries = _entries_after(found, sealed.unwrap())
+            entries = _entries_after(current, sealed.unwrap())
             if entries is not None:
                 return Success(entries)
-    holders = " and ".join(found.copy_holders)
+    holders = " and ".join(current.copy_holders)
     detail = (
         f"shard {shard}: {holders} returned no copies of epoch "
-        f"{found.epoch}; commits that {found.owner} acknowledged after "
-        f"{found.sequence} may be lost"
+        f"{current.epoch}; commits that {current.owner} acknowledged after "
+        f"{current.sequence} may be lost"
     )
     return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, detail))
 
 
 def _entries_after(
-    found: Head, sealed: CopyBatch
+    current: Head, sealed: CopyBatch
 ) -> tuple[CopyEntry, ...] | None:
     """Returns the commits after the head's; None if the copies lack any."""
-    if sealed.epoch != found.epoch:
+    if sealed.epoch != current.epoch:
         return None
-    entries = tuple(e for e in sealed.entries if e.sequence > found.sequence)
-    expected = range(found.sequence + 1, found.sequence + 1 + len(entries))
+    entries = tuple(e for e in sealed.entries if e.sequence > current.sequence)
+    expected = range(current.sequence + 1, current.sequence + 1 + len(entries))
     if [entry.sequence for entry in entries] != list(expected):
         return None
     return entries
--- a/libs/programs/src/masticdale_programs/testing_hosts.py
+++ b/libs/programs/src/masticdale_programs/testing_hosts.py
@@ -101,8 +101,10 @@
             return _unknown()
         outcome = await self._store.write(key, value, expected_version)
         await self._faults.wait_until_running()
-        is_lost = fault is WriteFault.LOSE_ANSWER or self._faults.is_partitioned
-        return _unknown() if is_lost else outcome
+        is_response_lost = (
+            fault is WriteFault.LOSE_ANSWER or self._faults.is_partitioned
+        )
+        return _unknown() if is_response_lost else outcome
 
     async def delete(
         self, key: str, expected_version: int
@@ -168,8 +170,8 @@
     async def call_service(self, call: ServiceCall) -> Result[str, Failure]:
         """See ``Executor.call_service``."""
         await self._faults.wait_until_running()
-        is_refused = self._shared.faults.refuse > 0
-        if not is_refused:
+        is_rejected = self._shared.faults.refuse > 0
+        if not is_rejected:
             self._run_count_by_request_id[call.request_id] += 1
         outcome = await self._shared.call_service(call)
         await self._faults.wait_until_running()
--- a/libs/programs/src/masticdale_programs/turns.py
+++ b/libs/programs/src/masticdale_programs/turns.py
@@ -62,9 +62,9 @@
     if isinstance(acquired, Failed):
         return acquired
     try:
-        refused = check_sequence(branch, operation)
-        if refused is not None:
-            return refused
+        rejection = check_sequence(branch, operation)
+        if rejection is not None:
+            return rejection
         return await _reserve_and_run(
             shard, program, branch, operation, stream, deadline
         )
--- a/libs/programs/src/masticdale_programs/views.py
+++ b/libs/programs/src/masticdale_programs/views.py
@@ -30,7 +30,7 @@
 @functools.singledispatch
 def outcome_of(entry: TurnFinished | CallFinished) -> Result[Outcome, Failure]:
     """Returns the outcome of a finished call, the same for every request."""
-    raise TypeError(f"no rule for {type(entry).__name__}")
+    raise TypeError(f"unsupported entry {type(entry).__name__}")
 
 
 @outcome_of.register
@@ -58,7 +58,7 @@
 @functools.singledispatch
 def history_item(entry: TurnFinished | CallFinished) -> HistoryItem:
     """Returns a finished call as an item of its branch's history."""
-    raise TypeError(f"no rule for {type(entry).__name__}")
+    raise TypeError(f"unsupported entry {type(entry).__name__}")
 
 
 @history_item.register
