--- a/libs/programs/src/masticdale_programs/takeovers.py
+++ b/libs/programs/src/masticdale_programs/takeovers.py
@@ -1,4 +1,4 @@
-"""Taking a shard over: seal the copies, take the head, read the records."""
+"""Shard takeover: seals the copies, swaps the head and reads the records."""
 
 import uuid
 from collections.abc import Sequence
@@ -27,42 +27,46 @@
     copies: CopyHolders | None = None,
     forced: bool = False,
 ) -> Result[Journal, Failure]:
-    """Takes a shard over: from now on every earlier owner's commit fails.
+    """Takes a shard over and fences its earlier owners.
 
     Args:
-        store: The platform's objects.
-        shard: Which shard.
-        host: This host.
+        store: The platform's object store.
+        shard: Number of the shard.
+        host: Name of this host.
         writer: Incarnation of this process.
-        on_committed: Called with every record, also those found in the
-            journal, in the journal's order.
-        copies: Hosts that hold copies; None to do without.
-        forced: Takes the shard although no holder gave its copies: what was
-            acknowledged during an outage may be lost.
+        on_committed: Called with every record in journal order, first with
+            those already in the journal.
+        copies: Access to the copy holders; None to run without copies.
+        forced: Takes the shard over even if no copy holder returns its
+            copies; commits acknowledged during an outage may be lost.
 
     Returns:
-        The opened journal; CONFLICT when another host was faster;
-        PEER_UNAVAILABLE when no holder gave its copies.
+        The opened journal; CONFLICT if another host took the shard first;
+        PEER_UNAVAILABLE if no copy holder returned its copies.
     """
     outcome = await store.read(head_key(shard))
     if isinstance(outcome, Failed):
         return outcome
     stored = outcome.unwrap()
     version = stored.version if stored else MUST_NOT_EXIST
-    found = Head.model_validate_json(stored.value) if stored else _empty_head()
-    # Sealed before the head is taken: an owner that is cut off from the
-    # platform alone could otherwise acknowledge records after they were read.
-    sealed = await _seal_copies(copies, shard, found)
+    current = (
+        Head.model_validate_json(stored.value) if stored else _empty_head()
+    )
+    # The copies are sealed before the head is replaced. Otherwise an owner
+    # that is partitioned from the platform only could still acknowledge
+    # commits after the copies were read.
+    sealed = await _seal_copies(copies, shard, current)
     if isinstance(sealed, Failed):
         if not forced:
             return sealed
         logs.write("copies_given_up", shard=shard, lost=str(sealed.failure()))
-    head = found.model_copy(
+    head = current.model_copy(
         update={
-            "epoch": found.epoch + 1,
+            "epoch": current.epoch + 1,
             "owner": host,
-            # Two openings by one process must differ, or each would take
-            # the other's writes for its own with a lost answer.
+            # The nonce tells two openings by one process apart. Otherwise
+            # each would mistake the other's head for its own write whose
+            # response was lost.
             "writer": f"{writer}-{uuid.uuid4().hex[:_NONCE_DIGITS]}",
             "released": False,
             "copy_holders": (),
@@ -75,8 +79,8 @@
     taken = await _write_head(store, shard, head, version)
     if isinstance(taken, Failed):
         return taken
-    # The segments are read after the head is ours: an earlier owner may
-    # replace segments until then, and none may afterwards.
+    # The segments are read after the head is replaced, because an earlier
+    # owner may replace segments until then.
     loaded = await _load_segments(store, head)
     if isinstance(loaded, Failed):
         return loaded
@@ -100,34 +104,34 @@
 
 
 async def _seal_copies(
-    copies: CopyHolders | None, shard: int, found: Head
+    copies: CopyHolders | None, shard: int, current: Head
 ) -> Result[tuple[CopyEntry, ...], Failure]:
-    if found.released or not found.copy_holders:
+    if current.released or not current.copy_holders:
         return Success(())
-    for holder in found.copy_holders if copies is not None else ():
+    for holder in current.copy_holders if copies is not None else ():
         assert copies is not None
-        sealed = await copies.seal(holder, shard, found.epoch + 1)
+        sealed = await copies.seal(holder, shard, current.epoch + 1)
         if isinstance(sealed, Success):
-            entries = _entries_after(found, sealed.unwrap())
+            entries = _entries_after(current, sealed.unwrap())
             if entries is not None:
                 return Success(entries)
-    holders = " and ".join(found.copy_holders)
+    holders = " and ".join(current.copy_holders)
     detail = (
-        f"shard {shard}: neither {holders} gave its copies of epoch "
-        f"{found.epoch}; what {found.owner} acknowledged after commit "
-        f"{found.sequence} may be lost"
+        f"shard {shard}: {holders} returned no copies of epoch "
+        f"{current.epoch}; commits that {current.owner} acknowledged after "
+        f"{current.sequence} may be lost"
     )
     return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, detail))
 
 
 def _entries_after(
-    found: Head, sealed: CopyBatch
+    current: Head, sealed: CopyBatch
 ) -> tuple[CopyEntry, ...] | None:
-    """Returns the commits beyond the head; None where the copies have gaps."""
-    if sealed.epoch != found.epoch:
+    """Returns the commits after the head's; None if the copies lack any."""
+    if sealed.epoch != current.epoch:
         return None
-    entries = tuple(e for e in sealed.entries if e.sequence > found.sequence)
-    expected = range(found.sequence + 1, found.sequence + 1 + len(entries))
+    entries = tuple(e for e in sealed.entries if e.sequence > current.sequence)
+    expected = range(current.sequence + 1, current.sequence + 1 + len(entries))
     if [entry.sequence for entry in entries] != list(expected):
         return None
     return entries
@@ -136,7 +140,7 @@
 async def _append_entries(
     store: ObjectStore, shard: int, head: Head, entries: Sequence[CopyEntry]
 ) -> Result[Head, Failure]:
-    """Adds commits to a head that is not stored yet, sealing what is long."""
+    """Adds commits to a head before it is stored; seals a full tail."""
     segments = list(head.segments)
     tail = list(head.tail)
     size = len(codec.encode(tail))
