--- a/libs/gateway/src/masticdale_gateway/callers.py
+++ b/libs/gateway/src/masticdale_gateway/callers.py
@@ -1,4 +1,4 @@
-"""Connections of callers: requests read strictly, responses written."""
+"""The server side of HTTP/1.1: strict request parsing, response writing."""
 
 import asyncio
 import collections
@@ -19,23 +19,23 @@
 )
 from masticdale_gateway.transports import TransportProtocol
 
-# Requests read ahead on one connection before reading pauses. Callers send
-# one at a time; two keep a pipelining one busy.
+# Parsed requests queued on one connection before reading pauses.
 _MAX_PIPELINED = 2
-# How long a closing connection may take to send what is written, in seconds:
-# longer than any round trip between failure domains.
+# Time in which a closing connection must flush its write buffer; longer than
+# any round trip between failure domains.
 _LINGER_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadLimits:
-    """What a caller may send.
+    """Limits on the requests of a caller.
 
     Attributes:
-        header_bytes: Bytes of request line and headers.
-        body_bytes: Bytes of a body.
-        header_timeout_s: From the first byte of a request to its end.
-        idle_timeout_s: Between two requests.
+        header_bytes: Maximum size of request line and headers.
+        body_bytes: Maximum size of a body.
+        header_timeout_s: Maximum time from the first byte of a request to its
+            last.
+        idle_timeout_s: Maximum time between two requests.
     """
 
     header_bytes: int = 16_384
@@ -53,8 +53,8 @@
 class CallerConnection(TransportProtocol):
     """One caller's connection.
 
-    The task that serves it is cancelled when the caller goes, so that a
-    replica stops working for nobody.
+    The task that serves it is cancelled when the caller disconnects, so that
+    replicas do not keep working on abandoned requests.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
             self._task.cancel()
 
     def eof_received(self) -> bool:
-        """See ``asyncio.Protocol``: a caller that half-closes has left."""
+        """See ``asyncio.Protocol``; treats a half-close as a disconnect."""
         if self._task is not None:
             self._task.cancel()
         return False
@@ -101,18 +101,22 @@
         except httptools.HttpParserCallbackError as error:
             self._reject(_cause(error))
         except httptools.HttpParserUpgrade:
-            self._reject(Failure(ErrorKind.BAD_REQUEST, "upgrade"))
+            self._reject(
+                Failure(
+                    ErrorKind.BAD_REQUEST, "protocol upgrades are not supported"
+                )
+            )
         except httptools.HttpParserError as error:
             self._reject(Failure(ErrorKind.BAD_REQUEST, str(error)))
         except _RejectedError as error:
             self._reject(error.failure)
 
     async def next_request(self) -> Request | Failure | None:
-        """Waits for a request.
+        """Waits for the next request.
 
         Returns:
-            The request; the failure to answer before closing; or None when
-            the connection has been idle for too long.
+            The request, a failure to send before closing, or None after the
+            idle timeout.
         """
         while not self._requests and self._failure is None:
             self._arrived.clear()
@@ -157,14 +161,23 @@
         )
         if parsed > self.limits.header_bytes:
             raise _RejectedError(Failure(ErrorKind.HEADERS_TOO_LARGE))
-        # Two ends that disagree on the host or on the body's end would let
-        # one caller place a request inside another's.
+        # Prevents request smuggling: this host and a replica must agree on
+        # the Host and on where the body ends.
         if self._headers.count(b"host") != 1:
-            raise _RejectedError(Failure(ErrorKind.BAD_REQUEST, "host"))
+            raise _RejectedError(
+                Failure(
+                    ErrorKind.BAD_REQUEST, "exactly one Host header is required"
+                )
+            )
         if self._headers.count(b"transfer-encoding") and (
             self._headers.count(b"content-length")
         ):
-            raise _RejectedError(Failure(ErrorKind.BAD_REQUEST, "framing"))
+            raise _RejectedError(
+                Failure(
+                    ErrorKind.BAD_REQUEST,
+                    "both Transfer-Encoding and Content-Length are present",
+                )
+            )
         length = self._headers.get(b"content-length") or b"0"
         if int(length) > self.limits.body_bytes:
             raise _RejectedError(Failure(ErrorKind.TOO_LARGE))
@@ -215,7 +228,7 @@
         self._body_bytes = 0
 
     def _check_head_size(self) -> None:
-        # A head without end would otherwise be kept whole in memory.
+        # Bounds the memory taken by headers that never end.
         if not self._headers_done and (
             self._head_bytes > self.limits.header_bytes
         ):
@@ -236,9 +249,9 @@
     """Writes the response to one request.
 
     Attributes:
-        keeps_alive: Whether the connection may stay open after it; may be
-            cleared until the head is written.
-        status: The status written; 0 before.
+        keeps_alive: Whether the connection may stay open after the response;
+            may be cleared until the head is written.
+        status: The status that was written; 0 before that.
         is_finished: Whether the response is complete.
     """
 
@@ -249,39 +262,39 @@
         self._connection = connection
 
     def send(self, status: int, headers: Iterable[Header], body: bytes) -> None:
-        """Writes a whole response."""
+        """Writes a complete response."""
         head = encode_head(status, headers, len(body), self.keeps_alive)
         self._connection.write(head + body)
         self.status = status
         self.is_finished = True
 
     def start(self, status: int, headers: Iterable[Header]) -> None:
-        """Writes the head of a response in chunks."""
+        """Writes the head of a chunked response."""
         self._connection.write(
             encode_head(status, headers, None, self.keeps_alive)
         )
         self.status = status
 
     async def send_chunk(self, data: bytes) -> None:
-        """Writes a part of the body and waits for a slow caller."""
+        """Writes a chunk of the body; waits while the caller reads slowly."""
         self._connection.write(encode_chunk(data))
         await self._connection.drain()
 
     def finish(self) -> None:
-        """Ends a response in chunks."""
+        """Ends a chunked response."""
         self._connection.write(LAST_CHUNK)
         self.is_finished = True
 
     def abort(self) -> None:
-        """Breaks the response off so that it can't look complete."""
+        """Drops the connection, so that the response can't look complete."""
         self._connection.abort()
 
 
 async def close_gracefully(connection: CallerConnection) -> None:
-    """Closes once the written bytes have gone out, within a bound.
+    """Closes the connection after its write buffer is flushed, or times out.
 
     Closing while the caller still sends resets the connection, and a reset
-    can overtake the answer that was just written.
+    can overtake the response that was just written.
     """
     connection.close()
     try:
--- a/libs/gateway/src/masticdale_gateway/calls.py
+++ b/libs/gateway/src/masticdale_gateway/calls.py
@@ -1,4 +1,4 @@
-"""One request on its way, and what the data path needs from other parts."""
+"""A routed request, and the interfaces that the data path depends on."""
 
 import asyncio
 import dataclasses
@@ -14,16 +14,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """A request whose route is known.
+    """A routed request.
 
     Attributes:
-        request: What the caller sent.
-        metadata: What its headers say.
-        route: Its route.
+        request: The caller's request.
+        metadata: The values of its headers.
+        route: The route that it matches.
         service: The service that runs it.
-        deadline_at: Loop seconds of the final answer at the latest.
+        deadline_at: Deadline of the complete response, in loop seconds.
         replica_ids: Replicas that it was sent to, in order.
-        events: Stream events handed to the caller.
+        events: Number of stream events forwarded to the caller.
     """
 
     request: Request
@@ -41,19 +41,19 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether it is answered by events."""
+        """Whether the response is an event stream."""
         return self.route.kind is RouteKind.STREAMING
 
     @property
     def is_retriable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         if self.is_stream:
             return self.route.is_resumable
         return self.route.kind is RouteKind.IDEMPOTENT
 
     @property
     def placement_key(self) -> str | None:
-        """What decides the replica of a stream; None for plain requests."""
+        """Key that selects the replica of a stream; None for unary calls."""
         if not self.is_stream:
             return None
         metadata = self.metadata
@@ -62,13 +62,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnClaim:
-    """A turn that asks for a part of its program's budget.
+    """A turn's request for tokens of its program's budget.
 
     Attributes:
         program_id: The program.
-        request_id: This attempt; asking again for it takes nothing more.
-        budget_tokens: The whole budget of the program.
-        turn_tokens: What the turn uses at most.
+        request_id: Idempotency key: a repeated claim reserves nothing more.
+        budget_tokens: Total budget of the program.
+        turn_tokens: Maximum number of tokens that the turn uses.
     """
 
     program_id: str
@@ -83,16 +83,18 @@
     async def admit(
         self, claim: TurnClaim, deadline_at: float
     ) -> Result[None, Failure]:
-        """Reserves what a turn may use.
+        """Reserves the tokens that a turn may use.
 
-        Failures: BUDGET_EXCEEDED where the budget is spent;
-        LEDGER_UNAVAILABLE where nobody can say. Either way the turn must not
-        be run.
+        A turn that is not admitted must not run.
+
+        Returns:
+            None, or BUDGET_EXCEEDED if the budget is spent, or
+            LEDGER_UNAVAILABLE if that can't be determined.
         """
         ...
 
     def settle(self, claim: TurnClaim, used_tokens: int) -> None:
-        """Reports what an admitted turn has used in the end."""
+        """Reports the tokens that an admitted turn has used."""
         ...
 
 
@@ -101,17 +103,17 @@
     """Limits of the data path.
 
     Attributes:
-        first_event_s: A stream without its first event for this long is
-            asked for again on a new connection: connections can go silent
-            while their replica works. Callers wait 2 to 3 s.
-        next_event_s: The same between two events; replicas at their batch
-            limit were seen to pause for 0.3 s.
-        repeatable_answer_s: A plain repeatable request without an answer for
-            this long is sent again; some ten times its usual work.
-        unsafe_idle_s: A request that must not run twice goes on no connection
-            that was idle for longer; a dropped one would leave its outcome
-            unknown.
-        sends: How often one request is sent, at most.
+        first_event_timeout_s: A stream without a first event for this long is
+            requested again on a new connection, since a connection can go
+            silent while its replica works. Shorter than the 2 to 3 s that
+            callers wait.
+        next_event_timeout_s: The same limit between two events.
+        retriable_response_timeout_s: A retriable unary request without a
+            response for this long is sent again.
+        non_retriable_max_idle_s: A request that must not run twice is not
+            sent on a connection that was idle for longer; if that connection
+            was dropped meanwhile, the outcome would be unknown.
+        max_sends: Maximum number of sends of one request.
     """
 
     first_event_timeout_s: float = 1.5
--- a/libs/gateway/src/masticdale_gateway/client.py
+++ b/libs/gateway/src/masticdale_gateway/client.py
@@ -1,4 +1,4 @@
-"""A small HTTP client for one server, over the data path's connections."""
+"""An HTTP client for a single server, on the data path's connections."""
 
 import asyncio
 import contextlib
@@ -13,33 +13,27 @@
     matches_any,
 )
 
-# Bounds, in seconds, after which the kernel gives up a connection whose other
-# end is silent. A watch waits far longer than any response takes, so nothing
-# but these probes shows that something on the way has dropped it.
+# TCP keep-alive: the kernel closes a connection whose peer does not reply to
+# probes. A watch waits far longer than any other request, so nothing else
+# detects a connection that was dropped on the network.
 _KEEP_ALIVE_IDLE_S = 1
 _KEEP_ALIVE_INTERVAL_S = 1
 _KEEP_ALIVE_PROBES = 2
 _TCP_USER_TIMEOUT_MS = 2_000
-# Opening a connection takes a round trip of some milliseconds, in seconds.
 _CONNECT_TIMEOUT_S = 0.8
 
 
 class NotSentError(Exception):
-    """The call surely had no effect: it was never sent."""
+    """The request was never sent, so it had no effect."""
 
 
 class NoResponseError(Exception):
-    """The call was sent and no whole response came."""
+    """The request was sent, but no complete response arrived."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole response.
-
-    Attributes:
-        status: The status code.
-        body: The body.
-    """
+    """A complete response."""
 
     status: int
     body: bytes
@@ -50,10 +44,10 @@
     """A request.
 
     Attributes:
-        method: Such as GET.
+        method: HTTP method, such as ``GET``.
         target: Path and query.
         body: JSON, or empty.
-        timeout_s: Until the whole response.
+        timeout_s: Time limit for the complete response.
     """
 
     method: str
@@ -63,7 +57,7 @@
 
 
 class HttpClient:
-    """Calls one server; each connection carries one call at a time."""
+    """Client of one server; a connection carries one request at a time."""
 
     def __init__(self, host: str, port: int) -> None:
         self._host = host
@@ -88,7 +82,7 @@
             connection.send(self._encode(call), matches_any)
         except ConnectionLostError as error:
             connection.abort()
-            raise NotSentError("closed") from error
+            raise NotSentError("connection closed before sending") from error
         try:
             async with asyncio.timeout(call.timeout_s):
                 head = await connection.read_head()
--- a/libs/gateway/src/masticdale_gateway/codec.py
+++ b/libs/gateway/src/masticdale_gateway/codec.py
@@ -1,4 +1,4 @@
-"""What the data path needs to know of the headers that its users speak."""
+"""The values that the data path reads from and writes to headers."""
 
 import dataclasses
 from collections.abc import Iterable
@@ -9,17 +9,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What a caller's headers say of its request.
+    """The values of a caller's request headers.
 
     Attributes:
-        request_id: Id of this attempt; empty where the caller gave none.
-        deadline_s: How long the caller waits, in seconds; None if not told.
+        request_id: Id of this attempt; empty if the caller sent none.
+        deadline_s: Seconds that the caller waits; None if unspecified.
         program_id: The agent program it belongs to; empty for none.
-        prefix_key: The first part of its prompt; empty for none.
+        prefix_key: Key of the first part of its prompt; empty for none.
         prompt_parts: Number of parts of its prompt.
         budget_tokens: Output tokens the program may use; None for no budget.
-        turn_tokens: Output tokens this turn may produce at most.
-        last_event_id: The caller has the stream up to here; empty for none.
+        turn_tokens: Maximum number of output tokens of this turn.
+        last_event_id: Last stream event that the caller has; empty for none.
     """
 
     request_id: str
@@ -34,14 +34,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseMetadata:
-    """What a replica's headers say of its answer.
+    """The values of a replica's response headers.
 
     Attributes:
-        is_not_run: The replica states that it did not run the request.
-        is_genuine: It is a replica's answer, whole if its body is.
-        running: Requests that run there; None where it doesn't tell.
-        waiting: Requests that wait there.
-        retry_after_s: When it wants the request back; None if not told.
+        is_rejected: The replica states that it did not run the request.
+        is_genuine: The response comes from a replica, and is complete if its
+            body is.
+        running: Requests running at the replica; None if unspecified.
+        waiting: Requests queued at the replica.
+        retry_after_s: Delay before the next attempt; None if unspecified.
     """
 
     is_rejected: bool
@@ -53,12 +54,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardingMetadata:
-    """What a request sent to a replica has to say.
+    """The values to set in a request forwarded to a replica.
 
     Attributes:
-        replica_id: Only this replica may run it.
-        remaining_s: How long anyone waits for the answer.
-        last_event_id: Where a stream goes on; empty to keep the caller's.
+        replica_id: The only replica that may run the request.
+        remaining_s: Seconds until the deadline.
+        last_event_id: Event after which a stream resumes; empty to keep the
+            caller's.
     """
 
     replica_id: str
@@ -67,32 +69,32 @@
 
 
 class HeaderCodec(Protocol):
-    """Reads and writes the headers."""
+    """Parses and builds header fields."""
 
     def parse_request(self, headers: Headers) -> RequestMetadata:
-        """Returns the metadata of a request; invalid values count as absent."""
+        """Parses request headers; invalid values count as absent."""
         ...
 
     def parse_response(self, head: ResponseHead) -> ResponseMetadata:
-        """Returns the metadata of an answer."""
+        """Parses the headers of a response."""
         ...
 
     def answers_request(self, head: ResponseHead, request_id: str) -> bool:
-        """Returns whether an answer belongs to a request."""
+        """Returns whether a response belongs to a request."""
         ...
 
     def request_headers(
         self, headers: Headers, metadata: ForwardingMetadata
     ) -> list[Header]:
-        """Returns the fields to send to a replica."""
+        """Returns the fields of a request to a replica."""
         ...
 
     def response_headers(self, head: ResponseHead) -> Iterable[Header]:
-        """Returns the fields of an answer to hand to the caller."""
+        """Returns the fields of a response to forward to the caller."""
         ...
 
     def error_headers(
         self, request_id: str, retry_after_s: float | None
     ) -> Iterable[Header]:
-        """Returns the fields of an answer of our own."""
+        """Returns the fields of an error response of this host."""
         ...
--- a/libs/gateway/src/masticdale_gateway/events.py
+++ b/libs/gateway/src/masticdale_gateway/events.py
@@ -1,4 +1,4 @@
-"""Cuts a byte stream into whole server-sent events."""
+"""Splits a byte stream into server-sent events."""
 
 import dataclasses
 import re
@@ -6,22 +6,21 @@
 _EVENT_END = re.compile(rb"\r?\n\r?\n")
 _ID_LINE = re.compile(rb"^id:[ ]?([^\r\n]*)", re.MULTILINE)
 
-# A single event larger than this is no event, in bytes; events carry some
-# tokens each.
+# Bounds the memory of a stream without event boundaries.
 _MAX_EVENT_BYTES = 1 << 20
 
 
 class OversizedEventError(Exception):
-    """The stream holds no event's end for too long."""
+    """An event exceeds the maximum size."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        data: Its bytes with the blank line that ends it.
-        id: Its id; empty where it has none.
+        data: Its bytes, including the blank line that ends it.
+        id: Its id; empty if it has none.
     """
 
     data: bytes
@@ -29,10 +28,10 @@
 
 
 class EventSplitter:
-    """Collects bytes until an event is whole.
+    """Buffers bytes until an event is complete.
 
-    Only whole events are handed on: a replica may stop in the middle of one,
-    and its beginning could not be taken back from the caller.
+    Only complete events are forwarded: a replica may stop in the middle of
+    one, and bytes already sent to the caller can't be taken back.
     """
 
     def __init__(self) -> None:
@@ -40,14 +39,14 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether an event has begun and not ended."""
+        """Whether the buffer holds an incomplete event."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Event]:
-        """Takes bytes and returns the events that they complete.
+        """Adds bytes and returns the events that they complete.
 
         Raises:
-            OversizedEventError: An event does not end.
+            OversizedEventError: An incomplete event exceeds the maximum size.
         """
         self._buffer += data
         events = []
--- a/libs/gateway/src/masticdale_gateway/messages.py
+++ b/libs/gateway/src/masticdale_gateway/messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as the data path holds them, and their bytes on the wire."""
+"""HTTP messages and their encoding."""
 
 import dataclasses
 import http
@@ -6,8 +6,8 @@
 
 Header = tuple[bytes, bytes]
 
-# Headers that concern one connection only (RFC 9110, 7.6.1). Framing is
-# written anew for each hop.
+# Headers that concern a single connection (RFC 9110, section 7.6.1), and the
+# framing headers, which each hop writes anew.
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -32,24 +32,24 @@
     """Header fields in order of arrival.
 
     Attributes:
-        fields: Name and value as they came.
+        fields: Names and values as received.
     """
 
     fields: list[Header] = dataclasses.field(default_factory=list)
 
     def get(self, name: bytes) -> bytes | None:
-        """Returns the first value of a field, by its lowercase name."""
+        """Returns the first value of the field with this lowercase name."""
         for key, value in self.fields:
             if key.lower() == name:
                 return value
         return None
 
     def count(self, name: bytes) -> int:
-        """Returns how often a field stands, by its lowercase name."""
+        """Returns how many fields have this lowercase name."""
         return sum(key.lower() == name for key, _ in self.fields)
 
     def end_to_end(self) -> list[Header]:
-        """Returns the fields that are meant for the other end."""
+        """Returns the fields without the hop-by-hop ones."""
         named = self.get(b"connection") or b""
         dropped = HOP_BY_HOP | {n.strip().lower() for n in named.split(b",")}
         return [f for f in self.fields if f[0].lower() not in dropped]
@@ -57,15 +57,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """One whole request of a caller.
+    """A complete request of a caller.
 
     Attributes:
-        method: As sent.
-        target: Path and query, as sent.
-        headers: As sent.
-        body: The decoded body.
-        received_at: Loop seconds at which its first byte was read.
-        keeps_alive: Whether the caller allows another request after it.
+        method: Method as sent.
+        target: Path and query as sent.
+        headers: Header fields as sent.
+        body: Body without transfer coding.
+        received_at: Time of its first byte, in loop seconds.
+        keeps_alive: Whether the connection may carry another request.
     """
 
     method: bytes
@@ -77,12 +77,12 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The path of the target, without the query."""
         return self.target.split(b"?", 1)[0].decode("latin-1")
 
     @property
     def host(self) -> str:
-        """The Host field without a port, in lowercase."""
+        """The Host header without its port, in lowercase."""
         value = self.headers.get(b"host") or b""
         return value.decode("latin-1").rsplit(":", 1)[0].lower()
 
@@ -93,8 +93,8 @@
 
     Attributes:
         status: The status code.
-        headers: As sent.
-        keeps_alive: Whether the connection may serve another request.
+        headers: Header fields as sent.
+        keeps_alive: Whether the connection may carry another request.
     """
 
     status: int
@@ -105,7 +105,7 @@
 def encode_request(
     method: bytes, target: bytes, headers: Iterable[Header], body: bytes
 ) -> bytes:
-    """Returns a request with a length, ready to be written."""
+    """Returns the bytes of a request, framed by Content-Length."""
     lines = [b"%b %b HTTP/1.1\r\n" % (method, target)]
     lines += [b"%b: %b\r\n" % field for field in headers]
     if body or method not in (b"GET", b"HEAD", b"DELETE"):
@@ -121,13 +121,13 @@
     length: int | None,
     keeps_alive: bool,
 ) -> bytes:
-    """Returns the head of a response.
+    """Returns the bytes of a response head.
 
     Args:
         status: The status code.
         headers: End-to-end fields.
-        length: Bytes of the body; None for chunks.
-        keeps_alive: Whether the connection stays open after it.
+        length: Content length in bytes; None for chunked encoding.
+        keeps_alive: Whether the connection stays open afterwards.
     """
     lines = [b"HTTP/1.1 %d %b\r\n" % (status, _reason(status))]
     lines += [b"%b: %b\r\n" % field for field in headers]
@@ -142,7 +142,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """Returns one chunk of a chunked body; the data must not be empty."""
+    """Returns one chunk of a chunked body; ``data`` must not be empty."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
