--- a/libs/gateway/src/masticdale_gateway/__init__.py
+++ b/libs/gateway/src/masticdale_gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The HTTP data path: callers on one side, replicas on the other."""
+"""The HTTP data path between callers and replicas."""
 
 from masticdale_gateway.calls import BudgetLedger, RelaySettings, TurnClaim
 from masticdale_gateway.codec import (
--- a/libs/gateway/src/masticdale_gateway/client.py
+++ b/libs/gateway/src/masticdale_gateway/client.py
@@ -71,11 +71,11 @@
         self._idle.clear()
 
     async def send(self, call: HttpRequest) -> HttpResponse:
-        """Makes a call.
+        """Sends a request and waits for its response.
 
         Raises:
-            NotSentError: It surely had no effect.
-            NoAnswerError: It may have had its effect.
+            NotSentError: The request had no effect.
+            NoResponseError: The request may have had its effect.
         """
         connection = await self._acquire()
         try:
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -1,4 +1,4 @@
-"""One send of a call to one replica."""
+"""Sending a call to one replica and reading the response."""
 
 import asyncio
 import dataclasses
@@ -22,8 +22,8 @@
 )
 from masticdale_routing.fleet import ReplicaState, ReportedLoad
 
-# The body of a refusal comes with its head or not at all, in seconds; read, so
-# that the connection can be used again.
+# Time limit for the body of a rejection, which is read so that the connection
+# can be reused.
 _REJECTION_BODY_TIMEOUT_S = 0.1
 
 _CONNECTION_ERRORS = (ConnectionLostError, MalformedResponseError, TimeoutError)
@@ -31,13 +31,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendFailure:
-    """A send without a usable answer.
+    """A send without a usable response.
 
     Attributes:
-        replica_id: Where it was sent.
-        ran: NO if the replica surely never runs it, else UNKNOWN.
-        reason: Short, for logs.
-        retry_after_s: When the replica wants it back, if it told.
+        replica_id: The replica that it was sent to.
+        ran: NO if the replica certainly never runs the call, else UNKNOWN.
+        reason: Short description for logs.
+        retry_after_s: Delay that the replica asked for; None if unspecified.
     """
 
     replica_id: str
@@ -48,12 +48,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendOptions:
-    """How one send differs from the others of its call.
+    """Options of one send of a call.
 
     Attributes:
-        answer_s: How long to wait for the head of the answer.
-        max_idle_s: The oldest idle connection that is reused.
-        last_event_id: Where a stream goes on; empty for its beginning.
+        response_timeout_s: Time limit for the head of the response.
+        max_idle_s: Maximum idle time of a reused connection.
+        last_event_id: Event after which a stream resumes; empty to start at
+            its beginning.
     """
 
     response_timeout_s: float
@@ -62,11 +63,11 @@
 
 
 class Exchange:
-    """A send whose answer has begun.
+    """A send whose response has begun.
 
     Attributes:
-        head: Status and headers of the answer.
-        metadata: What they say.
+        head: Status and headers of the response.
+        metadata: The parsed headers.
     """
 
     def __init__(
@@ -86,17 +87,18 @@
 
     @property
     def replica_id(self) -> str:
-        """The replica that answers."""
+        """The replica that sends the response."""
         return self._state.replica.id
 
     async def read_chunk(self, timeout_s: float) -> Result[bytes | None, str]:
         """Waits for a chunk of the body.
 
         Args:
-            timeout_s: How long to wait.
+            timeout_s: Time limit.
 
         Returns:
-            Bytes, or None at the end of a whole body; or why it broke off.
+            Bytes, None at the end of a complete body, or the reason for which
+            the body was cut off.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -108,7 +110,11 @@
         return Success(chunk)
 
     async def read_body(self, deadline_at: float) -> Result[bytes, str]:
-        """Reads the whole body by a deadline in loop seconds."""
+        """Reads the whole body.
+
+        Args:
+            deadline_at: Deadline in loop seconds.
+        """
         chunks: list[bytes] = []
         loop = asyncio.get_running_loop()
         while True:
@@ -121,7 +127,10 @@
             chunks.append(chunk)
 
     def close(self) -> None:
-        """Ends it; a replica that is still at work sees its caller go."""
+        """Releases the connection.
+
+        An incomplete response aborts it, so that the replica stops working.
+        """
         if self._is_complete:
             self._state.circuit.succeeded()
             self._sender.pool.release(self._state.replica, self._connection)
@@ -134,7 +143,7 @@
     """Sends calls to replicas.
 
     Attributes:
-        pool: The open connections.
+        pool: The connections to replicas.
     """
 
     def __init__(
@@ -147,9 +156,9 @@
     async def send(
         self, call: Call, state: ReplicaState, options: SendOptions
     ) -> Result[Exchange, SendFailure]:
-        """Sends a call and waits for the head of its answer.
+        """Sends a call and waits for the head of its response.
 
-        The caller of a successful send has to close the exchange.
+        On success the caller must close the exchange.
         """
         loop = asyncio.get_running_loop()
         state.circuit.begin(loop.time())
@@ -201,8 +210,8 @@
         )
         request_id = call.metadata.request_id
         call.replica_ids.append(state.replica.id)
-        # The line of the request is written at its end, and never by a host
-        # that is killed before; this one tells which replica had it.
+        # The "request" line is written at the end of a request, and is missing
+        # if the host is killed before; this line still names the replica.
         logs.write_bounded(
             "replica_chosen",
             request_id=request_id,
@@ -233,24 +242,28 @@
         if not metadata.is_rejected:
             state.circuit.failed(asyncio.get_running_loop().time())
             return self._failure(
-                call, state, Ran.UNKNOWN, f"status {head.status}"
+                call,
+                state,
+                Ran.UNKNOWN,
+                f"unusable response with status {head.status}",
             )
         if head.status == 421:
-            # Another replica has the address: the list has not said so yet.
+            # 421: another replica has taken over this address, and the list
+            # of replicas does not show it yet.
             state.circuit.failed(asyncio.get_running_loop().time())
         try:
             async with asyncio.timeout(_REJECTION_BODY_TIMEOUT_S):
                 while await connection.read_chunk() is not None:
                     pass
         except _CONNECTION_ERRORS:
-            # What the head says holds without the body, and the request may
-            # go on elsewhere; only the connection is of no more use.
+            # The head alone proves that the request did not run, so it may be
+            # sent elsewhere; only the connection can't be reused.
             connection.abort()
         return self._failure(
             call,
             state,
             Ran.NO,
-            f"not run {head.status}",
+            f"rejected with status {head.status}",
             metadata.retry_after_s,
         )
 
@@ -284,9 +297,9 @@
 
 def _reason(error: BaseException) -> str:
     if isinstance(error, TimeoutError):
-        return "silent"
+        return "timed out"
     if isinstance(error, ConnectFailedError):
-        return f"connect {error}"
+        return f"connection failed: {error}"
     if isinstance(error, MalformedResponseError):
-        return f"malformed {error}"
+        return f"malformed response: {error}"
     return "connection lost"
--- a/libs/gateway/src/masticdale_gateway/pools.py
+++ b/libs/gateway/src/masticdale_gateway/pools.py
@@ -1,4 +1,4 @@
-"""Open connections to replicas, kept for the next request."""
+"""A pool of connections to replicas."""
 
 import asyncio
 import collections
@@ -7,21 +7,20 @@
 from masticdale_gateway.upstreams import UpstreamConnection
 from masticdale_routing.fleet import Replica
 
-# A connection takes one round trip and about a millisecond at the replica. A
-# replica whose queue of new connections is full drops the first packet, and
-# the system sends it again after a second: too late to wait for, in seconds.
+# Shorter than the kernel's first SYN retransmission (1 s): a replica whose
+# accept queue is full drops the SYN, and waiting for the retry takes too long.
 _CONNECT_TIMEOUT_S = 0.4
-# A connection is not reused this close to the end of the keep-alive time that
-# the replica told, in seconds: request and close would cross.
+# A connection is not reused this close to its keep-alive timeout: the request
+# could cross with the replica's close.
 _KEEP_ALIVE_MARGIN_S = 1.0
-# Assumed where the replica tells no keep-alive time, in seconds.
+# Used if the replica sends no keep-alive timeout.
 _DEFAULT_KEEP_ALIVE_S = 5.0
 
 _Key = tuple[str, str, int, int]
 
 
 class ConnectFailedError(Exception):
-    """No connection could be opened, so nothing was sent."""
+    """The connection could not be opened, so nothing was sent."""
 
 
 class ConnectionPool:
@@ -36,13 +35,13 @@
     async def acquire(
         self, replica: Replica, max_idle_s: float
     ) -> UpstreamConnection:
-        """Returns an idle connection, or a new one.
+        """Returns an idle connection or a new one.
 
         Args:
-            replica: Where to.
-            max_idle_s: An idle connection older than this is left alone: one
-                that something on the way has dropped looks open until it is
-                written to, and then nobody knows whether the request arrived.
+            replica: The replica to connect to.
+            max_idle_s: Maximum idle time of a reused connection. One that was
+                dropped on the network looks open until it is written to, and
+                then it is unknown whether the request arrived.
 
         Raises:
             ConnectFailedError: The replica can't be reached.
@@ -60,14 +59,14 @@
         return await self._connect(replica)
 
     def release(self, replica: Replica, connection: UpstreamConnection) -> None:
-        """Keeps a connection whose exchange is complete, or closes it."""
+        """Returns a connection to the pool, or closes it if not reusable."""
         if not connection.is_reusable:
             connection.abort()
             return
         self._idle_by_key[_key(replica)].append(connection)
 
     def close_idle(self) -> None:
-        """Closes connections that are too old to be used again."""
+        """Closes the connections that were idle for too long."""
         now = asyncio.get_running_loop().time()
         for key, idle in list(self._idle_by_key.items()):
             while idle and not _is_fresh(idle[0], now):
--- a/libs/gateway/src/masticdale_gateway/relay.py
+++ b/libs/gateway/src/masticdale_gateway/relay.py
@@ -1,4 +1,4 @@
-"""Serves callers: finds the route, asks the ledger, relays, answers."""
+"""Serves callers: routes requests, admits turns, forwards to replicas."""
 
 import asyncio
 import dataclasses
@@ -35,16 +35,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RelayDependencies:
-    """What a relay works with.
+    """The collaborators of a relay.
 
     Attributes:
-        configuration: Returns the configuration in force, None before the
-            first.
+        configuration: Returns the active configuration, or None before the
+            first one.
         fleet: The replicas.
-        ledger: Keeps programs within their budgets.
-        codec: Reads and writes the headers.
-        metrics: Counts.
-        settings: Limits.
+        ledger: Enforces the budgets of programs.
+        codec: Parses and builds header fields.
+        metrics: Metrics registry.
+        settings: Limits of the data path.
     """
 
     configuration: Callable[[], Configuration | None]
@@ -59,8 +59,8 @@
     """Serves the connections of callers.
 
     Attributes:
-        busy: Requests that are being served.
-        is_stopping: Answers then tell the caller to open a new connection.
+        active_requests: Number of requests being served.
+        is_stopping: Whether responses ask the caller to open a new connection.
         pool: Connections to replicas.
     """
 
@@ -82,28 +82,28 @@
         )
 
     def create_connection(self) -> CallerConnection:
-        """Returns the protocol of a new caller's connection."""
+        """Returns the protocol of a new connection."""
         return CallerConnection(self.serve)
 
     @property
     def connections(self) -> int:
-        """Open connections of callers."""
+        """Number of open connections of callers."""
         return len(self._connections)
 
     def close_idle(self) -> None:
-        """Closes the connections on which no request is being served."""
+        """Closes the connections that serve no request."""
         for connection in list(self._connections):
             if not connection.is_busy:
                 connection.close()
 
     def abort(self) -> None:
-        """Drops every connection at once."""
+        """Drops every connection immediately."""
         for connection in list(self._connections):
             connection.abort()
         self.pool.close()
 
     async def serve(self, connection: CallerConnection) -> None:
-        """Serves the requests of one connection, one after the other."""
+        """Serves the requests of one connection in sequence."""
         self._connections.add(connection)
         try:
             while await self._serve_next(connection):
@@ -126,12 +126,12 @@
         connection.is_busy = True
         self.active_requests += 1
         try:
-            return await self._answer(connection, arrived)
+            return await self._respond(connection, arrived)
         finally:
             self.active_requests -= 1
             connection.is_busy = False
 
-    async def _answer(
+    async def _respond(
         self, connection: CallerConnection, request: Request
     ) -> bool:
         writer = ResponseWriter(
@@ -210,9 +210,9 @@
                 return failure
             return await self._streams.run(call, writer)
         finally:
-            # Also after a refusal, and where the caller left before an
-            # answer: the owner may have reserved the turn's tokens, and the
-            # program would reach its budget too early.
+            # Also after a rejection, or if the caller disconnected before the
+            # reply: the owner may have reserved the turn's tokens, and leaking
+            # them would exhaust the program's budget too early.
             used = call.events * call.service.tokens_per_event
             self._dependencies.ledger.settle(claim, used)
 
@@ -290,13 +290,13 @@
 async def listen(
     relay: Relay, host: str, port: int, backlog: int
 ) -> asyncio.Server:
-    """Starts to accept callers.
+    """Starts to accept connections of callers.
 
     Args:
-        relay: Serves them.
-        host: The address to bind.
-        port: The port to bind.
-        backlog: Connections that may wait to be accepted.
+        relay: The relay that serves them.
+        host: Address to bind.
+        port: Port to bind.
+        backlog: Size of the accept queue.
     """
     loop = asyncio.get_running_loop()
     return await loop.create_server(
--- a/libs/gateway/src/masticdale_gateway/streaming.py
+++ b/libs/gateway/src/masticdale_gateway/streaming.py
@@ -1,4 +1,4 @@
-"""Requests answered by events: handed on as they come, continued if cut."""
+"""Event streams: forwarded as they arrive, resumed if cut off."""
 
 import asyncio
 import dataclasses
@@ -23,22 +23,22 @@
 from masticdale_gateway.unary import BufferedResponse, no_upstream_failure
 from masticdale_routing.fleet import Fleet, ReplicaState
 
-# A new connection is cheap against a turn, and one that was idle for a while
-# may have been dropped on the way, in seconds.
+# A connection that was idle for longer may have been dropped on the network,
+# and a new one is cheap compared with a turn.
 _MAX_IDLE_S = 10.0
-# When to come back to an engine that refused, in seconds: a few of its steps.
+# Retry delay for callers if all engines reject; a few steps of an engine.
 _RETRY_AFTER_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Interrupted:
-    """An answer that broke off."""
+    """A response that was cut off."""
 
     reason: str
 
 
 class StreamRelay:
-    """Hands on streams; a cut one goes on where it stopped."""
+    """Forwards streams; one that is cut off resumes after its last event."""
 
     def __init__(
         self,
@@ -55,11 +55,11 @@
     async def run(
         self, call: Call, writer: ResponseWriter
     ) -> BufferedResponse | Failure | None:
-        """Streams an answer to the caller.
+        """Streams a response to the caller.
 
         Returns:
-            None once the stream is complete or was broken off; else the
-            answer or failure that is still to be sent.
+            None if the stream was completed or aborted; otherwise the
+            response or failure that is still to be sent.
         """
         stream = _Stream(call, writer)
         excluded: set[str] = set()
@@ -101,11 +101,12 @@
         last: SendFailure,
         excluded: set[str],
     ) -> ReplicaState | None:
-        """Returns where to go on.
+        """Returns the replica for the next send.
 
-        A run that broke off goes on at the same replica, if that still takes
-        connections: it holds the prompt, and a request may only run at so
-        many replicas. It is left once it refuses or can't be reached.
+        A stream that was cut off resumes at the same replica while that one is
+        usable: it holds the prompt, and the number of replicas that may
+        run one request is limited. A replica that rejects the request or can't
+        be reached is excluded.
         """
         ids = {s.replica.id for s in self._fleet.usable(call.service.name)}
         broke_off = last.ran is not Ran.NO
@@ -139,7 +140,7 @@
             return _Interrupted(body.failure())
         if stream.has_started:
             return _Interrupted(
-                f"status {exchange.head.status} in place of the rest"
+                f"resuming failed with status {exchange.head.status}"
             )
         return BufferedResponse(exchange.head, body.unwrap())
 
@@ -156,7 +157,7 @@
             chunk = outcome.unwrap()
             if chunk is None:
                 if splitter.has_partial_event:
-                    return _Interrupted("ended inside an event")
+                    return _Interrupted("stream ended inside an event")
                 stream.start(self._codec, exchange)
                 stream.writer.finish()
                 return None
@@ -190,14 +191,14 @@
 
 
 class _Stream:
-    """What the caller has of a stream so far.
+    """What has been forwarded of a stream so far.
 
     Attributes:
         call: The call.
-        writer: Where the events go.
+        writer: Writes the response to the caller.
         has_started: Whether the head has been sent.
-        may_have_run: Whether any replica may have begun to run it.
-        last_event_id: Id of the last event handed on; empty before.
+        may_have_executed: Whether any replica may have begun to run the call.
+        last_event_id: Id of the last event forwarded; empty before that.
     """
 
     def __init__(self, call: Call, writer: ResponseWriter) -> None:
@@ -208,7 +209,7 @@
         self.last_event_id = ""
 
     def start(self, codec: HeaderCodec, exchange: Exchange) -> None:
-        """Sends the head, once: a continued stream keeps its first one."""
+        """Sends the head unless it was sent; a resumed stream keeps its own."""
         if self.has_started:
             return
         self.has_started = True
@@ -217,7 +218,7 @@
         )
 
     async def forward(self, events: list[Event]) -> None:
-        """Sends the events that the caller doesn't have yet."""
+        """Sends the events that the caller does not have yet."""
         fresh = [e for e in events if self._is_new(e)]
         if not fresh:
             return
--- a/libs/gateway/src/masticdale_gateway/transports.py
+++ b/libs/gateway/src/masticdale_gateway/transports.py
@@ -1,18 +1,18 @@
-"""A transport with write backpressure, shared by both directions."""
+"""Transport with write backpressure, for server and client connections."""
 
 import asyncio
 from typing import Any
 
 
 class ConnectionLostError(Exception):
-    """The other end closed or reset the connection."""
+    """The peer closed or reset the connection."""
 
 
 class TransportProtocol(asyncio.Protocol):
-    """Keeps the transport and lets a writer wait for the other end.
+    """Protocol that holds its transport and applies write backpressure.
 
     Attributes:
-        lost: Set once nothing can be read any more.
+        lost: Set once the connection is closed.
     """
 
     def __init__(self) -> None:
@@ -47,35 +47,35 @@
 
     @property
     def has_pending_writes(self) -> bool:
-        """Whether bytes wait for the other end to read."""
+        """Whether the write buffer is not empty."""
         return self.transport.get_write_buffer_size() > 0
 
     def write(self, data: bytes) -> None:
-        """Queues bytes.
+        """Appends bytes to the write buffer.
 
         Raises:
-            ConnectionLostError: Nobody can receive them.
+            ConnectionLostError: The connection is closed or closing.
         """
         if self.lost.is_set() or self.transport.is_closing():
             raise ConnectionLostError
         self.transport.write(data)
 
     async def drain(self) -> None:
-        """Waits until the other end has taken most of what was written.
+        """Waits until the write buffer is below its low-water mark.
 
         Raises:
-            ConnectionLostError: It never will.
+            ConnectionLostError: The connection is closed.
         """
         await self._writable.wait()
         if self.lost.is_set():
             raise ConnectionLostError
 
     def abort(self) -> None:
-        """Closes at once; the other end sees that something was cut off."""
+        """Closes immediately and discards the write buffer."""
         if self._transport is not None:
             self._transport.abort()
 
     def close(self) -> None:
-        """Closes after everything written has been sent."""
+        """Closes after the write buffer is flushed."""
         if self._transport is not None:
             self._transport.close()
--- a/libs/gateway/src/masticdale_gateway/unary.py
+++ b/libs/gateway/src/masticdale_gateway/unary.py
@@ -1,4 +1,4 @@
-"""Requests with one answer of known end: read content, then handed on."""
+"""Unary requests: the response is buffered whole, then forwarded."""
 
 import asyncio
 import dataclasses
@@ -17,18 +17,13 @@
 from masticdale_gateway.messages import ResponseHead
 from masticdale_routing.fleet import Fleet, ReplicaState
 
-# Any fresh connection will do for what may be repeated.
+# Retriable requests may use any connection that the pool still keeps.
 _RETRIABLE_MAX_IDLE_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BufferedResponse:
-    """A replica's answer, complete.
-
-    Attributes:
-        head: Status and headers.
-        body: The body.
-    """
+    """A complete response of a replica."""
 
     head: ResponseHead
     body: bytes
@@ -37,12 +32,12 @@
 def no_upstream_failure(
     call: Call, failure: SendFailure | None, retry_after_s: float
 ) -> Failure:
-    """Returns the refusal of a call that no replica has run.
+    """Returns the error for a call that no replica has run.
 
     Args:
         call: The call.
-        failure: The last failed send, if there was one.
-        retry_after_s: When to come back if the replica didn't say.
+        failure: The last failed send, if any.
+        retry_after_s: Delay before a retry if the replica named none.
     """
     requested_s = failure.retry_after_s if failure else None
     detail = failure.reason if failure else f"no replica of {call.service.name}"
@@ -54,10 +49,9 @@
 
 
 class UnaryRelay:
-    """Sends plain requests until one has run."""
+    """Sends unary requests, with retries on other replicas."""
 
-    # Full replicas of a plain service free a slot within some tens of
-    # milliseconds; half of them is worth asking again after this long.
+    # Full replicas of a unary service free a slot within tens of milliseconds.
     _RETRY_AFTER_S = 0.1
 
     def __init__(
@@ -68,7 +62,7 @@
         self._settings = settings
 
     async def run(self, call: Call) -> BufferedResponse | Failure:
-        """Returns a replica's content answer, or why there is none."""
+        """Returns a replica's complete response, or the failure."""
         excluded: set[str] = set()
         last: SendFailure | None = None
         possible_runs = 0
--- a/libs/gateway/src/masticdale_gateway/upstreams.py
+++ b/libs/gateway/src/masticdale_gateway/upstreams.py
@@ -1,4 +1,4 @@
-"""Connections to replicas: one exchange at a time, answers matched by id."""
+"""Client connections: one exchange at a time, responses matched by id."""
 
 import asyncio
 import collections
@@ -9,27 +9,27 @@
 from masticdale_gateway.messages import Headers, ResponseHead
 from masticdale_gateway.transports import ConnectionLostError, TransportProtocol
 
-# Chunks of an answer held for a slow caller before reading pauses. A chunk
-# is at most one read of the socket, 256 KiB in asyncio.
+# Parts of a response buffered for a slow caller before reading pauses. Each is
+# at most one socket read, 256 KiB in asyncio.
 _MAX_BUFFERED_ITEMS = 8
 
 ResponseMatcher = Callable[[ResponseHead], bool]
 
 
 class MalformedResponseError(Exception):
-    """The replica sent bytes that are no response."""
+    """The bytes received are not a valid response."""
 
 
 class UpstreamConnection(TransportProtocol):
     """One connection to a replica.
 
-    The answer is read as a sequence: its head, then parts of its body, then
-    its end. Anything that arrives when no answer is awaited belongs to no
-    request; the connection is then not used again.
+    A response is read as a sequence: its head, the chunks of its body, its
+    end. Bytes that arrive while no response is awaited belong to no request;
+    the connection is then not reused.
 
     Attributes:
-        idle_since: Loop seconds at which the last exchange ended.
-        keep_alive_s: How long the replica keeps it open when idle.
+        idle_since: End of the last exchange, in loop seconds.
+        keep_alive_s: The replica's keep-alive timeout; None if unspecified.
     """
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Whether the connection may carry another request."""
         return not (
             self._is_dirty
             or self._is_awaiting
@@ -67,7 +67,7 @@
         self._arrived.set()
 
     def eof_received(self) -> bool:
-        """See ``asyncio.Protocol``: an unframed body ends here, whole."""
+        """See ``asyncio.Protocol``; completes a close-delimited body."""
         if (
             self._is_close_delimited
             and self._is_awaiting
@@ -96,13 +96,13 @@
             self.abort()
 
     def send(self, data: bytes, matches: ResponseMatcher) -> None:
-        """Sends a whole request; the answer is then awaited.
+        """Sends a complete request; its response is then awaited.
 
         Args:
             data: The request's bytes.
-            matches: Tells whether a response answers this request. One that
-                doesn't is a late second answer to an earlier request: it is
-                skipped, and the connection is not used again.
+            matches: Returns whether a response belongs to this request. One
+                that doesn't is a late duplicate for an earlier request: it is
+                discarded, and the connection is not reused.
 
         Raises:
             ConnectionLostError: Nothing was sent.
@@ -115,8 +115,8 @@
         """Waits for the head of the next response.
 
         Raises:
-            ConnectionLostError: The connection ended before it.
-            MalformedResponseError: The bytes are no response.
+            ConnectionLostError: The connection closed before it arrived.
+            MalformedResponseError: The bytes are not a valid response.
         """
         while True:
             item = await self._next_item()
@@ -124,15 +124,15 @@
                 return item
 
     async def read_chunk(self) -> bytes | None:
-        """Waits for the next part of the body; None at its whole end.
+        """Waits for the next chunk of the body; None after the last one.
 
         Raises:
             ConnectionLostError: The body was cut off.
-            MalformedResponseError: The bytes are no response.
+            MalformedResponseError: The bytes are not a valid response.
         """
         item = await self._next_item()
         if isinstance(item, ResponseHead):
-            raise MalformedResponseError("a head inside a body")
+            raise MalformedResponseError("response head inside a body")
         return item
 
     async def _next_item(self) -> ResponseHead | bytes | None:
@@ -200,7 +200,8 @@
 
     def _put(self, item: ResponseHead | bytes | None) -> None:
         if not self._is_awaiting:
-            # A second answer in the same read as the end of the first.
+            # A second response arrived in the same read as the end of the
+            # first.
             self._is_dirty = True
             return
         self._items.append(item)
@@ -208,7 +209,7 @@
 
 
 def matches_any(head: ResponseHead) -> bool:
-    """Takes any response for an answer, for servers that echo no id."""
+    """Accepts any response, for servers that echo no request id."""
     del head
     return True
 
