--- a/apps/masticdale_entry/src/masticdale_entry/watched_state.py
+++ b/apps/masticdale_entry/src/masticdale_entry/watched_state.py
@@ -37,9 +37,9 @@
         del after_outage
         for stored in batch.changed:
             if stored.key == self._key:
-                self._take(stored.value, stored.version)
+                self._apply_value(stored.value, stored.version)
 
-    def _take(self, value: bytes, revision: int) -> None:
+    def _apply_value(self, value: bytes, revision: int) -> None:
         outcome = self._read(value)
         if isinstance(outcome, Failed):
             logs.write(
--- a/apps/masticdale_entry/tests/test_silent_store.py
+++ b/apps/masticdale_entry/tests/test_silent_store.py
@@ -28,7 +28,7 @@
         self.other_seed = await self.start_host(
             "other-seed", self.store.port, ports, ports[1]
         )
-        self.follower = await self.start_host(
+        self.other_host = await self.start_host(
             "follower", self.store.port, seeds=[self.seed.peers_port]
         )
         # Hosts claim shards at startup, and then only watch the store.
@@ -54,7 +54,7 @@
         routes = [route("/new/", "idempotent", "desk")]
         self.store.put("config", "main", configuration(3, routes))
         async with asyncio.timeout(IN_FORCE_S):
-            await self.wait_served(self.follower, "/new/")
+            await self.wait_served(self.other_host, "/new/")
 
     async def test_the_seed_reads_through_another_host(self):
         """Guards against the same failure at the seed itself."""
--- a/apps/masticdale_entry/tests/test_watched_state.py
+++ b/apps/masticdale_entry/tests/test_watched_state.py
@@ -177,22 +177,22 @@
         Entries that lapsed in the outage are kept for two seconds after it;
         those not renewed by then are removed.
         """
-        gone, back = self.unary_replicas
+        lapsed, renewed = self.unary_replicas
         self.store.faults.fault = StoreFault.BUSY
         await asyncio.sleep(0.4)
-        self.store.remove("servers", gone.id)
-        self.store.remove("servers", back.id)
+        self.store.remove("servers", lapsed.id)
+        self.store.remove("servers", renewed.id)
         response = await self.send(IDEMPOTENT, "during")
         self.assertEqual(response.status_code, 200)
         self.store.faults.fault = StoreFault.NONE
         await asyncio.sleep(1.2)
         response = await self.send(IDEMPOTENT, "after")
         self.assertEqual(response.status_code, 200)
-        self.store.put("servers", back.id, back.entry())
+        self.store.put("servers", renewed.id, renewed.entry())
         await asyncio.sleep(2.6)
         ids = self.host.entry.replica_ids
-        self.assertIn(back.id, ids)
-        self.assertNotIn(gone.id, ids)
+        self.assertIn(renewed.id, ids)
+        self.assertNotIn(lapsed.id, ids)
 
 
 if __name__ == "__main__":
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -65,7 +65,7 @@
 
 
 def go_back_to_old_configurations():
-    take = ActiveConfiguration._take
+    take = ActiveConfiguration._apply_value
     old = []
 
     def remember(self, value, revision):
@@ -74,11 +74,11 @@
         loop = asyncio.get_running_loop()
         loop.call_later(1.0, setattr, self, "_current", old[0])
 
-    ActiveConfiguration._take = remember
+    ActiveConfiguration._apply_value = remember
 
 
 def take_changes_late():
-    take = ActiveConfiguration._take
+    take = ActiveConfiguration._apply_value
 
     def later(self, value, revision):
         if self.current is None:
@@ -87,7 +87,7 @@
         loop = asyncio.get_running_loop()
         loop.call_later(4.0, take, self, value, revision)
 
-    ActiveConfiguration._take = later
+    ActiveConfiguration._apply_value = later
 
 
 def ignore_drains():
