--- a/libs/routing/src/masticdale_routing/placement.py
+++ b/libs/routing/src/masticdale_routing/placement.py
@@ -34,7 +34,7 @@
     """
 
     replica: str
-    domain: str
+    failure_domain: str
     expected_wait_s: float = 0.0
     cached_tokens: int = 0
     prefill_tokens_per_s: float = 10_000.0
@@ -242,7 +242,7 @@
     """
 
     replica: str
-    domain: str
+    failure_domain: str
 
 
 def choose_probes(
@@ -263,7 +263,9 @@
         excluded: Replicas not to ask.
     """
     domain_by_replica = {
-        x.replica: x.domain for x in locations if x.replica not in excluded
+        x.replica: x.failure_domain
+        for x in locations
+        if x.replica not in excluded
     }
     ranked = hashing.rank(key, domain_by_replica)
     first_of_domain: list[str] = []
--- a/libs/routing/tests/test_placement.py
+++ b/libs/routing/tests/test_placement.py
@@ -116,7 +116,9 @@
     @given(st.text(max_size=8), st.integers(1, 6))
     def test_probes_are_spread_over_failure_domains(self, key, count):
         probes = choose_probes(key, self.LOCATIONS, count)
-        domains = {x.domain for x in self.LOCATIONS if x.replica in probes}
+        domains = {
+            x.failure_domain for x in self.LOCATIONS if x.replica in probes
+        }
         self.assertEqual(len(set(probes)), count)
         self.assertEqual(len(domains), min(4, count))
 
