--- a/libs/gateway/src/masticdale_gateway/pools.py
+++ b/libs/gateway/src/masticdale_gateway/pools.py
@@ -98,7 +98,7 @@
 
 
 def _key(replica: Replica) -> _Key:
-    return (replica.id, replica.host, replica.port, replica.born_ms)
+    return (replica.id, replica.host, replica.port, replica.started_at_ms)
 
 
 def _is_fresh(connection: UpstreamConnection, now: float) -> bool:
--- a/libs/routing/src/masticdale_routing/fleet.py
+++ b/libs/routing/src/masticdale_routing/fleet.py
@@ -51,8 +51,8 @@
     failure_domain: str
     slots: int
     is_draining: bool
-    cold_ms: float = 0.0
-    born_ms: int = 0
+    warmup_remaining_ms: float = 0.0
+    started_at_ms: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -95,7 +95,9 @@
         if self._load is not None and now - self._load.at < _LOAD_FRESH_S:
             busy = max(busy, self._load.running + self._load.waiting)
         share = busy / max(1, self.replica.slots)
-        return share + (_COLD_PENALTY if self.replica.cold_ms > 0 else 0)
+        return share + (
+            _COLD_PENALTY if self.replica.warmup_remaining_ms > 0 else 0
+        )
 
 
 class Fleet:
@@ -211,7 +213,7 @@
 
 
 def _is_restarted(old: Replica, new: Replica) -> bool:
-    return old.born_ms != new.born_ms or (old.host, old.port) != (
+    return old.started_at_ms != new.started_at_ms or (old.host, old.port) != (
         new.host,
         new.port,
     )
--- a/libs/routing/tests/test_fleet.py
+++ b/libs/routing/tests/test_fleet.py
@@ -109,15 +109,15 @@
         self.assertEqual(fleet.choose("engine", None, 9.0).replica.id, "near")
 
     def test_a_restart_under_the_same_id_clears_what_was_learned(self):
-        fleet = fleet_of(replica("r1", born_ms=1))
+        fleet = fleet_of(replica("r1", started_at_ms=1))
         before = next(iter(fleet.states()))
-        fleet.put(replica("r1", born_ms=2))
+        fleet.put(replica("r1", started_at_ms=2))
         self.assertIsNot(next(iter(fleet.states())), before)
 
     def test_a_changed_entry_keeps_what_was_learned(self):
-        fleet = fleet_of(replica("r1", born_ms=1))
+        fleet = fleet_of(replica("r1", started_at_ms=1))
         before = next(iter(fleet.states()))
-        fleet.put(replica("r1", born_ms=1, is_draining=True))
+        fleet.put(replica("r1", started_at_ms=1, is_draining=True))
         self.assertIs(next(iter(fleet.states())), before)
 
 
