--- a/libs/routing/src/masticdale_routing/fleet.py
+++ b/libs/routing/src/masticdale_routing/fleet.py
@@ -19,12 +19,12 @@
 # A replica that still warms up counts as this much busier, as a share.
 _COLD_PENALTY = 0.5
 # Reported load older than this says nothing about now, in seconds.
-_LOAD_FRESH_S = 0.5
+_LOAD_REPORT_MAX_AGE_S = 0.5
 # A replica that failed several calls in a row is left out for half a second,
 # then tried with one call; doubles to four seconds. Short against the time in
 # which a restarted replica is back.
-_CIRCUIT = CircuitBreakerSettings(
-    failures_to_open=2, first_open_s=0.5, longest_open_s=4.0
+_CIRCUIT_SETTINGS = CircuitBreakerSettings(
+    failures_to_open=2, initial_open_s=0.5, max_open_s=4.0
 )
 
 
@@ -82,17 +82,20 @@
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
         self.in_flight = 0
-        self.circuit = CircuitBreaker(_CIRCUIT)
+        self.circuit = CircuitBreaker(_CIRCUIT_SETTINGS)
         self._load: ReportedLoad | None = None
 
     def record_load(self, load: ReportedLoad) -> None:
         """Takes what an answer said of the replica's load."""
         self._load = load
 
-    def busy_share(self, now: float) -> float:
+    def utilization(self, now: float) -> float:
         """Returns the share of its slots that are taken, as far as known."""
         busy = self.in_flight
-        if self._load is not None and now - self._load.at < _LOAD_FRESH_S:
+        if (
+            self._load is not None
+            and now - self._load.at < _LOAD_REPORT_MAX_AGE_S
+        ):
             busy = max(busy, self._load.running + self._load.waiting)
         share = busy / max(1, self.replica.slots)
         return share + (
@@ -131,22 +134,22 @@
             self._state_by_id[replica.id] = ReplicaState(replica)
         else:
             state.replica = replica
-        self._index()
+        self._rebuild_index()
 
     def remove(self, replica_id: str) -> None:
         """Forgets a replica."""
         if self._state_by_id.pop(replica_id, None) is not None:
-            self._index()
+            self._rebuild_index()
 
     def usable(
         self, service: str, excluded: Iterable[str] = ()
     ) -> list[ReplicaState]:
         """Returns the replicas that may be sent new work."""
-        barred = set(excluded)
+        excluded_ids = set(excluded)
         states = [
             self._state_by_id[i]
             for i in self._ids_by_service.get(service, ())
-            if i not in barred
+            if i not in excluded_ids
         ]
         return [s for s in states if not s.replica.is_draining]
 
@@ -173,39 +176,39 @@
         states = self.usable(service, excluded)
         # If every replica fails, leaving all of them out would refuse what
         # some of them may serve: then failures are not looked at.
-        sound = [s for s in states if s.circuit.allows(now)] or states
-        if not sound:
+        healthy = [s for s in states if s.circuit.allows(now)] or states
+        if not healthy:
             return None
         if key is None:
-            return self._least_busy(sound, now)
-        return self._by_key(sound, key, now)
+            return self._choose_least_utilized(healthy, now)
+        return self._choose_by_key(healthy, key, now)
 
-    def _by_key(
+    def _choose_by_key(
         self, states: list[ReplicaState], key: str, now: float
     ) -> ReplicaState:
         state_by_id = {s.replica.id: s for s in states}
         ranked = hashing.rank(key, state_by_id)
         first = state_by_id[ranked[0]]
-        if len(ranked) == 1 or first.busy_share(now) < _SPILL_SHARE:
+        if len(ranked) == 1 or first.utilization(now) < _SPILL_SHARE:
             return first
         second = state_by_id[ranked[1]]
-        if second.busy_share(now) + _SPILL_SHARE / 2 < first.busy_share(now):
+        if second.utilization(now) + _SPILL_SHARE / 2 < first.utilization(now):
             return second
         return first
 
-    def _least_busy(
+    def _choose_least_utilized(
         self, states: list[ReplicaState], now: float
     ) -> ReplicaState:
         def cost(state: ReplicaState) -> float:
-            here = state.replica.failure_domain == self._failure_domain
-            return state.busy_share(now) + (
-                0.0 if here else _OTHER_DOMAIN_PENALTY
+            is_local = state.replica.failure_domain == self._failure_domain
+            return state.utilization(now) + (
+                0.0 if is_local else _OTHER_DOMAIN_PENALTY
             )
 
         order = self._random.sample(states, len(states))
         return min(order, key=cost)
 
-    def _index(self) -> None:
+    def _rebuild_index(self) -> None:
         self._ids_by_service = {}
         for replica_id, state in sorted(self._state_by_id.items()):
             service = state.replica.service
--- a/libs/routing/src/masticdale_routing/retries.py
+++ b/libs/routing/src/masticdale_routing/retries.py
@@ -144,8 +144,8 @@
     """
 
     failures_to_open: int = 3
-    first_open_s: float = 1.0
-    longest_open_s: float = 30.0
+    initial_open_s: float = 1.0
+    max_open_s: float = 30.0
 
 
 class CircuitBreaker:
@@ -154,7 +154,7 @@
     def __init__(self, settings: CircuitBreakerSettings | None = None) -> None:
         self._settings = settings or CircuitBreakerSettings()
         self._failures = 0
-        self._open_s = self._settings.first_open_s
+        self._open_s = self._settings.initial_open_s
         self._open_until: float | None = None
         self._probe_until: float | None = None
 
@@ -191,7 +191,7 @@
     def record_success(self) -> None:
         """Notes a call that the replica served."""
         self._failures = 0
-        self._open_s = self._settings.first_open_s
+        self._open_s = self._settings.initial_open_s
         self._open_until = None
         self._probe_until = None
 
@@ -210,4 +210,4 @@
 
     def _open(self, now: float) -> None:
         self._open_until = now + self._open_s
-        self._open_s = min(self._settings.longest_open_s, 2 * self._open_s)
+        self._open_s = min(self._settings.max_open_s, 2 * self._open_s)
