--- a/libs/routing/src/masticdale_routing/retries.py
+++ b/libs/routing/src/masticdale_routing/retries.py
@@ -26,7 +26,7 @@
         base_delay_s: Delay before the first retry; doubles each time.
     """
 
-    share: float = 0.1
+    retry_ratio: float = 0.1
     burst: float = 10.0
     max_attempts: int = 3
     base_delay_s: float = 0.05
@@ -45,16 +45,16 @@
         return self._settings
 
     @property
-    def left(self) -> float:
+    def available(self) -> float:
         """Retries that may be sent at present."""
         return self._tokens
 
     def record_first_attempt(self) -> None:
         """Notes the first send of a call."""
         settings = self._settings
-        self._tokens = min(settings.burst, self._tokens + settings.share)
+        self._tokens = min(settings.burst, self._tokens + settings.retry_ratio)
 
-    def spend(self) -> bool:
+    def try_acquire(self) -> bool:
         """Takes one retry; False when none is left."""
         if self._tokens < 1:
             return False
@@ -120,7 +120,7 @@
     delay_s = settings.base_delay_s * 2 ** (attempt.attempts - 1)
     if now + delay_s >= attempt.deadline_at:
         return GiveUp(attempt.failure)
-    if not budget.spend():
+    if not budget.try_acquire():
         return GiveUp(attempt.failure)
     return RetryAfter(delay_s)
 
@@ -153,7 +153,7 @@
 
     def __init__(self, settings: CircuitBreakerSettings | None = None) -> None:
         self._settings = settings or CircuitBreakerSettings()
-        self._failures = 0
+        self._consecutive_failures = 0
         self._open_s = self._settings.initial_open_s
         self._open_until: float | None = None
         self._probe_until: float | None = None
@@ -190,7 +190,7 @@
 
     def record_success(self) -> None:
         """Notes a call that the replica served."""
-        self._failures = 0
+        self._consecutive_failures = 0
         self._open_s = self._settings.initial_open_s
         self._open_until = None
         self._probe_until = None
@@ -198,14 +198,14 @@
     def record_failure(self, now: float) -> None:
         """Notes a call that failed for the replica's sake."""
         state = self.state(now)
-        self._failures += 1
+        self._consecutive_failures += 1
         self._probe_until = None
         if state is CircuitState.OPEN:
             return
         if state is CircuitState.HALF_OPEN:
             self._open(now)
             return
-        if self._failures >= self._settings.failures_to_open:
+        if self._consecutive_failures >= self._settings.failures_to_open:
             self._open(now)
 
     def _open(self, now: float) -> None:
--- a/libs/routing/tests/test_retries.py
+++ b/libs/routing/tests/test_retries.py
@@ -30,7 +30,7 @@
         However sends and failures mix, retries never pass the burst plus a
         tenth of the first sends, so they cannot multiply the load.
         """
-        budget = RetryBudget(RetrySettings(share=0.1, burst=5.0))
+        budget = RetryBudget(RetrySettings(retry_ratio=0.1, burst=5.0))
         retries = 0
         for is_failed in failed_sends:
             budget.record_first_attempt()
@@ -50,7 +50,7 @@
         ):
             decision = decide_retry(attempt, budget, 0.0)
             self.assertEqual(decision, GiveUp(attempt.failure))
-        self.assertEqual(budget.left, 10.0)
+        self.assertEqual(budget.available, 10.0)
 
 
 class CircuitTest(unittest.TestCase):
