--- a/libs/routing/src/masticdale_routing/limits.py
+++ b/libs/routing/src/masticdale_routing/limits.py
@@ -45,7 +45,7 @@
     concurrent_turns: int
     turns_per_s: float
     burst: float
-    other_host: str = ""
+    redirect_host: str = ""
 
 
 def split_share(
@@ -83,16 +83,16 @@
         self._rate = rate
         self._burst = burst
         self._tokens = burst
-        self._at = now
+        self._updated_at = now
 
-    def change(self, rate: float, burst: float, now: float) -> None:
+    def update_rate(self, rate: float, burst: float, now: float) -> None:
         """Sets another rate and burst; what is saved up stays bounded."""
         self._refill(now)
         self._rate = rate
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
-    def spend(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Takes one token; False when none is left."""
         self._refill(now)
         if self._tokens < 1:
@@ -106,9 +106,9 @@
         return max(0.0, 1 - self._tokens) / max(_MIN_RATE, self._rate)
 
     def _refill(self, now: float) -> None:
-        added = max(0.0, now - self._at) * self._rate
+        added = max(0.0, now - self._updated_at) * self._rate
         self._tokens = min(self._burst, self._tokens + added)
-        self._at = max(self._at, now)
+        self._updated_at = max(self._updated_at, now)
 
 
 class HostShareLimiter:
@@ -127,7 +127,7 @@
     def update_share(self, share: HostShare, now: float) -> None:
         """Sets another share, after hosts came or left."""
         self._share = share
-        self._bucket.change(share.turns_per_s, share.burst, now)
+        self._bucket.update_rate(share.turns_per_s, share.burst, now)
 
     def begin(self, turn_id: str, now: float) -> Result[None, Failure]:
         """Begins a turn; idempotent by its id.
@@ -144,7 +144,7 @@
             return Success(None)
         if len(self._active) >= self._share.concurrent_turns:
             return Failed(self._refusal(_CONCURRENCY_RETRY_MS))
-        if not self._bucket.spend(now):
+        if not self._bucket.try_acquire(now):
             wait_ms = int(1000 * self._bucket.wait_s(now)) + 1
             return Failed(self._refusal(wait_ms))
         self._active.add(turn_id)
@@ -158,5 +158,5 @@
         return Failure(
             ErrorKind.LIMIT_REACHED,
             retry_after_ms=retry_ms,
-            host=self._share.other_host,
+            host=self._share.redirect_host,
         )
--- a/libs/routing/tests/test_limits.py
+++ b/libs/routing/tests/test_limits.py
@@ -30,7 +30,7 @@
             self.assertAlmostEqual(rate, 18.0)
         for share in shares:
             has_none = share.concurrent_turns == 0
-            self.assertEqual(bool(share.other_host), has_none)
+            self.assertEqual(bool(share.redirect_host), has_none)
 
 
 class GateTest(unittest.TestCase):
