--- a/libs/routing/src/masticdale_routing/evictions.py
+++ b/libs/routing/src/masticdale_routing/evictions.py
@@ -8,17 +8,17 @@
 
     def __init__(self) -> None:
         self._tokens = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def record_evicted(self, tokens: int, now: float) -> None:
         """Notes evicted tokens."""
-        self._tokens = self._remembered(now) + tokens
-        self._at = now
+        self._tokens = self._decayed_tokens(now) + tokens
+        self._updated_at = now
 
     def tokens_per_s(self, now: float) -> float:
         """Returns the present rate."""
-        return self._remembered(now) / _WINDOW_S
+        return self._decayed_tokens(now) / _WINDOW_S
 
-    def _remembered(self, now: float) -> float:
-        passed = now - self._at
-        return self._tokens * max(0.0, 1 - passed / (2 * _WINDOW_S))
+    def _decayed_tokens(self, now: float) -> float:
+        elapsed_s = now - self._updated_at
+        return self._tokens * max(0.0, 1 - elapsed_s / (2 * _WINDOW_S))
--- a/libs/routing/src/masticdale_routing/inflight.py
+++ b/libs/routing/src/masticdale_routing/inflight.py
@@ -8,11 +8,11 @@
 _MIN_LIMIT = 1.0
 _BEST_DECAY = 0.999
 _SMOOTHING = 0.1
-_LEAST_SHARE_OF_INITIAL = 0.5
-_DECREASE = 0.9
+_MIN_SHARE_OF_INITIAL = 0.5
+_DECREASE_FACTOR = 0.9
 _CEILING_HOLD_S = 30.0
-_REPORT_LIFE_S = 10.0
-_RECENT_LIMIT = 512
+_REPORT_MAX_AGE_S = 10.0
+_MAX_RECENT_CALLS = 512
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
     initial: int = 8
     maximum: int = 256
-    least_speed_share: float = 0.4
+    min_speed_share: float = 0.4
 
 
 class InFlightLimit:
@@ -44,24 +44,22 @@
         self._limit = float(settings.initial)
         self._ceiling = float(settings.maximum)
         self._ceiling_until = 0.0
-        self._floor = max(
-            _MIN_LIMIT, settings.initial * _LEAST_SHARE_OF_INITIAL
-        )
+        self._floor = max(_MIN_LIMIT, settings.initial * _MIN_SHARE_OF_INITIAL)
         self._speed = 0.0
         self._best_speed = 0.0
-        self._finishes_to_next_decrease = 0
+        self._finishes_until_decrease = 0
 
     @property
     def limit(self) -> int:
         """Calls that may be in flight."""
         return int(self._limit)
 
-    def finished(self, speed: float, full: bool, now: float) -> None:
+    def record_finished(self, speed: float, at_limit: bool, now: float) -> None:
         """Learns from a finished call.
 
         Args:
             speed: The call's decode speed.
-            full: Whether the limit was reached while it ran.
+            at_limit: Whether the limit was reached while it ran.
             now: Present time.
         """
         # The mean, not single calls: one short answer measured as ten times
@@ -71,11 +69,11 @@
         else:
             self._speed = speed
         self._best_speed = max(self._speed, self._best_speed * _BEST_DECAY)
-        self._finishes_to_next_decrease -= 1
+        self._finishes_until_decrease -= 1
         # Calls slow below the limit are not slow because of it.
-        if not full:
+        if not at_limit:
             return
-        if self._speed < self._best_speed * self._settings.least_speed_share:
+        if self._speed < self._best_speed * self._settings.min_speed_share:
             self._decrease()
             return
         maximum = float(self._settings.maximum)
@@ -83,7 +81,7 @@
             maximum = self._ceiling
         self._limit = min(maximum, self._limit + 1 / self._limit)
 
-    def observed(self, observation: LoadObservation, now: float) -> None:
+    def record_load(self, observation: LoadObservation, now: float) -> None:
         """Learns from a load report."""
         if observation.waiting <= 0 or observation.running <= 0:
             return
@@ -94,12 +92,12 @@
     def _decrease(self) -> None:
         # The calls that ran together all report the same low speed; reacting
         # to each would collapse the limit, so one batch counts once.
-        if self._finishes_to_next_decrease > 0:
+        if self._finishes_until_decrease > 0:
             return
-        self._finishes_to_next_decrease = self.limit
+        self._finishes_until_decrease = self.limit
         # Never below half of what the declaration says: a limit of 1 learnt
         # from noise sees no batch any more and could not learn better.
-        self._limit = max(self._floor, self._limit * _DECREASE)
+        self._limit = max(self._floor, self._limit * _DECREASE_FACTOR)
 
 
 class ForeignLoad:
@@ -112,16 +110,16 @@
 
     def __init__(self) -> None:
         self._recent: collections.deque[tuple[float, float]] = (
-            collections.deque(maxlen=_RECENT_LIMIT)
+            collections.deque(maxlen=_MAX_RECENT_CALLS)
         )
         self._foreign = 0
         self._valid_until = 0.0
 
-    def finished(self, granted_at: float, now: float) -> None:
+    def record_finished(self, granted_at: float, now: float) -> None:
         """Notes a call of ours that ended."""
         self._recent.append((granted_at, now))
 
-    def observed(
+    def record_load(
         self, observation: LoadObservation, granted_at: list[float], now: float
     ) -> None:
         """Compares a load report with our own calls at its time.
@@ -131,12 +129,14 @@
             granted_at: Grant times of our calls in flight now.
             now: Present time.
         """
-        then = observation.observed_at
-        ours = sum(1 for at in granted_at if at <= then)
-        ours += sum(1 for at, end in self._recent if at <= then < end)
+        observed_at = observation.observed_at
+        own_calls = sum(1 for at in granted_at if at <= observed_at)
+        own_calls += sum(
+            1 for at, end in self._recent if at <= observed_at < end
+        )
         reported = observation.running + observation.waiting
-        self._foreign = max(0, reported - ours)
-        self._valid_until = now + _REPORT_LIFE_S
+        self._foreign = max(0, reported - own_calls)
+        self._valid_until = now + _REPORT_MAX_AGE_S
 
     def count(self, now: float) -> int:
         """Returns the foreign calls, 0 once the last report is too old."""
--- a/libs/routing/src/masticdale_routing/queues.py
+++ b/libs/routing/src/masticdale_routing/queues.py
@@ -154,7 +154,7 @@
             return
         speed = self.speed.decode_speed(result)
         if speed is not None and not result.crashed:
-            self._limit.finished(speed, full, now)
+            self._limit.record_finished(speed, full, now)
         self.speed.observe(result)
 
     def take_granted(self, now: float) -> list[Ticket]:
@@ -214,8 +214,8 @@
             now: Present time.
         """
         granted_at = [r.granted_at for r in self._running_by_id.values()]
-        self._foreign.observed(observation, granted_at, now)
-        self._limit.observed(observation, now)
+        self._foreign.record_load(observation, granted_at, now)
+        self._limit.record_load(observation, now)
 
     def expected_wait_s(self, ticket: Ticket, now: float) -> float:
         """Returns the expected wait of a ticket, for probes too.
@@ -308,7 +308,7 @@
         if running is None:
             return None
         self._running_by_deadline.discard(ticket_id)
-        self._foreign.finished(running.granted_at, now)
+        self._foreign.record_finished(running.granted_at, now)
         return running
 
     def _expire(self, now: float) -> None:
--- a/libs/routing/tests/test_inflight.py
+++ b/libs/routing/tests/test_inflight.py
@@ -11,24 +11,24 @@
         # One short call looked ten times as fast as all others; each later
         # call then counted as slow and took the limit down to 1.
         limit = InFlightLimit(InFlightSettings(initial=8))
-        limit.finished(5000.0, full=False, now=0.0)
+        limit.record_finished(5000.0, at_limit=False, now=0.0)
         for number in range(200):
-            limit.finished(500.0, full=False, now=float(number))
+            limit.record_finished(500.0, at_limit=False, now=float(number))
         self.assertEqual(limit.limit, 8)
 
     def test_noise_under_load_leaves_half_of_the_declared_slots(self):
         limit = InFlightLimit(InFlightSettings(initial=8))
         for number in range(500):
             speed = 5000.0 if number % 50 == 0 else 500.0
-            limit.finished(speed, full=True, now=float(number))
+            limit.record_finished(speed, at_limit=True, now=float(number))
         self.assertGreaterEqual(limit.limit, 4)
 
     def test_a_batch_too_large_lowers_the_limit(self):
         limit = InFlightLimit(InFlightSettings(initial=32))
         for number in range(100):
-            limit.finished(100.0, full=False, now=float(number))
+            limit.record_finished(100.0, at_limit=False, now=float(number))
         for number in range(200):
-            limit.finished(20.0, full=True, now=float(number))
+            limit.record_finished(20.0, at_limit=True, now=float(number))
         self.assertLess(limit.limit, 20)
 
 
