--- a/libs/routing/src/masticdale_routing/pauses.py
+++ b/libs/routing/src/masticdale_routing/pauses.py
@@ -7,7 +7,7 @@
 _SAMPLES = 64
 _MAX_KEYS = 2_000
 _DEFAULT_PAUSE_S = 10.0
-_NEVER_S = 1e9
+_UNBOUNDED_S = 1e9
 
 
 class PauseAction(enum.StrEnum):
@@ -47,7 +47,7 @@
         reuse_share: Share of evicted tokens that are asked for again.
     """
 
-    residence_s: float = _NEVER_S
+    residence_s: float = _UNBOUNDED_S
     prefill_tokens_per_s: float = 10_000.0
     export_tokens_per_s: float = 0.0
     reuse_share: float = 1.0
@@ -112,7 +112,7 @@
         samples.lengths_s.append(pause_s)
         samples.returned.append(True)
 
-    def observe_lost(self, key: PauseKey) -> None:
+    def observe_abandoned(self, key: PauseKey) -> None:
         """Learns from a program that never returned from its tool."""
         self._samples(key).returned.append(False)
 
@@ -145,19 +145,25 @@
         return_share = samples.return_share() if samples else 1.0
         remaining_s = self.expected_remaining_s(key, elapsed_s)
         recompute_s = tokens / pressure.prefill_tokens_per_s
-        displaced = min(1.0, remaining_s / pressure.residence_s)
+        displaced_share = min(1.0, remaining_s / pressure.residence_s)
         release_s = recompute_s * return_share
         # A pause that outlasts the residence costs twice: others are evicted
         # for the prefix, and it is evicted itself before its program returns.
-        keep_s = displaced * (recompute_s * pressure.reuse_share + release_s)
-        copy_s = export_s = _NEVER_S
+        keep_s = displaced_share * (
+            recompute_s * pressure.reuse_share + release_s
+        )
+        copy_s = export_s = _UNBOUNDED_S
         if pressure.export_tokens_per_s > 0:
-            fresh = max(0, tokens - exported_tokens)
-            out_s = fresh / pressure.export_tokens_per_s
-            back_s = return_share * tokens / pressure.export_tokens_per_s
-            others_s = recompute_s * pressure.reuse_share
-            copy_s = out_s + displaced * (others_s + back_s)
-            export_s = out_s + back_s
+            unexported_tokens = max(0, tokens - exported_tokens)
+            transfer_out_s = unexported_tokens / pressure.export_tokens_per_s
+            transfer_back_s = (
+                return_share * tokens / pressure.export_tokens_per_s
+            )
+            displacement_s = recompute_s * pressure.reuse_share
+            copy_s = transfer_out_s + displaced_share * (
+                displacement_s + transfer_back_s
+            )
+            export_s = transfer_out_s + transfer_back_s
         action = min(
             (keep_s, 0, PauseAction.KEEP),
             (copy_s, 1, PauseAction.COPY),
--- a/libs/routing/src/masticdale_routing/placement.py
+++ b/libs/routing/src/masticdale_routing/placement.py
@@ -85,7 +85,7 @@
         turn: Number of calls placed so far.
     """
 
-    turn: int = 0
+    placed_count: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -171,8 +171,8 @@
     _request: PlacementRequest,
     candidates: Sequence[Candidate],
 ) -> Candidate:
-    policy.turn += 1
-    return candidates[policy.turn % len(candidates)]
+    policy.placed_count += 1
+    return candidates[policy.placed_count % len(candidates)]
 
 
 @_choose.register
@@ -190,7 +190,7 @@
     request: PlacementRequest,
     candidates: Sequence[Candidate],
 ) -> Candidate:
-    last = _find(request.last_replica, candidates)
+    last = _find_candidate(request.last_replica, candidates)
     if last is not None:
         return last
     return min(candidates, key=lambda c: c.in_flight)
@@ -203,12 +203,12 @@
     candidates: Sequence[Candidate],
 ) -> Candidate:
     cheapest = _cheapest(policy, request, candidates)
-    last = _find(request.last_replica, candidates)
+    last = _find_candidate(request.last_replica, candidates)
     if last is None or last is cheapest:
         return cheapest
-    staying_s = cost_s(request, last)
-    saved_s = staying_s - cost_s(request, cheapest)
-    if saved_s > policy.margin_s + policy.margin_share * staying_s:
+    stay_cost_s = cost_s(request, last)
+    saved_s = stay_cost_s - cost_s(request, cheapest)
+    if saved_s > policy.margin_s + policy.margin_share * stay_cost_s:
         return cheapest
     return last
 
@@ -226,7 +226,9 @@
     )
 
 
-def _find(replica: str, candidates: Sequence[Candidate]) -> Candidate | None:
+def _find_candidate(
+    replica: str, candidates: Sequence[Candidate]
+) -> Candidate | None:
     if not replica:
         return None
     return next((c for c in candidates if c.replica == replica), None)
--- a/libs/routing/tests/test_prefixes.py
+++ b/libs/routing/tests/test_prefixes.py
@@ -132,7 +132,7 @@
         model = PauseModel()
         key = PauseKey("dossier", "sign")
         for _ in range(40):
-            model.observe_lost(key)
+            model.observe_abandoned(key)
         decision = model.decide(
             key, 8_000, 100.0, CachePressure(residence_s=60.0)
         )
