--- a/libs/routing/src/masticdale_routing/prefixes.py
+++ b/libs/routing/src/masticdale_routing/prefixes.py
@@ -8,7 +8,7 @@
 import dataclasses
 
 _DEFAULT_MAX_BRANCHES = 50_000
-_GAP_TRUST = 0.7
+_GAP_DISCOUNT = 0.7
 _EVENT_LAG_S = 2.0
 
 
@@ -47,10 +47,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Held:
+class _CachedPrefix:
     tokens: int
     template: str
-    gaps_when_confirmed: int
+    gaps_at_confirmation: int
     used_at: float
 
 
@@ -67,11 +67,11 @@
         max_branches: int = _DEFAULT_MAX_BRANCHES,
     ) -> None:
         self.capacity_tokens = 0
-        self._interval = max(1, restore_interval)
+        self._restore_interval = max(1, restore_interval)
         self._max_branches = max_branches
-        self._held_by_branch: collections.OrderedDict[BranchKey, _Held] = (
-            collections.OrderedDict()
-        )
+        self._prefix_by_branch: collections.OrderedDict[
+            BranchKey, _CachedPrefix
+        ] = collections.OrderedDict()
         self._branches_by_program: dict[str, set[BranchKey]] = {}
         self._tokens_by_template: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
@@ -85,7 +85,7 @@
         return self._held_tokens
 
     def __len__(self) -> int:
-        return len(self._held_by_branch)
+        return len(self._prefix_by_branch)
 
     def cached_tokens(self, request: PrefixRequest) -> int:
         """Returns the prompt tokens expected to come from the cache.
@@ -96,18 +96,22 @@
         Args:
             request: The prompt.
         """
-        best = self._trusted(request.branch)
+        best = self._expected_tokens(request.branch)
         if request.parent is not None:
-            parent = min(request.parent_tokens, self._trusted(request.parent))
+            parent = min(
+                request.parent_tokens, self._expected_tokens(request.parent)
+            )
             best = max(best, parent)
         template = self._tokens_by_template.get(request.template, 0)
         best = max(best, min(template, request.template_tokens))
         best = min(best, max(0, request.prompt_tokens - 1))
-        return best - best % self._interval
+        return best - best % self._restore_interval
 
     def record_sent(self, request: PrefixRequest, now: float) -> None:
         """Notes a prompt sent to the replica."""
-        self._hold(request.branch, request.prompt_tokens, request.template, now)
+        self._store(
+            request.branch, request.prompt_tokens, request.template, now
+        )
         if request.template:
             self._tokens_by_template[request.template] = request.template_tokens
             self._tokens_by_template.move_to_end(request.template)
@@ -118,15 +122,15 @@
         self, branch: BranchKey, tokens: int, now: float
     ) -> None:
         """Notes the whole context, answer included, after a call's end."""
-        held = self._held_by_branch.get(branch)
+        held = self._prefix_by_branch.get(branch)
         template = held.template if held else ""
-        self._hold(branch, tokens, template, now)
+        self._store(branch, tokens, template, now)
 
     def record_stored(self, branch: BranchKey, tokens: int, now: float) -> None:
         """Applies an event: the engine holds a prefix."""
-        held = self._held_by_branch.get(branch)
+        held = self._prefix_by_branch.get(branch)
         if held is None:
-            self._hold(branch, tokens, "", now)
+            self._store(branch, tokens, "", now)
             return
         # Events are late: one that tells of an earlier call must not shrink
         # what a later call has left there.
@@ -134,21 +138,21 @@
             return
         self._held_tokens += tokens - held.tokens
         held.tokens = tokens
-        held.gaps_when_confirmed = self._gaps
+        held.gaps_at_confirmation = self._gaps
 
     def record_evicted(
         self, branch: BranchKey, tokens: int, now: float
     ) -> None:
         """Applies an event: a prefix shrank to some tokens, 0 for all."""
-        held = self._held_by_branch.get(branch)
+        held = self._prefix_by_branch.get(branch)
         if held is None or self._is_recent(held, now):
             return
         if tokens <= 0:
-            self._forget(branch)
+            self._remove(branch)
             return
         self._held_tokens += tokens - held.tokens
         held.tokens = tokens
-        held.gaps_when_confirmed = self._gaps
+        held.gaps_at_confirmation = self._gaps
 
     def record_event_gap(self) -> None:
         """Notes that cache events were lost."""
@@ -157,52 +161,54 @@
     def remove_program(self, program_id: str) -> None:
         """Forgets all branches of a program."""
         for branch in list(self._branches_by_program.get(program_id, ())):
-            self._forget(branch)
+            self._remove(branch)
 
     def clear(self) -> None:
         """Forgets everything: the replica lost its memory."""
-        self._held_by_branch.clear()
+        self._prefix_by_branch.clear()
         self._branches_by_program.clear()
         self._tokens_by_template.clear()
         self._held_tokens = 0
 
-    def _is_recent(self, held: _Held, now: float) -> bool:
+    def _is_recent(self, held: _CachedPrefix, now: float) -> bool:
         return now - held.used_at < _EVENT_LAG_S
 
-    def _trusted(self, branch: BranchKey) -> int:
-        held = self._held_by_branch.get(branch)
+    def _expected_tokens(self, branch: BranchKey) -> int:
+        held = self._prefix_by_branch.get(branch)
         if held is None:
             return 0
-        missed = self._gaps - held.gaps_when_confirmed
-        return int(held.tokens * _GAP_TRUST**missed)
+        gaps = self._gaps - held.gaps_at_confirmation
+        return int(held.tokens * _GAP_DISCOUNT**gaps)
 
-    def _hold(
+    def _store(
         self, branch: BranchKey, tokens: int, template: str, now: float
     ) -> None:
-        previous = self._held_by_branch.pop(branch, None)
+        previous = self._prefix_by_branch.pop(branch, None)
         if previous is not None:
             self._held_tokens -= previous.tokens
-        self._held_by_branch[branch] = _Held(tokens, template, self._gaps, now)
+        self._prefix_by_branch[branch] = _CachedPrefix(
+            tokens, template, self._gaps, now
+        )
         self._held_tokens += tokens
         siblings = self._branches_by_program.setdefault(
             branch.program_id, set()
         )
         siblings.add(branch)
-        self._trim()
+        self._evict_excess()
 
-    def _trim(self) -> None:
+    def _evict_excess(self) -> None:
         # Engines evict the least recently used prefix; doing the same here
         # keeps the belief close when eviction events are lost.
-        while len(self._held_by_branch) > 1 and self._is_too_large():
-            self._forget(next(iter(self._held_by_branch)))
+        while len(self._prefix_by_branch) > 1 and self._is_over_capacity():
+            self._remove(next(iter(self._prefix_by_branch)))
 
-    def _is_too_large(self) -> bool:
-        if len(self._held_by_branch) > self._max_branches:
+    def _is_over_capacity(self) -> bool:
+        if len(self._prefix_by_branch) > self._max_branches:
             return True
         return 0 < self.capacity_tokens < self._held_tokens
 
-    def _forget(self, branch: BranchKey) -> None:
-        held = self._held_by_branch.pop(branch, None)
+    def _remove(self, branch: BranchKey) -> None:
+        held = self._prefix_by_branch.pop(branch, None)
         if held is None:
             return
         self._held_tokens -= held.tokens
