--- a/libs/routing/src/masticdale_routing/__init__.py
+++ b/libs/routing/src/masticdale_routing/__init__.py
@@ -74,7 +74,7 @@
     from masticdale_routing.tickets import (
         Granted,
         LoadObservation,
-        Offer,
+        OfferResult,
         Queued,
         Refused,
         Ticket,
@@ -147,7 +147,7 @@
     "tickets": (
         "Granted",
         "LoadObservation",
-        "Offer",
+        "OfferResult",
         "Queued",
         "Refused",
         "Ticket",
@@ -189,7 +189,7 @@
     "LeastInFlight",
     "LoadObservation",
     "Location",
-    "Offer",
+    "OfferResult",
     "PauseAction",
     "PauseDecision",
     "PauseKey",
--- a/libs/routing/src/masticdale_routing/heaps.py
+++ b/libs/routing/src/masticdale_routing/heaps.py
@@ -6,7 +6,7 @@
 
 KeyT = TypeVar("KeyT", bound=Any)
 
-_SLACK = 32
+_COMPACTION_SLACK = 32
 
 
 class LazyHeap(Generic[KeyT]):
@@ -47,7 +47,7 @@
     def _compact(self) -> None:
         # Withdrawn ids stay in the list until they surface; a client that
         # queues and withdraws for ever would grow it without end.
-        if len(self._entries) <= 2 * len(self._order_by_id) + _SLACK:
+        if len(self._entries) <= 2 * len(self._order_by_id) + _COMPACTION_SLACK:
             return
         self._entries = [
             entry
--- a/libs/routing/src/masticdale_routing/queues.py
+++ b/libs/routing/src/masticdale_routing/queues.py
@@ -14,7 +14,7 @@
 from masticdale_routing.tickets import (
     Granted,
     LoadObservation,
-    Offer,
+    OfferResult,
     Queued,
     Refused,
     Ticket,
@@ -93,7 +93,7 @@
         self._exclusive_ids: set[str] = set()
         self._limit = InFlightLimit(settings.in_flight)
         self._foreign = ForeignLoad()
-        self._closed: Failure | None = None
+        self._close_failure: Failure | None = None
 
     @property
     def limit(self) -> int:
@@ -113,7 +113,7 @@
         """Returns the tickets granted and not finished."""
         return tuple(r.ticket for r in self._running_by_id.values())
 
-    def offer(self, ticket: Ticket, now: float) -> Offer:
+    def offer(self, ticket: Ticket, now: float) -> OfferResult:
         """Queues a ticket, or tells the state of one offered before.
 
         Args:
@@ -125,21 +125,21 @@
         """
         self._expire(now)
         if ticket.ticket_id in self._running_by_id:
-            return self._tell_granted(ticket.ticket_id)
+            return self._acknowledge_grant(ticket.ticket_id)
         if ticket.ticket_id not in self._waiting:
-            refusal = self._refusal(ticket, now)
+            refusal = self._check_admission(ticket, now)
             if refusal is not None:
                 return Refused(refusal)
             self._waiting.add(ticket, self.speed.service_s(ticket))
         self._grant(now)
         if ticket.ticket_id in self._running_by_id:
-            return self._tell_granted(ticket.ticket_id)
+            return self._acknowledge_grant(ticket.ticket_id)
         return Queued(self.expected_wait_s(ticket, now))
 
     def withdraw(self, ticket_id: str, now: float) -> None:
         """Forgets a ticket whose caller left, waiting or granted."""
         self._waiting.remove(ticket_id)
-        self._stop_running(ticket_id, now)
+        self._remove_running(ticket_id, now)
 
     def finish(self, ticket_id: str, result: TicketResult, now: float) -> None:
         """Ends a granted ticket and learns from it; unknown ids are ignored.
@@ -150,7 +150,7 @@
             now: Present time.
         """
         full = self.in_flight(now) >= self.limit
-        if self._stop_running(ticket_id, now) is None:
+        if self._remove_running(ticket_id, now) is None:
             return
         speed = self.speed.decode_speed(result)
         if speed is not None and not result.crashed:
@@ -196,7 +196,7 @@
             What waited, to be placed elsewhere, and what is in flight, which
             stays counted until it is finished or withdrawn.
         """
-        self._closed = failure
+        self._close_failure = failure
         waiting = self._waiting.tickets()
         for ticket in waiting:
             self.withdraw(ticket.ticket_id, now)
@@ -204,7 +204,7 @@
 
     def reopen(self) -> None:
         """Takes tickets again."""
-        self._closed = None
+        self._close_failure = None
 
     def observe_load(self, observation: LoadObservation, now: float) -> None:
         """Learns from a load report, which lags.
@@ -242,12 +242,12 @@
             },
             "decode_tokens_per_s": round(self.speed.decode_tokens_per_s, 1),
             "prefill_tokens_per_s": round(self.speed.prefill_tokens_per_s, 1),
-            "closed": self._closed.kind if self._closed else None,
+            "closed": self._close_failure.kind if self._close_failure else None,
         }
 
-    def _refusal(self, ticket: Ticket, now: float) -> Failure | None:
-        if self._closed is not None:
-            return self._closed
+    def _check_admission(self, ticket: Ticket, now: float) -> Failure | None:
+        if self._close_failure is not None:
+            return self._close_failure
         if ticket.deadline_at <= now:
             return Failure(ErrorKind.DEADLINE_EXCEEDED)
         service_s = self.speed.service_s(ticket)
@@ -276,7 +276,7 @@
         bounds = self._settings.max_wait_s_by_priority
         return bounds[min(max(0, priority), len(bounds) - 1)]
 
-    def _tell_granted(self, ticket_id: str) -> Granted:
+    def _acknowledge_grant(self, ticket_id: str) -> Granted:
         self._newly_granted.pop(ticket_id, None)
         return Granted()
 
@@ -301,7 +301,7 @@
         if ticket.exclusive:
             self._exclusive_ids.add(ticket.ticket_id)
 
-    def _stop_running(self, ticket_id: str, now: float) -> _Running | None:
+    def _remove_running(self, ticket_id: str, now: float) -> _Running | None:
         running = self._running_by_id.pop(ticket_id, None)
         self._newly_granted.pop(ticket_id, None)
         self._exclusive_ids.discard(ticket_id)
@@ -318,7 +318,7 @@
         while first := self._running_by_deadline.peek():
             if first[0] + _RUNNING_GRACE_S > now:
                 return
-            self._stop_running(first[1], now)
+            self._remove_running(first[1], now)
 
 
 def _overloaded(retry_s: float) -> Failure:
--- a/libs/routing/src/masticdale_routing/tickets.py
+++ b/libs/routing/src/masticdale_routing/tickets.py
@@ -91,7 +91,7 @@
     failure: Failure
 
 
-Offer = Granted | Queued | Refused
+OfferResult = Granted | Queued | Refused
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/libs/routing/src/masticdale_routing/waiting.py
+++ b/libs/routing/src/masticdale_routing/waiting.py
@@ -54,7 +54,7 @@
 
     def __init__(self, weight: float) -> None:
         self.weight = weight
-        self.virtual_s = 0.0
+        self.virtual_time_s = 0.0
         self.heap: LazyHeap[tuple[float, float]] = LazyHeap()
         self.work_by_bucket = [0.0] * _RANK_BUCKETS
 
@@ -80,8 +80,8 @@
     def __init__(self, weight_by_workspace: Mapping[str, float]) -> None:
         self._weight_by_workspace = weight_by_workspace
         self._queue_by_workspace: dict[str, _WorkspaceQueue] = {}
-        self._active: LazyHeap[float] = LazyHeap()
-        self._virtual_s = 0.0
+        self._active_workspaces: LazyHeap[float] = LazyHeap()
+        self._virtual_time_s = 0.0
         self._active_weight = 0.0
         self.work_s = 0.0
 
@@ -94,8 +94,10 @@
         if not queue.heap:
             # An idle workspace must not save up service and then shut out
             # the others for as long as it was idle.
-            queue.virtual_s = max(queue.virtual_s, self._virtual_s)
-            self._active.push(workspace, queue.virtual_s)
+            queue.virtual_time_s = max(
+                queue.virtual_time_s, self._virtual_time_s
+            )
+            self._active_workspaces.push(workspace, queue.virtual_time_s)
             self._active_weight += queue.weight
         queue.add(entry)
         self.work_s += entry.service_s
@@ -106,17 +108,19 @@
         queue.remove(entry)
         self.work_s = max(0.0, self.work_s - entry.service_s)
         if served:
-            self._virtual_s = max(self._virtual_s, queue.virtual_s)
-            queue.virtual_s += entry.service_s / queue.weight
+            self._virtual_time_s = max(
+                self._virtual_time_s, queue.virtual_time_s
+            )
+            queue.virtual_time_s += entry.service_s / queue.weight
         if queue.heap:
-            self._active.push(workspace, queue.virtual_s)
+            self._active_workspaces.push(workspace, queue.virtual_time_s)
             return
-        self._active.discard(workspace)
+        self._active_workspaces.discard(workspace)
         self._active_weight -= queue.weight
-        self._forget_settled()
+        self._reset_if_idle()
 
     def head(self) -> str | None:
-        first = self._active.peek()
+        first = self._active_workspaces.peek()
         if first is None:
             return None
         head = self._queue_by_workspace[first[1]].heap.peek()
@@ -143,10 +147,10 @@
     def _weight(self, workspace: str) -> float:
         return self._weight_by_workspace.get(workspace, _DEFAULT_WEIGHT)
 
-    def _forget_settled(self) -> None:
-        if self._active:
+    def _reset_if_idle(self) -> None:
+        if self._active_workspaces:
             return
-        self._virtual_s = 0.0
+        self._virtual_time_s = 0.0
         self.work_s = 0.0
         self._active_weight = 0.0
         self._queue_by_workspace.clear()
@@ -244,7 +248,7 @@
             ticket: Any ticket; one that waits is not ahead of itself.
             service_s: The ticket's own expected service.
         """
-        return self._work(ticket, service_s, self._rank(ticket))
+        return self._work_before(ticket, service_s, self._rank(ticket))
 
     def backlog(self, ticket: Ticket, service_s: float) -> float:
         """Returns the seconds of service that the ticket's class must clear.
@@ -256,9 +260,11 @@
             ticket: A ticket that does not wait yet.
             service_s: The ticket's own expected service.
         """
-        return self._work(ticket, service_s, _HIGHEST_RANK)
+        return self._work_before(ticket, service_s, _HIGHEST_RANK)
 
-    def _work(self, ticket: Ticket, service_s: float, rank: float) -> float:
+    def _work_before(
+        self, ticket: Ticket, service_s: float, rank: float
+    ) -> float:
         ahead = 0.0
         for priority, queue in self._class_by_priority.items():
             if priority < ticket.priority:
