--- a/libs/routing/src/masticdale_routing/suspects.py
+++ b/libs/routing/src/masticdale_routing/suspects.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 
 _CRASHES_TO_REFUSE = 2
-_MAX_PROVEN = 20_000
+_MAX_SUCCEEDED = 20_000
 _MAX_RECORDS = 10_000
 _RUN_LEASE_S = 900.0
 
@@ -75,7 +75,7 @@
         self._record_by_digest: collections.OrderedDict[str, SuspectRecord] = (
             collections.OrderedDict()
         )
-        self._proven: collections.OrderedDict[str, None] = (
+        self._succeeded: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
         self._runs_by_digest: dict[str, _Runs] = {}
@@ -96,12 +96,12 @@
             return Admission.REFUSED
         runs = self._runs_by_digest.get(digest)
         if runs is not None and run_id in runs.lease_until_by_id:
-            return _admission(runs.exclusive)
+            return _admission_of_run(runs.exclusive)
         if self._state(digest) is SuspectState.SUSPECT:
             return self._admit_suspect(digest, run_id, now)
-        if digest not in self._proven and runs is not None:
+        if digest not in self._succeeded and runs is not None:
             return Admission.WAIT
-        self._begin(digest, run_id, now, exclusive=False)
+        self._begin_run(digest, run_id, now, exclusive=False)
         return Admission.RUN
 
     def record_crash(self, digests: Iterable[str]) -> list[SuspectRecord]:
@@ -122,13 +122,13 @@
             The record that changed, if there was one.
         """
         self.end_run(digest, run_id)
-        self._proven[digest] = None
-        self._proven.move_to_end(digest)
-        if len(self._proven) > _MAX_PROVEN:
-            self._proven.popitem(last=False)
+        self._succeeded[digest] = None
+        self._succeeded.move_to_end(digest)
+        if len(self._succeeded) > _MAX_SUCCEEDED:
+            self._succeeded.popitem(last=False)
         if self._state(digest) is not SuspectState.SUSPECT:
             return None
-        return self._set(digest, SuspectState.CLEARED, 0)
+        return self._update_record(digest, SuspectState.CLEARED, 0)
 
     def end_run(self, digest: str, run_id: str) -> None:
         """Notes a run that ended and proved nothing, such as a cancelled one.
@@ -140,7 +140,7 @@
             return
         runs.lease_until_by_id.pop(run_id, None)
         if not runs.lease_until_by_id:
-            self._forget_runs(digest)
+            self._remove_runs(digest)
 
     def release(self, digest: str) -> SuspectRecord | None:
         """Lets a refused or suspected content run again, for operators.
@@ -150,7 +150,7 @@
         """
         if digest not in self._record_by_digest:
             return None
-        return self._set(digest, SuspectState.CLEARED, 0)
+        return self._update_record(digest, SuspectState.CLEARED, 0)
 
     def records(self) -> tuple[SuspectRecord, ...]:
         """Returns everything known, to be stored and shared."""
@@ -160,8 +160,8 @@
         """Takes over records of another host or of the store."""
         for record in records:
             known = self._record_by_digest.get(record.digest)
-            if known is None or _order(known) < _order(record):
-                self._store(record)
+            if known is None or _merge_order(known) < _merge_order(record):
+                self._store_record(record)
 
     def _state(self, digest: str) -> SuspectState:
         record = self._record_by_digest.get(digest)
@@ -174,11 +174,11 @@
             self._expire(self._exclusive_digest, now)
         if self._exclusive_digest is not None or digest in self._runs_by_digest:
             return Admission.WAIT
-        self._begin(digest, run_id, now, exclusive=True)
+        self._begin_run(digest, run_id, now, exclusive=True)
         self._exclusive_digest = digest
         return Admission.RUN_EXCLUSIVE
 
-    def _begin(
+    def _begin_run(
         self, digest: str, run_id: str, now: float, exclusive: bool
     ) -> None:
         runs = self._runs_by_digest.get(digest)
@@ -195,30 +195,30 @@
         crashes = 1
         if exclusive and record is not None:
             crashes = record.crashes + 1
-        self._forget_runs(digest)
-        self._proven.pop(digest, None)
+        self._remove_runs(digest)
+        self._succeeded.pop(digest, None)
         if record is not None and record.state is SuspectState.REFUSED:
             return record
         refused = crashes >= _CRASHES_TO_REFUSE
         state = SuspectState.REFUSED if refused else SuspectState.SUSPECT
-        return self._set(digest, state, crashes)
+        return self._update_record(digest, state, crashes)
 
-    def _set(
+    def _update_record(
         self, digest: str, state: SuspectState, crashes: int
     ) -> SuspectRecord:
         known = self._record_by_digest.get(digest)
         version = known.version + 1 if known else 1
         record = SuspectRecord(digest, state, crashes, version)
-        self._store(record)
+        self._store_record(record)
         return record
 
-    def _store(self, record: SuspectRecord) -> None:
+    def _store_record(self, record: SuspectRecord) -> None:
         self._record_by_digest[record.digest] = record
         self._record_by_digest.move_to_end(record.digest)
         if len(self._record_by_digest) > _MAX_RECORDS:
             self._record_by_digest.popitem(last=False)
 
-    def _forget_runs(self, digest: str) -> None:
+    def _remove_runs(self, digest: str) -> None:
         self._runs_by_digest.pop(digest, None)
         if self._exclusive_digest == digest:
             self._exclusive_digest = None
@@ -231,12 +231,12 @@
             return
         runs.expire(now)
         if not runs.lease_until_by_id:
-            self._forget_runs(digest)
+            self._remove_runs(digest)
 
 
-def _admission(exclusive: bool) -> Admission:
+def _admission_of_run(exclusive: bool) -> Admission:
     return Admission.RUN_EXCLUSIVE if exclusive else Admission.RUN
 
 
-def _order(record: SuspectRecord) -> tuple[int, int]:
+def _merge_order(record: SuspectRecord) -> tuple[int, int]:
     return record.version, record.crashes
