--- a/libs/routing/src/masticdale_routing/__init__.py
+++ b/libs/routing/src/masticdale_routing/__init__.py
@@ -1,7 +1,7 @@
-"""Placement, admission, retries and suspects; decisions without I/O.
+"""Placement, admission control, retries and crash suspects, without I/O.
 
-The names below are loaded when they are first used: processes that need only
-some of the modules start sooner.
+Submodules are imported lazily, on first access to one of their names, which
+shortens the start of processes that need only some of them.
 """
 
 import importlib
--- a/libs/routing/src/masticdale_routing/evictions.py
+++ b/libs/routing/src/masticdale_routing/evictions.py
@@ -1,22 +1,22 @@
-"""How fast a replica's cache evicts, from its late and gappy events."""
+"""Estimates how fast a replica's prefix cache evicts tokens."""
 
 _WINDOW_S = 60.0
 
 
 class EvictionRate:
-    """Tokens evicted per second, forgotten over a window."""
+    """Tokens evicted per second; recorded tokens decay linearly to zero."""
 
     def __init__(self) -> None:
         self._tokens = 0.0
         self._updated_at = 0.0
 
     def record_evicted(self, tokens: int, now: float) -> None:
-        """Notes evicted tokens."""
+        """Records evicted tokens."""
         self._tokens = self._decayed_tokens(now) + tokens
         self._updated_at = now
 
     def tokens_per_s(self, now: float) -> float:
-        """Returns the present rate."""
+        """Returns the current rate."""
         return self._decayed_tokens(now) / _WINDOW_S
 
     def _decayed_tokens(self, now: float) -> float:
--- a/libs/routing/src/masticdale_routing/fleet.py
+++ b/libs/routing/src/masticdale_routing/fleet.py
@@ -1,4 +1,4 @@
-"""The replicas that are known, and the choice of one for a request."""
+"""Known replicas, and the choice of one for a request."""
 
 import dataclasses
 import random
@@ -7,22 +7,19 @@
 from masticdale_common import hashing
 from masticdale_routing.retries import CircuitBreaker, CircuitBreakerSettings
 
-# A streaming replica takes programs by hash until this share of its slots is
-# busy with requests of this host; then the program's second choice is weighed.
-# Batching slows each token only slightly below it, and a program that moves
-# has its whole prompt read again.
+# Utilization at which a request with a key may spill over to the key's second
+# replica. Below it, batching slows each token only slightly, whereas a program
+# that moves has its whole prompt computed again.
 _SPILL_SHARE = 0.5
-# What a hop to another failure domain counts in the comparison of two plain
-# replicas, as a share of their slots: about 2 ms of way against some 20 ms of
-# work for each request ahead in a queue of six slots.
+# Utilization added to a replica in another failure domain when replicas are
+# compared for requests without a key; it stands for the network latency.
 _OTHER_DOMAIN_PENALTY = 0.12
-# A replica that still warms up counts as this much busier, as a share.
+# Utilization added to a replica that is still warming up.
 _COLD_PENALTY = 0.5
-# Reported load older than this says nothing about now, in seconds.
+# Reported load older than this, in seconds, is ignored.
 _LOAD_REPORT_MAX_AGE_S = 0.5
-# A replica that failed several calls in a row is left out for half a second,
-# then tried with one call; doubles to four seconds. Short against the time in
-# which a restarted replica is back.
+# The open periods are short compared with a replica's restart, so that a
+# restarted replica gets requests soon.
 _CIRCUIT_SETTINGS = CircuitBreakerSettings(
     failures_to_open=2, initial_open_s=0.5, max_open_s=4.0
 )
@@ -30,18 +27,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replica:
-    """What the platform's list says of one replica.
+    """A replica as the platform lists it.
 
     Attributes:
-        id: New at each start, or the same with another ``born_ms``.
-        service: The service that it serves.
+        id: Changes with each start, unless ``started_at_ms`` changes instead.
+        service: Name of its service.
         host: Its IP address.
         port: Its port.
-        failure_domain: Where it runs.
-        slots: Requests that it runs at once.
-        is_draining: It takes no new work.
-        cold_ms: How much longer it is slow after its start.
-        born_ms: Wall milliseconds of its start; 0 where it doesn't tell.
+        failure_domain: Its failure domain.
+        slots: Requests that it runs concurrently.
+        is_draining: Whether it takes no new requests.
+        warmup_remaining_ms: Time until it reaches its full speed.
+        started_at_ms: Unix time of its start in milliseconds; 0 if unknown.
     """
 
     id: str
@@ -57,12 +54,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """What a replica's answer said of its load.
+    """Load that a replica reported with a response.
 
     Attributes:
-        running: Requests that ran.
-        waiting: Requests that waited.
-        at: Loop seconds of the answer.
+        running: Requests in progress.
+        waiting: Requests in its queue.
+        at: Event loop time of the response, in seconds.
     """
 
     running: int
@@ -71,12 +68,12 @@
 
 
 class ReplicaState:
-    """What this host knows of a replica by its own requests.
+    """A replica's state as seen by this host's own requests.
 
     Attributes:
-        replica: The newest entry of the list.
-        in_flight: Requests of this host that are there now.
-        circuit: Leaves the replica out after failures.
+        replica: The latest entry of the platform's list.
+        in_flight: Requests of this host in progress at the replica.
+        circuit: Its circuit breaker.
     """
 
     def __init__(self, replica: Replica) -> None:
@@ -86,11 +83,11 @@
         self._load: ReportedLoad | None = None
 
     def record_load(self, load: ReportedLoad) -> None:
-        """Takes what an answer said of the replica's load."""
+        """Records the latest reported load."""
         self._load = load
 
     def utilization(self, now: float) -> float:
-        """Returns the share of its slots that are taken, as far as known."""
+        """Returns the estimated share of busy slots; may exceed 1."""
         busy = self.in_flight
         if (
             self._load is not None
@@ -104,7 +101,7 @@
 
 
 class Fleet:
-    """All replicas by id, and by service."""
+    """The known replicas, indexed by id and by service."""
 
     def __init__(self, failure_domain: str, seed: int | None = None) -> None:
         self._failure_domain = failure_domain
@@ -116,18 +113,18 @@
         return len(self._state_by_id)
 
     def replicas(self) -> list[Replica]:
-        """Returns the entries that are known."""
+        """Returns the listed replicas."""
         return [state.replica for state in self._state_by_id.values()]
 
     def states(self) -> Iterable[ReplicaState]:
-        """Returns what is known of each replica."""
+        """Returns the state of each replica."""
         return self._state_by_id.values()
 
     def put(self, replica: Replica) -> None:
-        """Takes a new or changed entry.
+        """Adds or updates a replica.
 
-        A replica that was started again under its id knows nothing of what
-        it held, so what was learned of it is dropped with it.
+        A replica that restarted under the same id has lost its cache and its
+        requests, so its state is replaced too.
         """
         state = self._state_by_id.get(replica.id)
         if state is None or _is_restarted(state.replica, replica):
@@ -137,14 +134,14 @@
         self._rebuild_index()
 
     def remove(self, replica_id: str) -> None:
-        """Forgets a replica."""
+        """Removes a replica; an unknown id is ignored."""
         if self._state_by_id.pop(replica_id, None) is not None:
             self._rebuild_index()
 
     def usable(
         self, service: str, excluded: Iterable[str] = ()
     ) -> list[ReplicaState]:
-        """Returns the replicas that may be sent new work."""
+        """Returns the service's replicas that are not draining or excluded."""
         excluded_ids = set(excluded)
         states = [
             self._state_by_id[i]
@@ -163,19 +160,19 @@
         """Chooses a replica for a request.
 
         Args:
-            service: The service to run it.
-            key: What its prompt belongs to, such as a program's id: the same
-                key goes to the same replica, which holds its prefix. None
-                for requests without state: they go where least waits.
-            now: Loop seconds.
-            excluded: Ids of replicas that are not to be taken.
+            service: Name of the service.
+            key: Affinity key, such as a program's id; requests of one key go
+                to the replica that caches their prefix. None for stateless
+                requests, which go to the least utilized replica.
+            now: Event loop time in seconds.
+            excluded: Ids of replicas to skip.
 
         Returns:
-            The choice, or None if no replica is left.
+            The chosen replica, or None if the service has no usable one.
         """
         states = self.usable(service, excluded)
-        # If every replica fails, leaving all of them out would refuse what
-        # some of them may serve: then failures are not looked at.
+        # If all circuits are open, they are ignored: refusing every request
+        # would also refuse those that some replica can serve.
         healthy = [s for s in states if s.circuit.allows(now)] or states
         if not healthy:
             return None
--- a/libs/routing/src/masticdale_routing/heaps.py
+++ b/libs/routing/src/masticdale_routing/heaps.py
@@ -1,4 +1,4 @@
-"""A heap with removal by id, in amortized logarithmic time."""
+"""A heap with removal by id in amortized logarithmic time."""
 
 import heapq
 import itertools
@@ -10,7 +10,7 @@
 
 
 class LazyHeap(Generic[KeyT]):
-    """Ids ordered by key; equal keys keep the order of arrival."""
+    """A min-heap of ids with lazy deletion; equal keys keep insertion order."""
 
     def __init__(self) -> None:
         self._entries: list[tuple[KeyT, int, str]] = []
@@ -24,19 +24,19 @@
         return item_id in self._order_by_id
 
     def push(self, item_id: str, key: KeyT) -> None:
-        """Adds an id, or gives it a new key."""
+        """Adds an id or changes its key."""
         order = next(self._counter)
         self._order_by_id[item_id] = order
         heapq.heappush(self._entries, (key, order, item_id))
         self._compact()
 
     def discard(self, item_id: str) -> None:
-        """Removes an id if it is held."""
+        """Removes an id if present."""
         if self._order_by_id.pop(item_id, None) is not None:
             self._compact()
 
     def peek(self) -> tuple[KeyT, str] | None:
-        """Returns the least key and its id, or None when empty."""
+        """Returns the smallest key and its id, or None if empty."""
         while self._entries:
             key, order, item_id = self._entries[0]
             if self._order_by_id.get(item_id) == order:
@@ -45,8 +45,8 @@
         return None
 
     def _compact(self) -> None:
-        # Withdrawn ids stay in the list until they surface; a client that
-        # queues and withdraws for ever would grow it without end.
+        # Removed entries stay in the list until they reach the top. Without
+        # compaction, repeated pushes and removals would grow it without bound.
         if len(self._entries) <= 2 * len(self._order_by_id) + _COMPACTION_SLACK:
             return
         self._entries = [
