--- a/libs/routing/src/masticdale_routing/fleet.py
+++ b/libs/routing/src/masticdale_routing/fleet.py
@@ -7,9 +7,10 @@
 from masticdale_common import hashing
 from masticdale_routing.retries import CircuitBreaker, CircuitBreakerSettings
 
-# Utilization at which a request with a key may spill over to the key's second
-# replica. Below it, batching slows each token only slightly, whereas a program
-# that moves has its whole prompt computed again.
+# Share of a replica's slots busy with requests of this host at which a request
+# with a key may spill over to the key's second replica. Below it, batching
+# slows each token only slightly, whereas a program that moves has its whole
+# prompt computed again.
 _SPILL_SHARE = 0.5
 # Utilization added to a replica in another failure domain when replicas are
 # compared for requests without a key; it stands for the network latency.
--- a/libs/routing/src/masticdale_routing/inflight.py
+++ b/libs/routing/src/masticdale_routing/inflight.py
@@ -1,4 +1,4 @@
-"""How many calls may be in flight at a replica, learned from its behaviour."""
+"""Adaptive limit of the calls in flight at a replica."""
 
 import collections
 import dataclasses
@@ -17,12 +17,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InFlightSettings:
-    """Bounds of the learned limit.
+    """Bounds of the adaptive limit.
 
     Attributes:
-        initial: Limit before anything is known.
-        maximum: Never more than this.
-        least_speed_share: Decode speed, as a share of the best seen, below
+        initial: Limit before any observation.
+        maximum: Upper bound of the limit.
+        min_speed_share: Mean decode speed, as a share of the best mean, below
             which the batch counts as too large.
     """
 
@@ -32,11 +32,11 @@
 
 
 class InFlightLimit:
-    """Additive increase, multiplicative decrease on two signals.
+    """Additive increase, multiplicative decrease (AIMD) on two signals.
 
-    A decode speed far below the replica's best says that its batch is too
-    large; calls that the engine itself keeps waiting say that its slots are
-    full, and the engine's queue knows no priority, so it must stay empty.
+    A decode speed far below the replica's best indicates a batch that is too
+    large. Calls waiting inside the engine indicate that its slots are full;
+    the engine's own queue ignores priorities, so it must stay empty.
     """
 
     def __init__(self, settings: InFlightSettings) -> None:
@@ -51,26 +51,26 @@
 
     @property
     def limit(self) -> int:
-        """Calls that may be in flight."""
+        """Number of calls that may be in flight."""
         return int(self._limit)
 
     def record_finished(self, speed: float, at_limit: bool, now: float) -> None:
-        """Learns from a finished call.
+        """Updates the limit after a finished call.
 
         Args:
-            speed: The call's decode speed.
+            speed: The call's decode speed in tokens per second.
             at_limit: Whether the limit was reached while it ran.
-            now: Present time.
+            now: Current time in seconds.
         """
-        # The mean, not single calls: one short answer measured as ten times
-        # too fast would make every later call look slow.
+        # Compares means: a single outlier as the best speed would make every
+        # later call look slow.
         if self._speed:
             self._speed += (speed - self._speed) * _SMOOTHING
         else:
             self._speed = speed
         self._best_speed = max(self._speed, self._best_speed * _BEST_DECAY)
         self._finishes_until_decrease -= 1
-        # Calls slow below the limit are not slow because of it.
+        # A call that ran below the limit is not slow because of the limit.
         if not at_limit:
             return
         if self._speed < self._best_speed * self._settings.min_speed_share:
@@ -82,7 +82,7 @@
         self._limit = min(maximum, self._limit + 1 / self._limit)
 
     def record_load(self, observation: LoadObservation, now: float) -> None:
-        """Learns from a load report."""
+        """Caps the limit if a load report shows calls waiting in the engine."""
         if observation.waiting <= 0 or observation.running <= 0:
             return
         self._ceiling = max(_MIN_LIMIT, float(observation.running))
@@ -90,22 +90,22 @@
         self._limit = min(self._limit, self._ceiling)
 
     def _decrease(self) -> None:
-        # The calls that ran together all report the same low speed; reacting
-        # to each would collapse the limit, so one batch counts once.
+        # All calls of a batch report the same low speed. Decreasing for each
+        # would collapse the limit, so it decreases once per batch.
         if self._finishes_until_decrease > 0:
             return
         self._finishes_until_decrease = self.limit
-        # Never below half of what the declaration says: a limit of 1 learnt
-        # from noise sees no batch any more and could not learn better.
+        # The floor keeps batches possible: at a limit of 1, reached through
+        # noise, no call would show how fast a larger batch runs.
         self._limit = max(self._floor, self._limit * _DECREASE_FACTOR)
 
 
 class ForeignLoad:
-    """Calls at a replica that its present queue did not send.
+    """Estimates the calls at a replica that this queue did not send.
 
     After a change of home, or while two hosts both act as home, the engine
-    holds calls this queue knows nothing of. Its load report lags, so it is
-    compared with what this queue had in flight when the report was true.
+    runs calls that this queue does not know. Load reports lag, so each is
+    compared with the calls that this queue had in flight at its time.
     """
 
     def __init__(self) -> None:
@@ -116,18 +116,23 @@
         self._valid_until = 0.0
 
     def record_finished(self, granted_at: float, now: float) -> None:
-        """Notes a call of ours that ended."""
+        """Records a finished call of this queue.
+
+        Args:
+            granted_at: Time of its grant in seconds.
+            now: Current time in seconds.
+        """
         self._recent.append((granted_at, now))
 
     def record_load(
         self, observation: LoadObservation, granted_at: list[float], now: float
     ) -> None:
-        """Compares a load report with our own calls at its time.
+        """Compares a load report with this queue's calls at its time.
 
         Args:
             observation: The report.
-            granted_at: Grant times of our calls in flight now.
-            now: Present time.
+            granted_at: Grant times of this queue's calls in flight.
+            now: Current time in seconds.
         """
         observed_at = observation.observed_at
         own_calls = sum(1 for at in granted_at if at <= observed_at)
@@ -139,5 +144,5 @@
         self._valid_until = now + _REPORT_MAX_AGE_S
 
     def count(self, now: float) -> int:
-        """Returns the foreign calls, 0 once the last report is too old."""
+        """Returns the foreign calls; 0 once the last report has expired."""
         return self._foreign if now < self._valid_until else 0
--- a/libs/routing/src/masticdale_routing/limits.py
+++ b/libs/routing/src/masticdale_routing/limits.py
@@ -1,7 +1,7 @@
-"""Limits of a workspace that hold across all hosts.
+"""Workspace limits that are enforced across all hosts.
 
-Each host enforces its own share; the shares of all live hosts add up to the
-limit exactly, so no messages are needed for a call.
+Each host enforces its own share. The shares of all live hosts add up to the
+limit exactly, so that hosts need not communicate per call.
 """
 
 import dataclasses
@@ -21,9 +21,9 @@
     """Limits of one workspace.
 
     Attributes:
-        concurrent_turns: Turns in flight at once, over all hosts.
-        turns_per_s: Turns begun per second, over all hosts.
-        burst: Turns that may begin at once after a quiet time.
+        concurrent_turns: Maximum turns in flight, over all hosts.
+        turns_per_s: Maximum turns started per second, over all hosts.
+        burst: Capacity of the token bucket, in turns.
     """
 
     concurrent_turns: int
@@ -33,13 +33,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostShare:
-    """One host's part of a workspace's limits.
+    """One host's share of a workspace's limits.
 
     Attributes:
-        concurrent_turns: Turns in flight at once at this host.
-        turns_per_s: Turns begun per second at this host.
-        burst: Turns that may begin at once at this host.
-        other_host: A host with a share, to go to when this one has none.
+        concurrent_turns: Maximum turns in flight at this host.
+        turns_per_s: Maximum turns started per second at this host.
+        burst: Capacity of this host's token bucket, in turns.
+        redirect_host: A host with a share, set if this host has none.
     """
 
     concurrent_turns: int
@@ -54,18 +54,18 @@
     host: str,
     live_hosts: Collection[str],
 ) -> HostShare:
-    """Returns a host's part of a workspace's limits.
+    """Returns a host's share of a workspace's limits.
 
     Args:
         limits: The limits over all hosts.
-        workspace: Whose limits; decides which hosts get the remainder.
-        host: The host.
+        workspace: Name of the workspace; ranks the hosts for the remainder.
+        host: The host whose share is computed.
         live_hosts: All live hosts.
     """
     ranked = hashing.rank(workspace, {*live_hosts, host})
     whole, rest = divmod(limits.concurrent_turns, len(ranked))
     own = whole + (1 if ranked.index(host) < rest else 0)
-    # Rate and burst go only to hosts that may run a turn at all.
+    # Only hosts that may run a turn get a part of the rate and the burst.
     holders = len(ranked) if whole > 0 else max(1, rest)
     part = 1 / holders if own > 0 else 0.0
     return HostShare(
@@ -77,7 +77,7 @@
 
 
 class TokenBucket:
-    """A rate with a burst."""
+    """A token bucket: a rate limit that allows bursts."""
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self._rate = rate
@@ -86,14 +86,14 @@
         self._updated_at = now
 
     def update_rate(self, rate: float, burst: float, now: float) -> None:
-        """Sets another rate and burst; what is saved up stays bounded."""
+        """Changes rate and burst; surplus tokens are discarded."""
         self._refill(now)
         self._rate = rate
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
     def try_acquire(self, now: float) -> bool:
-        """Takes one token; False when none is left."""
+        """Takes one token; returns False if none is available."""
         self._refill(now)
         if self._tokens < 1:
             return False
@@ -101,7 +101,7 @@
         return True
 
     def wait_s(self, now: float) -> float:
-        """Returns the seconds until a token is there."""
+        """Returns the seconds until a token is available."""
         self._refill(now)
         return max(0.0, 1 - self._tokens) / max(_MIN_RATE, self._rate)
 
@@ -121,24 +121,24 @@
 
     @property
     def active(self) -> int:
-        """Turns in flight."""
+        """Number of turns in flight."""
         return len(self._active)
 
     def update_share(self, share: HostShare, now: float) -> None:
-        """Sets another share, after hosts came or left."""
+        """Replaces the share after a change of the live hosts."""
         self._share = share
         self._bucket.update_rate(share.turns_per_s, share.burst, now)
 
     def begin(self, turn_id: str, now: float) -> Result[None, Failure]:
-        """Begins a turn; idempotent by its id.
+        """Starts a turn; idempotent by its id.
 
         Args:
-            turn_id: The turn.
-            now: Present time.
+            turn_id: Id of the turn.
+            now: Current time in seconds.
 
         Returns:
-            Nothing, or LIMIT_REACHED with the time to come back and, where
-            this host has no share, the host to go to.
+            Nothing, or LIMIT_REACHED with the time after which to retry and,
+            if this host has no share, the host to retry at.
         """
         if turn_id in self._active:
             return Success(None)
--- a/libs/routing/src/masticdale_routing/pauses.py
+++ b/libs/routing/src/masticdale_routing/pauses.py
@@ -1,4 +1,4 @@
-"""What to do with a prefix while its program waits for a tool."""
+"""Decides what happens to a prefix while its program waits for a tool."""
 
 import collections
 import dataclasses
@@ -11,9 +11,9 @@
 
 
 class PauseAction(enum.StrEnum):
-    """What happens to the prefix.
+    """What happens to the prefix during the pause.
 
-    COPY exports it and leaves it in the cache too; EXPORT frees it there.
+    COPY exports it and leaves it in the cache; EXPORT also frees it there.
     """
 
     KEEP = "keep"
@@ -24,11 +24,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PauseKey:
-    """What pause lengths are learned for.
+    """Key by which pause lengths are learned.
 
     Attributes:
-        program_kind: The program's kind, from its template.
-        tool: The tool that is called.
+        program_kind: Kind of the program, from its template.
+        tool: Name of the tool.
     """
 
     program_kind: str
@@ -37,14 +37,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CachePressure:
-    """What a held token costs at a replica.
+    """Cost of holding tokens in a replica's cache.
 
     Attributes:
-        residence_s: Seconds an unused token stays before it is evicted;
-            infinite while the cache has room.
-        prefill_tokens_per_s: How fast the replica computes a prompt.
-        export_tokens_per_s: How fast it exports and imports; 0 if it can't.
-        reuse_share: Share of evicted tokens that are asked for again.
+        residence_s: Time until an unused token is evicted; infinite
+            while the cache has room.
+        prefill_tokens_per_s: Speed of computing a prompt.
+        export_tokens_per_s: Speed of exports and imports; 0 if unsupported.
+        reuse_share: Share of evicted tokens that are requested again.
     """
 
     residence_s: float = _UNBOUNDED_S
@@ -55,15 +55,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PauseDecision:
-    """A decision and what it weighed, in seconds.
+    """A decision, with the expected cost of each action in seconds.
 
     Attributes:
         action: The cheapest action.
-        keep_s: Recomputation that holding the prefix causes to others, and
-            to its own program where it is evicted all the same.
-        copy_s: Transfer out, and back where it is evicted meanwhile, besides
-            the recomputation that holding it causes to others.
-        export_s: Transfer out, and back if the program returns.
+        keep_s: Recomputation by programs whose prefixes are evicted instead,
+            and by this program if its prefix is evicted nevertheless.
+        copy_s: Export, import if the prefix is evicted meanwhile, and
+            recomputation by programs whose prefixes are evicted instead.
+        export_s: Export, and import if the program returns.
         release_s: Recomputation if the program returns.
     """
 
@@ -75,7 +75,7 @@
 
 
 class _Samples:
-    """The latest pauses of one key."""
+    """The most recent pauses of one key."""
 
     def __init__(self) -> None:
         self.lengths_s: collections.deque[float] = collections.deque(
@@ -89,17 +89,18 @@
         longer = [x - elapsed_s for x in self.lengths_s if x > elapsed_s]
         if longer:
             return sum(longer) / len(longer)
-        # Beyond every pause seen: heavy tails last about as long again.
+        # Longer than every sample: with heavy-tailed lengths, the expected rest
+        # is about the time elapsed.
         return max(_DEFAULT_PAUSE_S, elapsed_s)
 
     def return_share(self) -> float:
-        # One success and one failure more than seen, so that a few samples
-        # never make a return certain or impossible.
+        # Laplace smoothing: few samples never make a return certain or
+        # impossible.
         return (1 + sum(self.returned)) / (2 + len(self.returned))
 
 
 class PauseModel:
-    """Learns pause lengths and decides by expected cost."""
+    """Learns pause lengths and chooses the action of least expected cost."""
 
     def __init__(self) -> None:
         self._samples_by_key: collections.OrderedDict[PauseKey, _Samples] = (
@@ -107,17 +108,17 @@
         )
 
     def observe(self, key: PauseKey, pause_s: float) -> None:
-        """Learns from a pause whose program returned."""
+        """Records a pause after which the program returned."""
         samples = self._samples(key)
         samples.lengths_s.append(pause_s)
         samples.returned.append(True)
 
     def observe_abandoned(self, key: PauseKey) -> None:
-        """Learns from a program that never returned from its tool."""
+        """Records a pause from which the program never returned."""
         self._samples(key).returned.append(False)
 
     def expected_remaining_s(self, key: PauseKey, elapsed_s: float) -> float:
-        """Returns the expected rest of a pause."""
+        """Returns the expected remaining length of a pause."""
         samples = self._samples_by_key.get(key)
         if samples is None:
             return max(_DEFAULT_PAUSE_S, elapsed_s)
@@ -131,15 +132,15 @@
         pressure: CachePressure,
         exported_tokens: int = 0,
     ) -> PauseDecision:
-        """Weighs keeping, exporting and releasing a prefix.
+        """Chooses the cheapest action for a prefix.
 
         Args:
             key: The program kind and the tool.
-            tokens: Length of the prefix.
-            elapsed_s: How long the pause has lasted.
-            pressure: What a held token costs.
-            exported_tokens: Tokens of the prefix that an earlier export
-                holds; only the rest has to be transferred out.
+            tokens: Length of the prefix in tokens.
+            elapsed_s: Length of the pause so far.
+            pressure: Cost of holding tokens at the replica.
+            exported_tokens: Tokens of the prefix already exported; only the
+                rest is transferred.
         """
         samples = self._samples_by_key.get(key)
         return_share = samples.return_share() if samples else 1.0
@@ -147,8 +148,8 @@
         recompute_s = tokens / pressure.prefill_tokens_per_s
         displaced_share = min(1.0, remaining_s / pressure.residence_s)
         release_s = recompute_s * return_share
-        # A pause that outlasts the residence costs twice: others are evicted
-        # for the prefix, and it is evicted itself before its program returns.
+        # A pause longer than the residence time costs twice: the prefix
+        # displaces others, and is itself evicted before its program returns.
         keep_s = displaced_share * (
             recompute_s * pressure.reuse_share + release_s
         )
--- a/libs/routing/src/masticdale_routing/placement.py
+++ b/libs/routing/src/masticdale_routing/placement.py
@@ -1,7 +1,7 @@
-"""Which replica runs a call, in seconds of expected cost.
+"""Chooses the replica that runs a call.
 
-The baselines (round robin, least in flight, plain affinity) stay here so that
-every measurement can be repeated against them.
+The baseline policies (round robin, least in flight, affinity) are kept for
+comparative measurements.
 """
 
 import dataclasses
@@ -22,14 +22,14 @@
     """A replica that may run a call.
 
     Attributes:
-        replica: Its name.
-        domain: Its failure domain.
+        replica: Name of the replica.
+        failure_domain: Its failure domain.
         expected_wait_s: Expected wait in its queue.
-        cached_tokens: Tokens of the call's prompt it is believed to hold.
-        prefill_tokens_per_s: How fast it computes a prompt.
-        decode_tokens_per_s: How fast one call generates there.
-        in_flight: Calls in flight and waiting there.
-        usable: False for a replica that is leaving, dead, or whose circuit
+        cached_tokens: Prompt tokens of the call expected in its cache.
+        prefill_tokens_per_s: Speed of computing a prompt.
+        decode_tokens_per_s: Generation speed of one call.
+        in_flight: Calls running and waiting at the replica.
+        usable: False for a replica that is draining, dead, or whose circuit
             is open.
     """
 
@@ -48,10 +48,10 @@
     """A call to be placed.
 
     Attributes:
-        program_id: Its program.
-        prompt_tokens: Tokens of its whole context.
-        expected_tokens: Tokens it is expected to generate.
-        last_replica: Where its branch ran last; empty for a new branch.
+        program_id: Id of the call's program.
+        prompt_tokens: Length of the whole context in tokens.
+        expected_tokens: Expected number of generated tokens.
+        last_replica: Replica of the branch's last call; empty if none.
     """
 
     program_id: str
@@ -62,13 +62,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a call goes.
+    """The replica chosen for a call.
 
     Attributes:
-        replica: The replica.
-        cost_s: Expected seconds until its answer's end.
-        uncached_tokens: Prompt tokens expected to be computed there.
-        moved: Whether it leaves the replica that it ran at last.
+        replica: Name of the replica.
+        cost_s: Expected time until the end of the response.
+        uncached_tokens: Prompt tokens expected to be computed.
+        moved: Whether this differs from the branch's last replica.
     """
 
     replica: str
@@ -79,10 +79,10 @@
 
 @dataclasses.dataclass(slots=True)
 class RoundRobin:
-    """Baseline: each call to the next replica.
+    """Baseline: each call goes to the next replica.
 
     Attributes:
-        turn: Number of calls placed so far.
+        placed_count: Number of calls placed so far.
     """
 
     placed_count: int = 0
@@ -90,24 +90,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeastInFlight:
-    """Baseline: each call to the replica with the fewest calls."""
+    """Baseline: each call goes to the replica with the fewest calls."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Affinity:
-    """Baseline: a branch stays where it began, however long the queue."""
+    """Baseline: a branch stays at its replica, however long the queue."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeastCost:
-    """Least expected wait plus prefill plus generation.
+    """Least expected time for waiting, prefill and generation.
 
     Attributes:
-        margin_s: A branch moves only if that saves more seconds than this.
-        margin_share: And more than this share of the staying cost: the moved
-            prefix also displaces prefixes of others, which the mover's own
-            cost does not show.
-        tie_s: Costs that differ by less are settled by the calls in flight.
+        margin_s: A branch moves only if that saves more time than this.
+        margin_share: And more than this share of the cost of staying, because
+            the moved prefix also displaces prefixes of other programs.
+        tie_s: Candidates within this of the least cost are compared by the
+            calls in flight.
     """
 
     margin_s: float = 1.0
@@ -119,7 +119,7 @@
 
 
 def cost_s(request: PlacementRequest, candidate: Candidate) -> float:
-    """Returns the expected seconds until the call's end at a replica."""
+    """Returns the expected time until the call's end at a replica."""
     uncached = max(0, request.prompt_tokens - candidate.cached_tokens)
     return (
         candidate.expected_wait_s
@@ -131,15 +131,15 @@
 def place(
     request: PlacementRequest, candidates: Sequence[Candidate], policy: Policy
 ) -> Result[Placement, Failure]:
-    """Chooses a replica.
+    """Chooses a replica for a call.
 
     Args:
         request: The call.
-        candidates: The replicas to choose from; unusable ones are skipped.
-        policy: How to choose.
+        candidates: Replicas to choose from; unusable ones are skipped.
+        policy: The placement policy.
 
     Returns:
-        The placement, or NO_UPSTREAM when no candidate is usable.
+        The placement, or NO_UPSTREAM if no candidate is usable.
     """
     usable = [c for c in candidates if c.usable]
     if not usable:
@@ -236,11 +236,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Location:
-    """Where a replica stands.
+    """A replica and its failure domain.
 
     Attributes:
-        replica: Its name.
-        domain: Its failure domain.
+        replica: Name of the replica.
+        failure_domain: Its failure domain.
     """
 
     replica: str
@@ -253,16 +253,16 @@
     count: int = _DEFAULT_PROBES,
     excluded: Collection[str] = (),
 ) -> list[str]:
-    """Returns a few replicas to ask, spread over failure domains.
+    """Returns a few replicas to probe, spread over failure domains.
 
-    The cost of a placement does not grow with the fleet, and a program whose
-    failure domain goes down has probed others.
+    Probing a fixed number keeps the cost of a placement independent of the
+    fleet's size. The spread leaves candidates if a failure domain is down.
 
     Args:
-        key: What to spread by, such as the program id and the attempt.
+        key: Hash key, such as the program id and the attempt.
         locations: All usable replicas.
-        count: How many to ask.
-        excluded: Replicas not to ask.
+        count: Number of replicas to probe.
+        excluded: Replicas to skip.
     """
     domain_by_replica = {
         x.replica: x.failure_domain
