--- a/libs/routing/src/masticdale_routing/prefixes.py
+++ b/libs/routing/src/masticdale_routing/prefixes.py
@@ -1,7 +1,7 @@
-"""What a replica's prefix cache is believed to hold.
+"""Estimates the content of a replica's prefix cache.
 
-Built from what was sent there, corrected by cache events that come late and
-with gaps. A wrong belief costs time, never correctness.
+The estimate follows the prompts sent to the replica and its cache events,
+which arrive late and may be lost. A wrong estimate costs time, not correctness.
 """
 
 import collections
@@ -14,11 +14,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BranchKey:
-    """One branch of one program.
+    """Identifies a branch of a program.
 
     Attributes:
-        program_id: The program.
-        branch_id: The branch.
+        program_id: Id of the program.
+        branch_id: Id of the branch.
     """
 
     program_id: str
@@ -27,14 +27,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PrefixRequest:
-    """A prompt to be looked up.
+    """A prompt to look up in the index.
 
     Attributes:
-        branch: The branch it belongs to.
-        prompt_tokens: Tokens of the whole prompt.
-        template: Digest of the shared first part; empty for none.
-        template_tokens: Tokens of the shared first part.
-        parent: The branch whose prefix it starts with, for a sub-agent.
+        branch: The branch that it belongs to.
+        prompt_tokens: Length of the whole prompt in tokens.
+        template: Digest of the shared template at its start; empty if none.
+        template_tokens: Length of the template in tokens.
+        parent: For a sub-agent, the branch whose prefix it shares.
         parent_tokens: Tokens shared with the parent.
     """
 
@@ -55,10 +55,10 @@
 
 
 class PrefixIndex:
-    """Believed content of one replica's prefix cache.
+    """Estimated content of one replica's prefix cache.
 
     Attributes:
-        capacity_tokens: What the cache can hold; 0 while unknown.
+        capacity_tokens: Capacity of the cache in tokens; 0 if unknown.
     """
 
     def __init__(
@@ -81,17 +81,17 @@
 
     @property
     def held_tokens(self) -> int:
-        """Tokens believed to be held, templates counted once per branch."""
+        """Estimated tokens in the cache; templates count once per branch."""
         return self._held_tokens
 
     def __len__(self) -> int:
         return len(self._prefix_by_branch)
 
     def cached_tokens(self, request: PrefixRequest) -> int:
-        """Returns the prompt tokens expected to come from the cache.
+        """Returns the prompt tokens expected to be served from the cache.
 
-        A restore works only from a multiple of the engine's interval, and at
-        least the last token is always computed.
+        An engine restores prefixes only at multiples of its restore interval,
+        and always computes at least the last token.
 
         Args:
             request: The prompt.
@@ -108,7 +108,7 @@
         return best - best % self._restore_interval
 
     def record_sent(self, request: PrefixRequest, now: float) -> None:
-        """Notes a prompt sent to the replica."""
+        """Records a prompt sent to the replica."""
         self._store(
             request.branch, request.prompt_tokens, request.template, now
         )
@@ -121,64 +121,64 @@
     def record_finished(
         self, branch: BranchKey, tokens: int, now: float
     ) -> None:
-        """Notes the whole context, answer included, after a call's end."""
-        held = self._prefix_by_branch.get(branch)
-        template = held.template if held else ""
+        """Records the context length, including the answer, after a call."""
+        prefix = self._prefix_by_branch.get(branch)
+        template = prefix.template if prefix else ""
         self._store(branch, tokens, template, now)
 
     def record_stored(self, branch: BranchKey, tokens: int, now: float) -> None:
-        """Applies an event: the engine holds a prefix."""
-        held = self._prefix_by_branch.get(branch)
-        if held is None:
+        """Applies a cache event: the engine stored a prefix."""
+        prefix = self._prefix_by_branch.get(branch)
+        if prefix is None:
             self._store(branch, tokens, "", now)
             return
-        # Events are late: one that tells of an earlier call must not shrink
-        # what a later call has left there.
-        if self._is_recent(held, now) and tokens < held.tokens:
+        # Events arrive late: one about an earlier call must not shrink the
+        # prefix of a later call.
+        if self._is_recent(prefix, now) and tokens < prefix.tokens:
             return
-        self._held_tokens += tokens - held.tokens
-        held.tokens = tokens
-        held.gaps_at_confirmation = self._gaps
+        self._held_tokens += tokens - prefix.tokens
+        prefix.tokens = tokens
+        prefix.gaps_at_confirmation = self._gaps
 
     def record_evicted(
         self, branch: BranchKey, tokens: int, now: float
     ) -> None:
-        """Applies an event: a prefix shrank to some tokens, 0 for all."""
-        held = self._prefix_by_branch.get(branch)
-        if held is None or self._is_recent(held, now):
+        """Applies a cache event: a prefix was evicted down to ``tokens``."""
+        prefix = self._prefix_by_branch.get(branch)
+        if prefix is None or self._is_recent(prefix, now):
             return
         if tokens <= 0:
             self._remove(branch)
             return
-        self._held_tokens += tokens - held.tokens
-        held.tokens = tokens
-        held.gaps_at_confirmation = self._gaps
+        self._held_tokens += tokens - prefix.tokens
+        prefix.tokens = tokens
+        prefix.gaps_at_confirmation = self._gaps
 
     def record_event_gap(self) -> None:
-        """Notes that cache events were lost."""
+        """Records that cache events were lost."""
         self._gaps += 1
 
     def remove_program(self, program_id: str) -> None:
-        """Forgets all branches of a program."""
+        """Removes all branches of a program."""
         for branch in list(self._branches_by_program.get(program_id, ())):
             self._remove(branch)
 
     def clear(self) -> None:
-        """Forgets everything: the replica lost its memory."""
+        """Removes everything, after a restart of the replica."""
         self._prefix_by_branch.clear()
         self._branches_by_program.clear()
         self._tokens_by_template.clear()
         self._held_tokens = 0
 
-    def _is_recent(self, held: _CachedPrefix, now: float) -> bool:
-        return now - held.used_at < _EVENT_LAG_S
+    def _is_recent(self, prefix: _CachedPrefix, now: float) -> bool:
+        return now - prefix.used_at < _EVENT_LAG_S
 
     def _expected_tokens(self, branch: BranchKey) -> int:
-        held = self._prefix_by_branch.get(branch)
-        if held is None:
+        prefix = self._prefix_by_branch.get(branch)
+        if prefix is None:
             return 0
-        gaps = self._gaps - held.gaps_at_confirmation
-        return int(held.tokens * _GAP_DISCOUNT**gaps)
+        gaps = self._gaps - prefix.gaps_at_confirmation
+        return int(prefix.tokens * _GAP_DISCOUNT**gaps)
 
     def _store(
         self, branch: BranchKey, tokens: int, template: str, now: float
@@ -197,8 +197,8 @@
         self._evict_excess()
 
     def _evict_excess(self) -> None:
-        # Engines evict the least recently used prefix; doing the same here
-        # keeps the belief close when eviction events are lost.
+        # Engines evict the least recently used prefix. The index does the same,
+        # so that it stays accurate when eviction events are lost.
         while len(self._prefix_by_branch) > 1 and self._is_over_capacity():
             self._remove(next(iter(self._prefix_by_branch)))
 
@@ -208,10 +208,10 @@
         return 0 < self.capacity_tokens < self._held_tokens
 
     def _remove(self, branch: BranchKey) -> None:
-        held = self._prefix_by_branch.pop(branch, None)
-        if held is None:
+        prefix = self._prefix_by_branch.pop(branch, None)
+        if prefix is None:
             return
-        self._held_tokens -= held.tokens
+        self._held_tokens -= prefix.tokens
         siblings = self._branches_by_program[branch.program_id]
         siblings.discard(branch)
         if not siblings:
--- a/libs/routing/src/masticdale_routing/queues.py
+++ b/libs/routing/src/masticdale_routing/queues.py
@@ -1,4 +1,4 @@
-"""The queue before one replica, held by the replica's home."""
+"""The queue of one replica, kept by the replica's home."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -28,16 +28,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueueSettings:
-    """How a replica's queue behaves.
+    """Settings of a replica's queue.
 
     Attributes:
-        order: Order within a class and workspace.
+        order: Order within a priority class and workspace.
         age_bound_s: A ticket that waited longer is served before all others.
-        max_wait_s_by_priority: Longest expected wait at which a class still
-            admits new programs; the last entry holds for all further classes.
-        max_waiting: Bound of the queue's memory.
-        in_flight: Bounds of the learned limit.
-        weight_by_workspace: Shares between workspaces; 1 where absent.
+        max_wait_s_by_priority: Longest expected wait at which a class admits
+            new programs; the last entry applies to all further classes.
+        max_waiting: Maximum number of waiting tickets.
+        in_flight: Bounds of the in-flight limit.
+        weight_by_workspace: Fair queueing weights; 1 where absent.
     """
 
     order: QueueOrder = QueueOrder.ATTAINED_SERVICE
@@ -54,11 +54,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DroppedTickets:
-    """Tickets taken out of a queue.
+    """Tickets affected by the loss of an origin or the close of a queue.
 
     Attributes:
-        waiting: Never sent to the replica by this queue.
-        running: Granted; the replica may still be working on them.
+        waiting: Tickets that this queue never granted.
+        running: Granted tickets; the replica may still be running them.
     """
 
     waiting: tuple[Ticket, ...]
@@ -74,8 +74,8 @@
 class ReplicaQueue:
     """Decides which calls run at one replica, and when.
 
-    Every operation is idempotent by ticket id, because owners ask again after
-    lost answers and after the queue moved to another host.
+    Every operation is idempotent by ticket id, because owners retry after lost
+    answers and after a move of the queue to another host.
     """
 
     def __init__(
@@ -97,28 +97,28 @@
 
     @property
     def limit(self) -> int:
-        """Calls that may be in flight at present."""
+        """Number of calls that may be in flight."""
         return self._limit.limit
 
     @property
     def waiting(self) -> int:
-        """Tickets that wait."""
+        """Number of waiting tickets."""
         return len(self._waiting)
 
     def in_flight(self, now: float) -> int:
-        """Returns the calls at the replica, those of other homes included."""
+        """Returns the calls at the replica, including those of other homes."""
         return len(self._running_by_id) + self._foreign.count(now)
 
     def running(self) -> tuple[Ticket, ...]:
-        """Returns the tickets granted and not finished."""
+        """Returns the tickets that are granted and not finished."""
         return tuple(r.ticket for r in self._running_by_id.values())
 
     def offer(self, ticket: Ticket, now: float) -> OfferResult:
-        """Queues a ticket, or tells the state of one offered before.
+        """Queues a ticket, or returns the state of one offered before.
 
         Args:
-            ticket: The call; one offered again keeps its first place.
-            now: Present time.
+            ticket: The ticket; one offered again keeps its position.
+            now: Current time in seconds.
 
         Returns:
             Granted, queued with the expected wait, or refused.
@@ -137,24 +137,26 @@
         return Queued(self.expected_wait_s(ticket, now))
 
     def withdraw(self, ticket_id: str, now: float) -> None:
-        """Forgets a ticket whose caller left, waiting or granted."""
+        """Removes a waiting or granted ticket whose caller has gone."""
         self._waiting.remove(ticket_id)
         self._remove_running(ticket_id, now)
 
     def finish(self, ticket_id: str, result: TicketResult, now: float) -> None:
-        """Ends a granted ticket and learns from it; unknown ids are ignored.
+        """Ends a granted ticket and updates the estimates.
+
+        Unknown ids are ignored.
 
         Args:
-            ticket_id: The ticket.
-            result: How the call ended.
-            now: Present time.
+            ticket_id: Id of the ticket.
+            result: Result of the call.
+            now: Current time in seconds.
         """
-        full = self.in_flight(now) >= self.limit
+        at_limit = self.in_flight(now) >= self.limit
         if self._remove_running(ticket_id, now) is None:
             return
         speed = self.speed.decode_speed(result)
         if speed is not None and not result.crashed:
-            self._limit.record_finished(speed, full, now)
+            self._limit.record_finished(speed, at_limit, now)
         self.speed.observe(result)
 
     def take_granted(self, now: float) -> list[Ticket]:
@@ -166,11 +168,11 @@
         return granted
 
     def adopt(self, ticket: Ticket, now: float) -> None:
-        """Takes over a call that an earlier home granted, without a limit.
+        """Takes over a call granted by a previous home, whatever the limit.
 
         Args:
-            ticket: A call that is running at the replica.
-            now: Present time.
+            ticket: Ticket of a call running at the replica.
+            now: Current time in seconds.
         """
         if ticket.ticket_id in self._running_by_id:
             return
@@ -178,7 +180,7 @@
         self._start(ticket, now)
 
     def drop_origin(self, host: str, now: float) -> DroppedTickets:
-        """Drops the tickets of a host that died."""
+        """Removes the tickets of a dead host."""
         waiting = [t for t in self._waiting.tickets() if t.origin == host]
         running = [t for t in self.running() if t.origin == host]
         for ticket in [*waiting, *running]:
@@ -186,15 +188,15 @@
         return DroppedTickets(tuple(waiting), tuple(running))
 
     def close(self, failure: Failure, now: float) -> DroppedTickets:
-        """Refuses all further tickets, for a replica that left or died.
+        """Closes the queue of a replica that left or died.
 
         Args:
-            failure: What later offers are refused with.
-            now: Present time.
+            failure: Failure with which later offers are refused.
+            now: Current time in seconds.
 
         Returns:
-            What waited, to be placed elsewhere, and what is in flight, which
-            stays counted until it is finished or withdrawn.
+            The removed waiting tickets, to be placed elsewhere, and the running
+            ones, which count as in flight until finished or withdrawn.
         """
         self._close_failure = failure
         waiting = self._waiting.tickets()
@@ -203,26 +205,26 @@
         return DroppedTickets(tuple(waiting), self.running())
 
     def reopen(self) -> None:
-        """Takes tickets again."""
+        """Accepts tickets again."""
         self._close_failure = None
 
     def observe_load(self, observation: LoadObservation, now: float) -> None:
-        """Learns from a load report, which lags.
+        """Updates the limit and the foreign calls from a load report.
 
         Args:
             observation: The report.
-            now: Present time.
+            now: Current time in seconds.
         """
         granted_at = [r.granted_at for r in self._running_by_id.values()]
         self._foreign.record_load(observation, granted_at, now)
         self._limit.record_load(observation, now)
 
     def expected_wait_s(self, ticket: Ticket, now: float) -> float:
-        """Returns the expected wait of a ticket, for probes too.
+        """Returns the expected wait of a ticket; also used for probes.
 
         Args:
-            ticket: Any ticket; it need not be queued.
-            now: Present time.
+            ticket: The ticket; it need not be queued.
+            now: Current time in seconds.
         """
         service_s = self.speed.service_s(ticket)
         ahead_s = self._waiting.work_ahead(ticket, service_s)
@@ -254,8 +256,8 @@
         wait_s = self._drain_s(self._waiting.backlog(ticket, service_s), now)
         if len(self._waiting) >= self._settings.max_waiting:
             return _overloaded(wait_s / 2)
-        # A program under way has cost service already; refusing it would
-        # throw that away, so only new programs are shed.
+        # Only new programs are shed: refusing a program under way would waste
+        # the service it has had.
         if ticket.attained_s > 0:
             return None
         allowed_s = self._max_wait_s(ticket.priority)
@@ -267,8 +269,8 @@
         free = self.limit - self.in_flight(now)
         if free > len(self._waiting):
             return 0.0
-        # Slots free up evenly over a mean call, so the next one is expected
-        # after its share of it.
+        # Running calls are assumed to end evenly spread over a mean call, so
+        # that the next slot frees up after 1/limit of it.
         next_slot_s = self.speed.mean_service_s() if free <= 0 else 0.0
         return (ahead_s + next_slot_s) / max(1, self.limit)
 
@@ -287,8 +289,8 @@
             ticket = self._waiting.head(now)
             if ticket is None:
                 return
-            # An exclusive ticket at the head holds the line until the replica
-            # is empty: a crash then has one cause, and its turn comes.
+            # An exclusive ticket at the head blocks the queue until the replica
+            # is idle. It cannot starve, and a crash has only one suspect.
             if ticket.exclusive and self.in_flight(now) > 0:
                 return
             self._waiting.remove(ticket.ticket_id, served=True)
@@ -313,8 +315,8 @@
 
     def _expire(self, now: float) -> None:
         self._waiting.expire(now)
-        # A lost release would hold its slot for ever and the replica would
-        # idle; no origin keeps a call running past its deadline.
+        # Origins cancel calls at their deadline. If the release is lost, the
+        # slot would stay taken and the replica idle.
         while first := self._running_by_deadline.peek():
             if first[0] + _RUNNING_GRACE_S > now:
                 return
@@ -331,12 +333,12 @@
     settings: QueueSettings | None = None,
     speed: EngineSpeed | None = None,
 ) -> ReplicaQueue:
-    """Returns an empty queue for a replica.
+    """Creates an empty queue for a replica.
 
     Args:
-        replica: The replica's name.
-        settings: How it behaves; defaults where None.
-        speed: What is known of the replica's speed.
+        replica: Name of the replica.
+        settings: Settings of the queue; None for the defaults.
+        speed: Estimated speed of the replica; None for the defaults.
     """
     return ReplicaQueue(
         replica, settings or QueueSettings(), speed or EngineSpeed()
