--- a/libs/routing/src/masticdale_routing/retries.py
+++ b/libs/routing/src/masticdale_routing/retries.py
@@ -1,7 +1,7 @@
-"""When a failed call is sent again, and when a replica gets no calls.
+"""Retry budgets and circuit breakers.
 
-Exactly one layer retries: the owner of the program. Retries of several layers
-multiply, and an upstream that is short of capacity then gets more load.
+Only the owner of a program retries its calls. Retries at several layers would
+multiply and overload an upstream that is short of capacity.
 """
 
 import dataclasses
@@ -17,13 +17,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetrySettings:
-    """Limits of retries towards one upstream.
+    """Limits of the retries to one upstream.
 
     Attributes:
-        share: Retries allowed for each first send.
-        burst: Retries saved up at most; also there at the start.
-        max_attempts: Sends of one call, the first included.
-        base_delay_s: Delay before the first retry; doubles each time.
+        retry_ratio: Retries allowed for each first attempt.
+        burst: Maximum and initial balance of the budget, in retries.
+        max_attempts: Maximum attempts of a call, including the first.
+        base_delay_s: Delay before the first retry; doubles with each retry.
     """
 
     retry_ratio: float = 0.1
@@ -33,7 +33,7 @@
 
 
 class RetryBudget:
-    """Retries of one upstream, as a share of its first sends."""
+    """Limits retries to one upstream to a ratio of its first attempts."""
 
     def __init__(self, settings: RetrySettings) -> None:
         self._settings = settings
@@ -41,21 +41,21 @@
 
     @property
     def settings(self) -> RetrySettings:
-        """The limits."""
+        """Limits of the budget."""
         return self._settings
 
     @property
     def available(self) -> float:
-        """Retries that may be sent at present."""
+        """Retries that the budget currently allows."""
         return self._tokens
 
     def record_first_attempt(self) -> None:
-        """Notes the first send of a call."""
+        """Records the first attempt of a call."""
         settings = self._settings
         self._tokens = min(settings.burst, self._tokens + settings.retry_ratio)
 
     def try_acquire(self) -> bool:
-        """Takes one retry; False when none is left."""
+        """Takes one retry; returns False if none is available."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -64,10 +64,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryAfter:
-    """Send the call again.
+    """Retry the call.
 
     Attributes:
-        delay_s: After this delay.
+        delay_s: Delay before the retry.
     """
 
     delay_s: float
@@ -75,10 +75,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Answer the caller now.
+    """Do not retry; answer the caller now.
 
     Attributes:
-        failure: The final answer.
+        failure: The failure to answer with.
     """
 
     failure: Failure
@@ -86,12 +86,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """A send that failed.
+    """A failed attempt at a call.
 
     Attributes:
-        failure: What it failed with.
-        attempts: Sends so far, this one included.
-        deadline_at: After this the answer is worthless.
+        failure: The failure.
+        attempts: Attempts so far, including this one.
+        deadline_at: Deadline of the call, in seconds.
     """
 
     failure: Failure
@@ -102,15 +102,15 @@
 def decide_retry(
     attempt: FailedAttempt, budget: RetryBudget, now: float
 ) -> RetryAfter | GiveUp:
-    """Decides what follows a failed send of a repeatable call.
+    """Decides whether to retry a call that may be repeated.
 
     Args:
-        attempt: The failed send.
-        budget: The upstream's budget; a retry is taken from it.
-        now: Present time.
+        attempt: The failed attempt.
+        budget: The upstream's budget, from which a retry is taken.
+        now: Current time in seconds.
 
     Returns:
-        When to send again, or the final answer, which is due at once.
+        The delay before the retry, or the final failure.
     """
     settings = budget.settings
     if attempt.failure.kind not in _RETRIABLE:
@@ -126,7 +126,7 @@
 
 
 class CircuitState(enum.StrEnum):
-    """Whether a replica gets calls."""
+    """State of a circuit breaker."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -135,12 +135,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CircuitBreakerSettings:
-    """When a circuit opens and closes.
+    """Thresholds of a circuit breaker.
 
     Attributes:
-        failures_to_open: Consecutive failures that open it.
-        first_open_s: How long it stays open first; doubles each time.
-        longest_open_s: Bound of the doubling.
+        failures_to_open: Consecutive failures that open the circuit.
+        initial_open_s: Duration of the first open period; doubles each time.
+        max_open_s: Upper bound of the doubling.
     """
 
     failures_to_open: int = 3
@@ -149,7 +149,7 @@
 
 
 class CircuitBreaker:
-    """Keeps calls from a replica that fails, and probes it with one call."""
+    """Stops calls to a failing replica and probes it with single calls."""
 
     def __init__(self, settings: CircuitBreakerSettings | None = None) -> None:
         self._settings = settings or CircuitBreakerSettings()
@@ -159,7 +159,7 @@
         self._probe_until: float | None = None
 
     def state(self, now: float) -> CircuitState:
-        """Returns the present state."""
+        """Returns the current state."""
         if self._open_until is None:
             return CircuitState.CLOSED
         if now < self._open_until:
@@ -167,7 +167,7 @@
         return CircuitState.HALF_OPEN
 
     def allows(self, now: float) -> bool:
-        """Returns whether a call would be allowed; takes nothing."""
+        """Returns whether a call would get a permit, without acquiring it."""
         state = self.state(now)
         if state is CircuitState.CLOSED:
             return True
@@ -175,7 +175,7 @@
         return state is CircuitState.HALF_OPEN and not probing
 
     def try_acquire(self, now: float) -> bool:
-        """Takes permission for a call; half open, only one has it at a time.
+        """Acquires a permit for a call; a half-open circuit has only one.
 
         Returns:
             Whether the call may be sent.
@@ -183,20 +183,20 @@
         if not self.allows(now):
             return False
         if self.state(now) is CircuitState.HALF_OPEN:
-            # The probe's end may never be told, as when its host dies; its
-            # permission lapses, or the replica would stay shut out.
+            # The outcome of the probe may be lost, for example if its host
+            # dies. The permit expires, or the circuit would never close.
             self._probe_until = now + _PROBE_LEASE_S
         return True
 
     def record_success(self) -> None:
-        """Notes a call that the replica served."""
+        """Records a successful call."""
         self._consecutive_failures = 0
         self._open_s = self._settings.initial_open_s
         self._open_until = None
         self._probe_until = None
 
     def record_failure(self, now: float) -> None:
-        """Notes a call that failed for the replica's sake."""
+        """Records a call that failed because of the replica."""
         state = self.state(now)
         self._consecutive_failures += 1
         self._probe_until = None
--- a/libs/routing/src/masticdale_routing/routes.py
+++ b/libs/routing/src/masticdale_routing/routes.py
@@ -1,4 +1,4 @@
-"""Routes and services of one configuration, and the choice of a route."""
+"""Routes and services of a configuration, and the lookup of routes."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be repeated of a route's requests."""
+    """Whether and how requests of a route may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -17,11 +17,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service that takes a share of a route's requests.
+    """A service that gets a share of a route's requests.
 
     Attributes:
         service: Name of the service.
-        weight: Its share, relative to the other services of the route.
+        weight: Weight relative to the other services of the route.
     """
 
     service: str
@@ -30,19 +30,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """How requests of one host and path prefix are handled.
+    """Handling of requests to one virtual host and path prefix.
 
     Attributes:
-        name: Unique in a configuration.
-        host: Value of the Host field, in lowercase.
-        path_prefix: Begins and ends with a slash.
-        kind: What may be repeated.
-        timeout_s: After this long the caller gets its final answer.
-        latency_objective_s: Within this long an answer is on time.
-        priority: 0 is the most urgent.
-        services: Who serves it; at least one.
-        max_attempts: Replicas that may run one request, at most.
-        is_resumable: Whether a broken stream may go on at another replica.
+        name: Name, unique in a configuration.
+        host: Value of the Host header, in lowercase.
+        path_prefix: Path prefix that starts and ends with a slash.
+        kind: Whether and how requests may be repeated.
+        timeout_s: Time after which the caller gets its final response.
+        latency_objective_s: Latency within which a response is on time.
+        priority: Priority class; 0 is the most urgent.
+        services: Services of the route; at least one.
+        max_attempts: Maximum number of replicas that run one request.
+        is_resumable: Whether a broken stream may resume at another replica.
     """
 
     name: str
@@ -57,7 +57,7 @@
     is_resumable: bool
 
     def service_for(self, key: str) -> str:
-        """Returns the service for a key, the same one for the same key."""
+        """Returns the service for a key; deterministic per key."""
         if len(self.services) == 1:
             return self.services[0].service
         total = sum(s.weight for s in self.services)
@@ -71,13 +71,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A group of replicas that serve the same.
+    """A group of interchangeable replicas.
 
     Attributes:
         name: Name of the service.
-        max_connections: Connections one replica accepts from all hosts.
-        tokens_per_event: Output tokens of one stream event; 0 where the
-            service is no model.
+        max_connections: Connections that one replica accepts from all hosts.
+        tokens_per_event: Output tokens per stream event; 0 if the service is
+            not a model.
     """
 
     name: str
@@ -86,7 +86,7 @@
 
 
 class RouteTable:
-    """Finds the route of a request."""
+    """Finds the route of a request by host and path."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self._route_by_prefix_by_host: dict[str, dict[str, Route]] = {}
@@ -95,7 +95,7 @@
             by_prefix[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Returns the host's route with the longest prefix of the path."""
+        """Returns the host's route with the longest matching path prefix."""
         by_prefix = self._route_by_prefix_by_host.get(host)
         if by_prefix is None:
             return None
@@ -110,13 +110,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, as the operator has set it.
+    """Limits for callers, set by the operator.
 
     Attributes:
-        header_bytes: Bytes of request line and headers.
-        body_bytes: Bytes of a body.
-        header_timeout_s: From the first byte of a request to its end.
-        idle_timeout_s: Between two requests of one connection.
+        header_bytes: Maximum size of the request line and headers.
+        body_bytes: Maximum size of a body.
+        header_timeout_s: Time from the first byte of a request to its end.
+        idle_timeout_s: Time between two requests of a connection.
     """
 
     header_bytes: int
@@ -127,13 +127,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of what the operator wants.
+    """One version of the operator's configuration.
 
     Attributes:
-        version: Grows with each change.
-        table: Its routes.
-        service_by_name: Its services.
-        limits: What callers may send.
+        version: Increases with each change.
+        table: The routes.
+        service_by_name: The services.
+        limits: Limits for callers.
     """
 
     version: int
