--- a/libs/routing/src/masticdale_routing/speeds.py
+++ b/libs/routing/src/masticdale_routing/speeds.py
@@ -1,4 +1,4 @@
-"""How fast a replica works, learned from the calls it finished."""
+"""Estimates a replica's speed from its finished calls."""
 
 import math
 
@@ -14,9 +14,8 @@
 
     Attributes:
         prefill_tokens_per_s: Speed of computing a prompt.
-        decode_tokens_per_s: Speed of one call's generation, at the present
-            load.
-        generated_tokens: Mean length of an answer.
+        decode_tokens_per_s: Generation speed of one call at the current load.
+        generated_tokens: Mean length of an answer in tokens.
         is_learned: Whether any call has been observed.
     """
 
@@ -32,18 +31,18 @@
         self.is_learned = False
 
     def service_s(self, ticket: Ticket) -> float:
-        """Returns the expected service of a ticket."""
+        """Returns the expected service time of a ticket."""
         generated = self.generated_tokens
         if ticket.max_tokens > 0:
             generated = min(generated, float(ticket.max_tokens))
         return self._predict(ticket.uncached_tokens, generated)
 
     def mean_service_s(self) -> float:
-        """Returns the expected service of a call with a cached prompt."""
+        """Returns the expected service time of a call with a cached prompt."""
         return self._predict(0, self.generated_tokens)
 
     def decode_speed(self, result: TicketResult) -> float | None:
-        """Returns a call's own decode speed, or None if it can't be told."""
+        """Returns a call's decode speed in tokens/s, or None if unknown."""
         uncached = result.prompt_tokens - result.cached_tokens
         prefill_s = result.first_token_s
         if prefill_s <= 0:
@@ -54,10 +53,10 @@
         return result.generated_tokens / decode_s
 
     def observe(self, result: TicketResult) -> None:
-        """Learns from a finished call.
+        """Updates the estimates after a finished call.
 
-        Only the whole duration is known, so prefill and decode each take
-        the part of the error that is their part of the prediction.
+        Only the total duration is known; its error is split between prefill
+        and decode in proportion to their predicted durations.
         """
         if result.service_s <= 0 or result.crashed:
             return
--- a/libs/routing/src/masticdale_routing/suspects.py
+++ b/libs/routing/src/masticdale_routing/suspects.py
@@ -1,9 +1,9 @@
-"""Requests that may crash the replicas that run them.
+"""Quarantines requests that crash the replicas that run them.
 
-A caller sends a crashing request again under new request ids, so it is known
-by a digest of its content. Of an unknown content only one copy runs at a time,
-and after a crash everything that was in flight runs alone: thus at most one
-shared and one exclusive run of the same content crash a replica.
+Callers retry under new request ids, so a request is identified by a digest of
+its content. Content that has never succeeded runs one copy at a time. After a
+crash, all content that was in flight runs exclusively. A request thus crashes
+at most two replicas: in one shared and in one exclusive run.
 """
 
 import collections
@@ -18,7 +18,7 @@
 
 
 class Admission(enum.StrEnum):
-    """Whether a content may run."""
+    """Whether a request content may run."""
 
     RUN = "run"
     RUN_EXCLUSIVE = "run_exclusive"
@@ -27,7 +27,7 @@
 
 
 class SuspectState(enum.StrEnum):
-    """What is known of a content that was in flight at a crash."""
+    """State of a request content that was in flight at a crash."""
 
     SUSPECT = "suspect"
     REFUSED = "refused"
@@ -36,13 +36,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SuspectRecord:
-    """What hosts share about one content.
+    """State of one content, shared between hosts.
 
     Attributes:
         digest: Digest of the content.
-        state: What is known.
-        crashes: Crashes counted against it.
-        version: Grows with each change; the greater one wins a merge.
+        state: State of the content.
+        crashes: Crashes attributed to it.
+        version: Increases with each change; the higher one wins a merge.
     """
 
     digest: str
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Runs:
-    """Runs of one content at present: their leases by run id."""
+    """Current runs of one content: their leases by run id."""
 
     lease_until_by_id: dict[str, float]
     exclusive: bool
@@ -65,10 +65,10 @@
 
 
 class SuspectRegistry:
-    """Admits contents, counts crashes, clears the innocent.
+    """Admits runs, counts crashes and clears content that succeeds.
 
-    One registry must see all runs of a digest for the bound of two crashes to
-    hold, so the daemon keeps it at the digest's home.
+    The bound of two crashes holds only if one registry sees all runs of a
+    digest, so the daemon keeps it at the digest's home.
     """
 
     def __init__(self) -> None:
@@ -82,14 +82,15 @@
         self._exclusive_digest: str | None = None
 
     def admit(self, digest: str, run_id: str, now: float) -> Admission:
-        """Decides whether a content may run now; RUN and RUN_EXCLUSIVE begin.
+        """Decides whether a content may run now.
 
-        A begun run ends with ``crashed``, ``succeeded`` or ``ended``.
+        RUN and RUN_EXCLUSIVE start the run. It ends with ``record_crash``,
+        ``record_success`` or ``end_run``.
 
         Args:
             digest: Digest of the content.
-            run_id: The run, such as its ticket id; asking again is safe.
-            now: Present time.
+            run_id: Id of the run, such as its ticket id; idempotent per id.
+            now: Current time in seconds.
         """
         self._expire(digest, now)
         if self._state(digest) is SuspectState.REFUSED:
@@ -105,21 +106,21 @@
         return Admission.RUN
 
     def record_crash(self, digests: Iterable[str]) -> list[SuspectRecord]:
-        """Notes a replica's crash.
+        """Records a crash of a replica.
 
         Args:
-            digests: Contents that were in flight at the replica.
+            digests: Digests of the content in flight at the replica.
 
         Returns:
-            The records that changed.
+            The changed records.
         """
         return [self._count_crash(digest) for digest in set(digests)]
 
     def record_success(self, digest: str, run_id: str) -> SuspectRecord | None:
-        """Notes a run that ended well: its content is innocent.
+        """Records a successful run, which clears its content.
 
         Returns:
-            The record that changed, if there was one.
+            The changed record, or None if the content was not suspected.
         """
         self.end_run(digest, run_id)
         self._succeeded[digest] = None
@@ -131,7 +132,7 @@
         return self._update_record(digest, SuspectState.CLEARED, 0)
 
     def end_run(self, digest: str, run_id: str) -> None:
-        """Notes a run that ended and proved nothing, such as a cancelled one.
+        """Ends a run without a verdict, such as a cancelled one.
 
         An unknown run is ignored.
         """
@@ -143,21 +144,21 @@
             self._remove_runs(digest)
 
     def release(self, digest: str) -> SuspectRecord | None:
-        """Lets a refused or suspected content run again, for operators.
+        """Clears a refused or suspected content on an operator's request.
 
         Returns:
-            The record that changed, or None if the content was not known.
+            The changed record, or None if the content is unknown.
         """
         if digest not in self._record_by_digest:
             return None
         return self._update_record(digest, SuspectState.CLEARED, 0)
 
     def records(self) -> tuple[SuspectRecord, ...]:
-        """Returns everything known, to be stored and shared."""
+        """Returns all records, to be stored and shared."""
         return tuple(self._record_by_digest.values())
 
     def merge(self, records: Iterable[SuspectRecord]) -> None:
-        """Takes over records of another host or of the store."""
+        """Merges records of another host or of the store."""
         for record in records:
             known = self._record_by_digest.get(record.digest)
             if known is None or _merge_order(known) < _merge_order(record):
@@ -168,8 +169,8 @@
         return record.state if record else SuspectState.CLEARED
 
     def _admit_suspect(self, digest: str, run_id: str, now: float) -> Admission:
-        # One suspect at a time: two that ran at once on two replicas could
-        # both be bad, and the fleet would lose both replicas together.
+        # Only one suspect runs at a time: two suspects on two replicas could
+        # crash both at once.
         if self._exclusive_digest is not None:
             self._expire(self._exclusive_digest, now)
         if self._exclusive_digest is not None or digest in self._runs_by_digest:
@@ -190,8 +191,8 @@
         runs = self._runs_by_digest.get(digest)
         exclusive = runs is not None and runs.exclusive
         record = self._record_by_digest.get(digest)
-        # Only a crash of an exclusive run proves anything: two replicas that
-        # crash for other reasons would condemn whatever both were running.
+        # Only crashes of exclusive runs add up. Otherwise, content in flight at
+        # two replicas that crashed for other reasons would be refused.
         crashes = 1
         if exclusive and record is not None:
             crashes = record.crashes + 1
@@ -224,8 +225,8 @@
             self._exclusive_digest = None
 
     def _expire(self, digest: str, now: float) -> None:
-        # A host that dies never ends its runs; without a lease all further
-        # copies of the content would wait for ever.
+        # A host that dies never ends its runs. Without a lease, all further
+        # copies of the content would wait forever.
         runs = self._runs_by_digest.get(digest)
         if runs is None:
             return
--- a/libs/routing/src/masticdale_routing/tickets.py
+++ b/libs/routing/src/masticdale_routing/tickets.py
@@ -1,4 +1,4 @@
-"""Tickets: one per model or service call that waits for a replica."""
+"""Tickets, which stand for model or service calls in a replica's queue."""
 
 import dataclasses
 
@@ -7,24 +7,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """A call that asks a replica's queue for permission to run.
+    """A call's request to run at a replica.
 
-    Times are seconds of the clock of the host that holds the queue.
+    Times are in seconds, by the clock of the host that holds the queue.
 
     Attributes:
-        ticket_id: Unique per attempt at one replica.
-        origin: Host that asks.
-        workspace: Whose share the call spends.
-        program_id: The program the call belongs to.
-        priority: Class; 0 is served first.
-        queued_at: When the call was first queued anywhere.
-        deadline_at: After this the answer is worthless.
-        attained_s: Service the program has had; 0 for a new program.
-        prompt_tokens: Tokens of the whole context.
-        uncached_tokens: Tokens the replica is expected to compute anew.
-        max_tokens: Most tokens to generate.
+        ticket_id: Id, unique per attempt at one replica.
+        origin: Host that sends the call.
+        workspace: Workspace whose share the call uses.
+        program_id: Id of the call's program.
+        priority: Priority class; 0 is served first.
+        queued_at: Time at which the call was first queued at any replica.
+        deadline_at: Deadline of the call.
+        attained_s: Service time the program has had; 0 if it is new.
+        prompt_tokens: Length of the whole context in tokens.
+        uncached_tokens: Tokens that the replica is expected to compute.
+        max_tokens: Maximum number of tokens to generate.
         content_digest: Digest of the request's content.
-        exclusive: Runs with nothing else in flight.
+        exclusive: Whether the call runs with no other in flight.
     """
 
     ticket_id: str
@@ -44,16 +44,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TicketResult:
-    """How a granted call ended.
+    """Result of a granted call.
 
     Attributes:
-        crashed: Whether the replica died under it.
-        prompt_tokens: Tokens of the prompt.
-        cached_tokens: Prompt tokens the engine had cached.
-        generated_tokens: Tokens generated.
-        service_s: Seconds from the grant to the end; 0 when it never ran.
-        first_token_s: Seconds from the grant to the first token; 0 while
-            unknown.
+        crashed: Whether the replica crashed during the call.
+        prompt_tokens: Length of the prompt in tokens.
+        cached_tokens: Prompt tokens served from the engine's cache.
+        generated_tokens: Number of generated tokens.
+        service_s: Time from the grant to the end; 0 if the call never ran.
+        first_token_s: Time from the grant to the first token; 0 if unknown.
     """
 
     crashed: bool = False
@@ -66,15 +65,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """The call may be sent now."""
+    """The call may be sent to the replica."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queued:
-    """The call waits.
+    """The call waits in the queue.
 
     Attributes:
-        expected_wait_s: Seconds until its turn, as far as known.
+        expected_wait_s: Expected time until its grant.
     """
 
     expected_wait_s: float
@@ -82,10 +81,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The call was not run and will not be.
+    """The queue rejects the call.
 
     Attributes:
-        failure: Why, with an honest time to come back.
+        failure: The reason and, if overloaded, the time after which to retry.
     """
 
     failure: Failure
@@ -96,12 +95,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadObservation:
-    """What a replica said of its load.
+    """Load reported by a replica.
 
     Attributes:
         running: Calls in its batch.
-        waiting: Calls it admitted and has not begun.
-        observed_at: When this was true, by the queue's clock.
+        waiting: Calls that it accepted and has not started.
+        observed_at: Time of the measurement in seconds, by the queue's clock.
     """
 
     running: int
--- a/libs/routing/src/masticdale_routing/waiting.py
+++ b/libs/routing/src/masticdale_routing/waiting.py
@@ -1,8 +1,8 @@
-"""The order of a replica's waiting tickets.
+"""Orders the waiting tickets of a replica.
 
-Priority class first; within a class, shares between workspaces by start-time
-fair queueing; within a workspace, the order of ``QueueOrder``. A ticket older
-than the age bound goes before all others.
+Priority classes are served in ascending order. Within a class, workspaces share
+by start-time fair queueing; within a workspace, ``QueueOrder`` applies. Tickets
+older than the age bound precede all others.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 
 
 class QueueOrder(enum.StrEnum):
-    """Order of tickets of one class and workspace."""
+    """Order of the tickets of one class and workspace."""
 
     FIRST_COME = "first_come"
     ATTAINED_SERVICE = "attained_service"
@@ -92,8 +92,8 @@
             queue = _WorkspaceQueue(self._weight(workspace))
             self._queue_by_workspace[workspace] = queue
         if not queue.heap:
-            # An idle workspace must not save up service and then shut out
-            # the others for as long as it was idle.
+            # An idle workspace accumulates no credit, with which it could
+            # starve the others afterwards.
             queue.virtual_time_s = max(
                 queue.virtual_time_s, self._virtual_time_s
             )
@@ -127,10 +127,10 @@
         return head[1] if head else None
 
     def work_ahead(self, workspace: str, rank: float, own_s: float) -> float:
-        """Returns seconds of service before a new ticket of this class.
+        """Returns the service time ahead of a new ticket of this class.
 
-        Fair queueing lets another workspace put at most its share of the
-        ticket's own way ahead of it, however long its queue is.
+        Other workspaces count by their weights relative to the work of this
+        workspace up to and including the ticket, however long their queues.
         """
         queue = self._queue_by_workspace.get(workspace)
         weight = self._weight(workspace)
@@ -157,7 +157,7 @@
 
 
 class WaitingTickets:
-    """All waiting tickets of one replica."""
+    """The waiting tickets of one replica."""
 
     def __init__(
         self,
@@ -180,15 +180,15 @@
         return ticket_id in self._entry_by_id
 
     def tickets(self) -> list[Ticket]:
-        """Returns all waiting tickets, in no order."""
+        """Returns all waiting tickets in arbitrary order."""
         return [entry.ticket for entry in self._entry_by_id.values()]
 
     def add(self, ticket: Ticket, service_s: float) -> None:
         """Adds a ticket.
 
         Args:
-            ticket: Not waiting yet.
-            service_s: Expected seconds of service.
+            ticket: A ticket that is not waiting yet.
+            service_s: Its expected service time.
         """
         entry = _Entry(ticket, self._rank(ticket), service_s)
         self._entry_by_id[ticket.ticket_id] = entry
@@ -201,12 +201,11 @@
         self._by_deadline.push(ticket.ticket_id, ticket.deadline_at)
 
     def remove(self, ticket_id: str, served: bool = False) -> Ticket | None:
-        """Takes a ticket out.
+        """Removes a ticket.
 
         Args:
-            ticket_id: The ticket.
-            served: Whether it goes to the replica, so that its workspace
-                pays for it.
+            ticket_id: Id of the ticket.
+            served: Whether it was granted, so that its workspace is charged.
 
         Returns:
             The ticket, or None if it was not waiting.
@@ -220,7 +219,7 @@
         return entry.ticket
 
     def head(self, now: float) -> Ticket | None:
-        """Returns the ticket to serve next, or None when nothing waits."""
+        """Returns the ticket to serve next, or None if none waits."""
         oldest = self._by_age.peek()
         if oldest is None:
             return None
@@ -242,23 +241,23 @@
         return expired
 
     def work_ahead(self, ticket: Ticket, service_s: float) -> float:
-        """Returns the expected seconds of service ahead of a ticket.
+        """Returns the expected service time ahead of a ticket.
 
         Args:
-            ticket: Any ticket; one that waits is not ahead of itself.
-            service_s: The ticket's own expected service.
+            ticket: The ticket, waiting or not; it does not count itself.
+            service_s: Its expected service time.
         """
         return self._work_before(ticket, service_s, self._rank(ticket))
 
     def backlog(self, ticket: Ticket, service_s: float) -> float:
-        """Returns the seconds of service that the ticket's class must clear.
+        """Returns the expected service time of the ticket's class backlog.
 
-        Unlike ``work_ahead`` this counts tickets that the order puts behind
-        the ticket. They are under way and wait all the longer for it.
+        Unlike ``work_ahead``, this also counts tickets ordered behind the
+        ticket, because they belong to programs under way that it would delay.
 
         Args:
-            ticket: A ticket that does not wait yet.
-            service_s: The ticket's own expected service.
+            ticket: A ticket that is not waiting yet.
+            service_s: Its expected service time.
         """
         return self._work_before(ticket, service_s, _HIGHEST_RANK)
 
@@ -275,5 +274,5 @@
         return max(0.0, ahead - own.service_s) if own else ahead
 
     def work_by_priority(self) -> dict[int, float]:
-        """Returns the waiting seconds of service of each class."""
+        """Returns the expected service time of the tickets of each class."""
         return {p: q.work_s for p, q in self._class_by_priority.items()}
