--- a/libs/routing/src/masticdale_routing/waiting.py
+++ b/libs/routing/src/masticdale_routing/waiting.py
@@ -250,7 +250,7 @@
         return self._work_before(ticket, service_s, self._rank(ticket))
 
     def backlog(self, ticket: Ticket, service_s: float) -> float:
-        """Returns the expected service time of the ticket's class backlog.
+        """Returns the service time of the backlog that the class must clear.
 
         Unlike ``work_ahead``, this also counts tickets ordered behind the
         ticket, because they belong to programs under way that it would delay.
--- a/libs/routing/tests/test_fleet.py
+++ b/libs/routing/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of replicas."""
+"""Tests of the choice of a replica."""
 
 import collections
 import unittest
@@ -27,16 +27,15 @@
 
 
 class ChooseTest(unittest.TestCase):
-    def test_a_program_stays_at_its_replica(self):
+    def test_requests_of_a_program_go_to_one_replica(self):
         fleet = fleet_of(*(replica(f"r{n}") for n in range(5)))
         chosen = {fleet.choose("engine", "p", 0.0).replica.id for _ in range(9)}
         self.assertEqual(len(chosen), 1)
 
     def test_programs_spread_over_replicas(self):
-        """Pattern: many programs at once, as in a burst of callers.
+        """Rendezvous hashing must not leave a replica idle or overload one.
 
-        500 programs over five replicas; a share of less than half of the mean
-        anywhere would waste a replica, more than twice would fill one.
+        Each of five replicas gets between half and twice the mean share.
         """
         fleet = fleet_of(*(replica(f"r{n}") for n in range(5)))
         count = collections.Counter(
@@ -46,16 +45,16 @@
         self.assertGreater(min(count.values()), 50)
         self.assertLess(max(count.values()), 200)
 
-    def test_a_full_replica_spills_to_the_second_choice(self):
+    def test_a_full_replica_spills_over_to_the_second(self):
         fleet = fleet_of(*(replica(f"r{n}") for n in range(5)))
         first = fleet.choose("engine", "p", 0.0)
         first.in_flight = 10
         second = fleet.choose("engine", "p", 0.0)
         self.assertNotEqual(first.replica.id, second.replica.id)
 
-    def test_draining_and_excluded_replicas_get_nothing(self):
+    def test_draining_and_excluded_replicas_are_not_chosen(self):
         fleet = fleet_of(
-            replica("leaving", is_draining=True), replica("r1"), replica("r2")
+            replica("draining", is_draining=True), replica("r1"), replica("r2")
         )
         chosen = {
             fleet.choose("engine", f"p{n}", 0.0, {"r1"}).replica.id
@@ -63,12 +62,12 @@
         }
         self.assertEqual(chosen, {"r2"})
 
-    def test_no_replica_left(self):
+    def test_without_usable_replicas_none_is_chosen(self):
         fleet = fleet_of(replica("r1", is_draining=True))
         self.assertIsNone(fleet.choose("engine", "p", 0.0))
         self.assertIsNone(fleet.choose("other", "p", 0.0))
 
-    def test_a_failing_replica_is_left_out_and_tried_again(self):
+    def test_a_failing_replica_is_skipped_and_retried(self):
         fleet = fleet_of(replica("r1"), replica("r2"))
         state = {s.replica.id: s for s in fleet.states()}["r1"]
         state.circuit.record_failure(0.0)
@@ -82,10 +81,10 @@
         }
         self.assertEqual(later, {"r1", "r2"})
 
-    def test_a_service_is_never_left_out_whole(self):
-        """All replicas fail for this host, as when its link is cut.
+    def test_a_service_with_all_circuits_open_stays_usable(self):
+        """All calls of this host fail, as in a network partition.
 
-        Leaving all out would refuse requests that some replica may serve.
+        Skipping all replicas would refuse requests that one may serve.
         """
         fleet = fleet_of(replica("r1"), replica("r2"))
         for state in fleet.states():
@@ -93,10 +92,10 @@
                 state.circuit.record_failure(0.0)
         self.assertIsNotNone(fleet.choose("engine", None, 0.1))
 
-    def test_plain_requests_go_where_least_waits(self):
-        """Pattern: six slots a replica; some work ten times the mean.
+    def test_stateless_requests_go_to_the_least_utilized(self):
+        """A replica in another failure domain is chosen only under load.
 
-        Another domain costs 2 ms of way, a request ahead some 20 ms.
+        A load report that has expired is ignored.
         """
         fleet = fleet_of(
             replica("near", slots=6),
@@ -108,13 +107,13 @@
         self.assertEqual(fleet.choose("engine", None, 0.1).replica.id, "far")
         self.assertEqual(fleet.choose("engine", None, 9.0).replica.id, "near")
 
-    def test_a_restart_under_the_same_id_clears_what_was_learned(self):
+    def test_a_restart_under_the_same_id_resets_the_state(self):
         fleet = fleet_of(replica("r1", started_at_ms=1))
         before = next(iter(fleet.states()))
         fleet.put(replica("r1", started_at_ms=2))
         self.assertIsNot(next(iter(fleet.states())), before)
 
-    def test_a_changed_entry_keeps_what_was_learned(self):
+    def test_a_changed_entry_keeps_the_state(self):
         fleet = fleet_of(replica("r1", started_at_ms=1))
         before = next(iter(fleet.states()))
         fleet.put(replica("r1", started_at_ms=1, is_draining=True))
--- a/libs/routing/tests/test_inflight.py
+++ b/libs/routing/tests/test_inflight.py
@@ -1,4 +1,4 @@
-"""Tests of the learned in-flight limit."""
+"""Tests of the adaptive in-flight limit."""
 
 import unittest
 
@@ -6,24 +6,23 @@
 
 
 class InFlightLimitTest(unittest.TestCase):
-    def test_one_fast_call_does_not_collapse_an_idle_replicas_limit(self):
-        # Callers see turns queue before a replica that has nothing to do.
-        # One short call looked ten times as fast as all others; each later
-        # call then counted as slow and took the limit down to 1.
+    def test_one_fast_call_does_not_collapse_the_idle_limit(self):
+        # One outlier must not make each later call count as slow: the limit
+        # would fall to 1, and turns would queue for an idle replica.
         limit = InFlightLimit(InFlightSettings(initial=8))
         limit.record_finished(5000.0, at_limit=False, now=0.0)
         for number in range(200):
             limit.record_finished(500.0, at_limit=False, now=float(number))
         self.assertEqual(limit.limit, 8)
 
-    def test_noise_under_load_leaves_half_of_the_declared_slots(self):
+    def test_noise_under_load_leaves_half_of_the_initial_limit(self):
         limit = InFlightLimit(InFlightSettings(initial=8))
         for number in range(500):
             speed = 5000.0 if number % 50 == 0 else 500.0
             limit.record_finished(speed, at_limit=True, now=float(number))
         self.assertGreaterEqual(limit.limit, 4)
 
-    def test_a_batch_too_large_lowers_the_limit(self):
+    def test_a_slow_batch_lowers_the_limit(self):
         limit = InFlightLimit(InFlightSettings(initial=32))
         for number in range(100):
             limit.record_finished(100.0, at_limit=False, now=float(number))
--- a/libs/routing/tests/test_placement.py
+++ b/libs/routing/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of placement."""
+"""Tests of the placement policies and of probing."""
 
 import unittest
 
@@ -25,7 +25,7 @@
 
 
 class PlacementTest(unittest.TestCase):
-    def test_turn_returns_to_its_prefix_unless_moving_saves_the_margin(self):
+    def test_branch_stays_unless_moving_saves_the_margin(self):
         request = PlacementRequest("p", 20_000, last_replica="a")
         policy = LeastCost(margin_s=1.0, margin_share=0.0)
 
@@ -36,21 +36,21 @@
         self.assertEqual(place_with_wait(2.9), "a")
         self.assertEqual(place_with_wait(3.1), "b")
 
-    def test_slow_replica_costs_its_longer_generation(self):
+    def test_slow_decoding_counts_as_cost(self):
         request = PlacementRequest("p", 100, expected_tokens=500)
         slow = Candidate("a", "d1", decode_tokens_per_s=10.0)
         candidates = [slow, Candidate("b", "d2", 5.0)]
         self.assertEqual(chosen(request, candidates, LeastCost()), "b")
 
-    def test_new_programs_spread_where_costs_are_all_but_equal(self):
-        # Callers see one replica slow under everything while others idle: it
-        # was measured a little faster than they, and drew every new program.
+    def test_nearly_equal_costs_do_not_send_all_to_one_replica(self):
+        # A replica whose estimated speed is slightly higher must not get every
+        # new program while the others idle.
         request = PlacementRequest("p", 100, expected_tokens=32)
         fast = Candidate("a", "d", decode_tokens_per_s=1000.0, in_flight=6)
         idle = Candidate("b", "d", decode_tokens_per_s=900.0)
         self.assertEqual(chosen(request, [fast, idle], LeastCost()), "b")
 
-    def test_nearly_equal_costs_are_settled_by_the_calls_in_flight(self):
+    def test_ties_are_broken_by_the_calls_in_flight(self):
         request = PlacementRequest("p", 100)
         busy = Candidate("a", "d1", 0.0, in_flight=5)
         candidates = [busy, Candidate("b", "d2", 0.2, in_flight=1)]
@@ -70,7 +70,7 @@
         self.assertEqual(chosen(request, candidates, LeastInFlight()), "a")
         self.assertEqual(chosen(request, candidates, Affinity()), "b")
 
-    def test_without_a_usable_replica_the_call_is_refused(self):
+    def test_no_usable_replica_fails_with_no_upstream(self):
         request = PlacementRequest("p", 100)
         result = place(
             request, [Candidate("a", "d", usable=False)], LeastCost()
@@ -88,7 +88,7 @@
             [RoundRobin(), LeastInFlight(), Affinity(), LeastCost()]
         ),
     )
-    def test_only_usable_replicas_and_no_move_that_costs_more(
+    def test_chosen_replica_is_usable_and_costs_no_more_than_staying(
         self, rows, policy
     ):
         candidates = [
@@ -105,8 +105,8 @@
         self.assertIn(placement.replica, usable)
         if isinstance(policy, LeastCost) and "r0" in usable:
             first = rows[0]
-            staying_s = first[0] + (9_000 - first[1]) / 10_000
-            self.assertLessEqual(placement.cost_s, staying_s + 1e-6)
+            stay_cost_s = first[0] + (9_000 - first[1]) / 10_000
+            self.assertLessEqual(placement.cost_s, stay_cost_s + 1e-6)
 
 
 class ProbeTest(unittest.TestCase):
@@ -114,7 +114,7 @@
 
     @settings(derandomize=True, max_examples=100, deadline=None)
     @given(st.text(max_size=8), st.integers(1, 6))
-    def test_probes_are_spread_over_failure_domains(self, key, count):
+    def test_probes_spread_over_failure_domains(self, key, count):
         probes = choose_probes(key, self.LOCATIONS, count)
         domains = {
             x.failure_domain for x in self.LOCATIONS if x.replica in probes
@@ -122,7 +122,7 @@
         self.assertEqual(len(set(probes)), count)
         self.assertEqual(len(domains), min(4, count))
 
-    def test_excluded_replicas_are_not_asked(self):
+    def test_excluded_replicas_are_not_probed(self):
         excluded = {f"r{i}" for i in range(26)}
         probes = choose_probes("p", self.LOCATIONS, 3, excluded)
         self.assertEqual(set(probes), {"r26", "r27"})
