--- a/libs/routing/tests/test_queues.py
+++ b/libs/routing/tests/test_queues.py
@@ -1,4 +1,4 @@
-"""Tests of a replica's queue."""
+"""Tests of the replica queue."""
 
 import unittest
 
@@ -19,7 +19,7 @@
     create_replica_queue,
 )
 
-FAR = 1e6
+FAR_DEADLINE = 1e6
 
 
 def ticket(ticket_id, **fields):
@@ -29,7 +29,7 @@
         "program_id": "p",
         "priority": 1,
         "queued_at": 0.0,
-        "deadline_at": FAR,
+        "deadline_at": FAR_DEADLINE,
         "attained_s": 1.0,
     }
     return Ticket(ticket_id, **{**values, **fields})
@@ -43,7 +43,7 @@
 
 
 def serve_all(replica_queue, now=0.0):
-    """Finishes whatever runs until nothing waits; returns the grant order."""
+    """Finishes running calls until none is left; returns the grant order."""
     order = []
     while True:
         order += [t.ticket_id for t in replica_queue.take_granted(now)]
@@ -59,12 +59,12 @@
         for each in tickets:
             replica_queue.offer(each, 0.0)
 
-    def test_first_class_goes_before_the_rest(self):
+    def test_lower_priority_number_is_served_first(self):
         q = queue()
         self.fill(q, [ticket("b", priority=2), ticket("a", priority=0)])
         self.assertEqual(serve_all(q), ["a", "b"])
 
-    def test_less_attained_service_goes_first(self):
+    def test_least_attained_service_is_served_first(self):
         q = queue()
         self.fill(q, [ticket("b", attained_s=9.0), ticket("a", attained_s=2.0)])
         self.assertEqual(serve_all(q), ["a", "b"])
@@ -74,17 +74,17 @@
         self.fill(q, [ticket("b", attained_s=9.0), ticket("a", queued_at=1.0)])
         self.assertEqual(serve_all(q), ["b", "a"])
 
-    def test_older_than_the_bound_is_never_passed_over(self):
+    def test_ticket_beyond_the_age_bound_is_served_first(self):
         q = queue(age_bound_s=10.0)
         old = ticket("old", attained_s=99.0, priority=2)
         self.fill(q, [old, ticket("new", priority=0, queued_at=9.0)])
         self.assertEqual(serve_all(q, now=10.0), ["old", "new"])
 
-    def test_flood_of_one_workspace_does_not_delay_another(self):
+    def test_backlog_of_one_workspace_does_not_delay_another(self):
         q = queue()
-        flood = [ticket(f"f{i}", workspace="flood") for i in range(20)]
-        self.fill(q, [*flood, ticket("mine", workspace="quiet")])
-        self.assertLessEqual(serve_all(q).index("mine"), 1)
+        backlog = [ticket(f"b{i}", workspace="busy") for i in range(20)]
+        self.fill(q, [*backlog, ticket("single", workspace="quiet")])
+        self.assertLessEqual(serve_all(q).index("single"), 1)
 
     def test_shares_follow_weights(self):
         q = queue(weight_by_workspace={"big": 3.0})
@@ -98,12 +98,11 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    def test_new_programs_are_shed_with_the_time_the_backlog_needs(self):
-        """The caller of a new program gets OVERLOADED and a time to come back.
+    def test_new_programs_are_shed_with_the_excess_wait_as_retry_time(self):
+        """A new program is refused if the expected wait exceeds its bound.
 
-        Ten calls of 4 s are before one slot, the class bears 20 s, so the time
-        is the 20 s that are too many. A program under way is queued:
-        refusing it would throw away what it has cost.
+        Ten calls of 4 s make 40 s; the bound is 20 s. A program under way is
+        queued, since refusing it would waste the service it has had.
         """
         q = queue(max_wait_s_by_priority=(1e9, 20.0))
         q.offer(ticket("first"), 0.0)
@@ -115,15 +114,15 @@
         self.assertAlmostEqual(refused.failure.retry_after_ms, 20_000, delta=1)
         self.assertIsInstance(q.offer(ticket("old"), 0.0), Queued)
 
-    def test_flood_raises_the_wait_of_its_own_workspace_only(self):
+    def test_backlog_raises_the_wait_of_its_own_workspace_only(self):
         q = queue()
         for i in range(50):
-            q.offer(ticket(f"f{i}", workspace="flood"), 0.0)
+            q.offer(ticket(f"b{i}", workspace="busy"), 0.0)
         quiet = q.expected_wait_s(ticket("q", workspace="quiet"), 0.0)
-        flood = q.expected_wait_s(ticket("f", workspace="flood"), 0.0)
-        self.assertLess(quiet * 10, flood)
+        busy = q.expected_wait_s(ticket("b", workspace="busy"), 0.0)
+        self.assertLess(quiet * 10, busy)
 
-    def test_expired_ticket_is_dropped_and_refused(self):
+    def test_expired_ticket_is_removed_and_refused(self):
         q = queue()
         q.offer(ticket("a"), 0.0)
         late = ticket("b", deadline_at=5.0)
@@ -134,14 +133,14 @@
             q.offer(late, 5.0).failure.kind, ErrorKind.DEADLINE_EXCEEDED
         )
 
-    def test_load_report_that_lags_is_corrected_by_what_was_sent_since(self):
-        """Two calls of an earlier home run; the engine says so a second late.
+    def test_lagging_load_report_is_corrected_by_later_grants(self):
+        """Calls of a previous home count as foreign.
 
-        The report is older than our own grant, so all it counts are foreign,
-        and with a limit of four only one more call is let in.
+        The report is older than this queue's grant, so both of its calls are
+        foreign; ignoring them would exceed the limit.
         """
         q = queue(limit=4)
-        q.offer(ticket("mine"), 5.0)
+        q.offer(ticket("own"), 5.0)
         q.observe_load(LoadObservation(2, 0, observed_at=4.5), 5.5)
         self.assertEqual(q.in_flight(5.5), 3)
         self.assertIsInstance(q.offer(ticket("a"), 5.5), Granted)
@@ -152,7 +151,7 @@
         q.observe_load(LoadObservation(6, 3, observed_at=0.0), 0.0)
         self.assertEqual(q.limit, 6)
 
-    def test_limit_grows_while_speed_holds_and_falls_when_it_drops(self):
+    def test_limit_increases_at_steady_speed_and_decreases_on_a_drop(self):
         settings = QueueSettings(in_flight=InFlightSettings(4, 64))
         q = create_replica_queue("r1", settings)
         for i in range(400):
@@ -170,10 +169,9 @@
         self.assertLess(q.limit, grown)
 
     def test_one_fast_outlier_does_not_shrink_the_limit(self):
-        """The limit stays though one call seemed ten times as fast.
+        """One call with an understated duration must not set the best speed.
 
-        Its duration was told too short, so its speed became the best seen;
-        every later batch looked too large and the replica idled.
+        Every later batch would look too large and the replica would idle.
         """
         q = queue(limit=8)
         for i in range(100):
@@ -187,9 +185,9 @@
 
 class FailureTest(unittest.TestCase):
     def test_exclusive_ticket_runs_with_nothing_else_in_flight(self):
-        """A crash suspect waits until the replica is empty, then runs alone.
+        """A crash suspect runs alone, so that a crash has only one suspect.
 
-        Calls behind it wait meanwhile: a crash must have one possible cause.
+        It waits until the replica is idle; the tickets behind it wait too.
         """
         q = queue(limit=4)
         q.offer(ticket("a"), 0.0)
@@ -205,8 +203,8 @@
     def test_lost_release_frees_its_slot_after_the_deadline(self):
         """The owner dies between a grant and its release.
 
-        The slot stays taken until the call's deadline and a grace are over;
-        then the next ticket runs. Without this the replica would idle.
+        The slot is freed a grace period after the call's deadline; otherwise
+        the replica would idle.
         """
         q = queue()
         q.offer(ticket("a", deadline_at=10.0), 0.0)
@@ -214,11 +212,11 @@
         self.assertEqual(q.take_granted(39.0), [])
         self.assertEqual([t.ticket_id for t in q.take_granted(41.0)], ["b"])
 
-    def test_tickets_of_a_dead_origin_are_dropped(self):
+    def test_tickets_of_a_dead_origin_are_removed(self):
         """A host dies with one call running and one waiting.
 
-        Both are dropped at once, and the running one is named so that the
-        home cancels it at the engine.
+        Both are removed; the running one is returned, so that the home can
+        cancel it at the engine.
         """
         q = queue()
         q.offer(ticket("a", origin="dead"), 0.0)
@@ -229,21 +227,20 @@
         self.assertEqual([t.ticket_id for t in dropped.waiting], ["b"])
         self.assertEqual([t.ticket_id for t in q.take_granted(0.0)], ["c"])
 
-    def test_new_home_adopts_what_runs(self):
-        """The home's host dies; owners offer again at the new home.
+    def test_new_home_adopts_running_calls(self):
+        """After a failover of the home, running calls keep their slots.
 
-        A call that already runs is adopted and takes its slot, so the new
-        home does not send a second batch on top of the first.
+        Otherwise the new home would send a second batch to the replica.
         """
         q = queue()
         q.adopt(ticket("running"), 0.0)
         self.assertIsInstance(q.offer(ticket("running"), 0.0), Granted)
         self.assertIsInstance(q.offer(ticket("next"), 0.0), Queued)
 
-    def test_leaving_replica_gives_back_what_waits(self):
-        """The replica leaves: what waits is handed back to be placed again.
+    def test_closed_queue_returns_its_waiting_tickets(self):
+        """Waiting tickets of a leaving replica must be placed elsewhere.
 
-        What is in flight stays counted until it ends; offers are refused.
+        Running calls still count as in flight; further offers are refused.
         """
         q = queue()
         q.offer(ticket("a"), 0.0)
@@ -256,7 +253,7 @@
 
 OPERATIONS = st.lists(
     st.tuples(
-        st.sampled_from(["offer", "again", "finish", "withdraw", "grants"]),
+        st.sampled_from(["offer", "repeat", "finish", "withdraw", "grants"]),
         st.integers(0, 15),
         st.integers(0, 2),
         st.floats(0, 5),
@@ -281,7 +278,7 @@
                 attained_s=float(1 + number % 5),
                 exclusive=number == 7,
             )
-            if name in ("offer", "again"):
+            if name in ("offer", "repeat"):
                 answer = q.offer(each, now)
                 held.add(each.ticket_id)
                 if isinstance(answer, Granted):
@@ -312,7 +309,7 @@
             max_size=30,
         )
     )
-    def test_order_is_age_bound_then_class_then_attained(self, rows):
+    def test_order_is_age_bound_then_priority_then_attained_service(self, rows):
         q = queue(age_bound_s=40.0)
         q.offer(ticket("first"), 0.0)
         q.take_granted(0.0)
--- a/libs/routing/tests/test_retries.py
+++ b/libs/routing/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of retry budgets and circuits."""
+"""Tests of retry budgets and circuit breakers."""
 
 import unittest
 
@@ -24,23 +24,24 @@
 class RetryTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=100, deadline=None)
     @given(st.lists(st.booleans(), max_size=300))
-    def test_retries_stay_a_share_of_first_sends(self, failed_sends):
-        """A replica is down and callers press on.
+    def test_retries_stay_within_the_ratio_of_first_attempts(
+        self, failed_attempts
+    ):
+        """Retries must not multiply the load on a failing upstream.
 
-        However sends and failures mix, retries never pass the burst plus a
-        tenth of the first sends, so they cannot multiply the load.
+        They stay within the burst plus a tenth of the first attempts.
         """
         budget = RetryBudget(RetrySettings(retry_ratio=0.1, burst=5.0))
         retries = 0
-        for is_failed in failed_sends:
+        for is_failed in failed_attempts:
             budget.record_first_attempt()
             attempt = FailedAttempt(FAILED, 1, 100.0)
             if is_failed:
                 decision = decide_retry(attempt, budget, 0.0)
                 retries += isinstance(decision, RetryAfter)
-        self.assertLessEqual(retries, 5 + 0.1 * len(failed_sends))
+        self.assertLessEqual(retries, 5 + 0.1 * len(failed_attempts))
 
-    def test_gives_up_at_once_when_another_send_cannot_help(self):
+    def test_gives_up_at_once_if_a_retry_cannot_help(self):
         budget = RetryBudget(RetrySettings())
         refused = Failure(ErrorKind.QUARANTINED)
         for attempt in (
@@ -53,12 +54,12 @@
         self.assertEqual(budget.available, 10.0)
 
 
-class CircuitTest(unittest.TestCase):
-    def test_failing_replica_is_left_alone_and_probed_by_one_call(self):
-        """A replica fails three times and is down for a while.
+class CircuitBreakerTest(unittest.TestCase):
+    def test_circuit_opens_and_is_probed_by_one_call(self):
+        """A failing replica must get one probe at a time.
 
-        It gets no calls for a second, then one; that fails, so it is left
-        alone twice as long; the next probe succeeds and it serves again.
+        A failed probe doubles the open period; a successful one closes the
+        circuit.
         """
         circuit = CircuitBreaker(CircuitBreakerSettings(3, 1.0, 30.0))
         for _ in range(3):
@@ -73,8 +74,8 @@
         circuit.record_success()
         self.assertIs(circuit.state(3.3), CircuitState.CLOSED)
 
-    def test_probe_whose_end_is_never_told_lapses(self):
-        """The host that sent the probe dies; another probe follows later."""
+    def test_probe_without_an_outcome_expires(self):
+        """The host of a probe dies; the circuit must not stay half open."""
         circuit = CircuitBreaker(CircuitBreakerSettings(1, 1.0, 30.0))
         circuit.record_failure(0.0)
         self.assertTrue(circuit.try_acquire(2.0))
--- a/libs/routing/tests/test_routes.py
+++ b/libs/routing/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Tests of finding a request's route."""
+"""Tests of the route lookup and of weighted services."""
 
 import collections
 import unittest
@@ -29,7 +29,7 @@
 
 
 class FindTest(unittest.TestCase):
-    def test_paths(self):
+    def test_longest_path_prefix_wins(self):
         table = RouteTable(
             [route("/a/"), route("/a/b/"), route("/c/", host="other.example")]
         )
@@ -47,17 +47,17 @@
                 found = table.find(host, path)
                 self.assertEqual(found.name if found else None, expected)
 
-    def test_a_split_follows_its_weights_and_keeps_each_key(self):
-        split = route(
+    def test_services_follow_their_weights_and_are_stable_per_key(self):
+        weighted = route(
             "/a/",
             services=(WeightedService("x", 90), WeightedService("y", 10)),
         )
         count = collections.Counter(
-            split.service_for(f"key-{n}") for n in range(2000)
+            weighted.service_for(f"key-{n}") for n in range(2000)
         )
         self.assertGreater(count["y"], 120)
         self.assertLess(count["y"], 290)
-        self.assertEqual(split.service_for("k"), split.service_for("k"))
+        self.assertEqual(weighted.service_for("k"), weighted.service_for("k"))
 
 
 if __name__ == "__main__":
