--- a/libs/routing/tests/test_suspects.py
+++ b/libs/routing/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of the crash suspects."""
+"""Tests of the suspect registry."""
 
 import unittest
 
@@ -9,12 +9,10 @@
 
 
 class SuspectRegistryTest(unittest.TestCase):
-    def test_bad_request_crashes_two_replicas_and_is_then_refused(self):
-        """A caller sends one crashing request ten times at once, new ids each.
+    def test_bad_request_is_refused_after_two_crashes(self):
+        """A crashing request, sent ten times at once, crashes two replicas.
 
-        One copy runs and crashes the first replica; the others wait. Then one
-        copy runs alone and crashes the second. From then on every copy is
-        refused at once, before it reaches a replica.
+        One copy at a time runs: the first shared, the second exclusive.
         """
         registry = SuspectRegistry()
         answers = [registry.admit("bad", f"r{i}", 0.0) for i in range(10)]
@@ -28,11 +26,10 @@
         self.assertIs(record.state, SuspectState.REFUSED)
         self.assertIs(registry.admit("bad", "r11", 2.0), Admission.REFUSED)
 
-    def test_innocent_is_cleared_by_one_exclusive_run(self):
-        """An innocent call was in flight at the crash of another.
+    def test_good_request_is_cleared_by_one_exclusive_run(self):
+        """A good request in flight at a crash must not stay suspected.
 
-        Its caller sees one slower answer: it runs again, alone, succeeds, and
-        later copies of it run at once and together again.
+        After one exclusive run its copies run concurrently again.
         """
         registry = SuspectRegistry()
         registry.admit("bad", "r1", 0.0)
@@ -47,11 +44,10 @@
         self.assertIs(registry.admit("good", "r3", 0.0), Admission.RUN)
         self.assertIs(registry.admit("good", "r4", 0.0), Admission.RUN)
 
-    def test_two_shared_crashes_do_not_condemn(self):
-        """Two replicas crash at once, each by its own bad request.
+    def test_two_crashes_of_shared_runs_do_not_refuse(self):
+        """Good content in flight at two crashes must not be refused.
 
-        A proven content was in flight at both. It did nothing wrong, so it is
-        only suspected and clears itself by one exclusive run.
+        It is only suspected, and may clear itself by an exclusive run.
         """
         registry = SuspectRegistry()
         registry.admit("ping", "r0", 0.0)
@@ -64,39 +60,36 @@
             registry.admit("ping", "r3", 0.0), Admission.RUN_EXCLUSIVE
         )
 
-    def test_run_of_a_dead_host_stops_blocking_its_copies(self):
-        """The host that ran a content dies and never tells the end.
-
-        Copies wait until the run's lease lapses, and then run.
-        """
+    def test_lease_of_a_dead_host_expires(self):
+        """A host dies during a run; copies must not wait forever."""
         registry = SuspectRegistry()
         registry.admit("x", "r1", 0.0)
         self.assertIs(registry.admit("x", "r2", 899.0), Admission.WAIT)
         self.assertIs(registry.admit("x", "r2", 901.0), Admission.RUN)
 
-    def test_asking_again_is_idempotent(self):
+    def test_admit_is_idempotent_per_run(self):
         registry = SuspectRegistry()
         for _ in range(2):
             self.assertIs(registry.admit("x", "r1", 0.0), Admission.RUN)
         registry.end_run("x", "r1")
         self.assertIs(registry.admit("x", "r2", 0.0), Admission.RUN)
 
-    def test_merge_takes_the_newer_record_and_operators_release(self):
-        here, there = SuspectRegistry(), SuspectRegistry()
-        here.admit("bad", "r1", 0.0)
-        here.record_crash(["bad"])
-        here.admit("bad", "r1", 0.0)
-        here.record_crash(["bad"])
-        refused = here.records()
-        there.merge(refused)
-        self.assertIs(there.admit("bad", "r2", 0.0), Admission.REFUSED)
-        there.release("bad")
-        there.merge(refused)
-        self.assertIs(there.admit("bad", "r2", 0.0), Admission.RUN)
+    def test_merge_keeps_the_newer_record_after_a_release(self):
+        local, remote = SuspectRegistry(), SuspectRegistry()
+        local.admit("bad", "r1", 0.0)
+        local.record_crash(["bad"])
+        local.admit("bad", "r1", 0.0)
+        local.record_crash(["bad"])
+        refused = local.records()
+        remote.merge(refused)
+        self.assertIs(remote.admit("bad", "r2", 0.0), Admission.REFUSED)
+        remote.release("bad")
+        remote.merge(refused)
+        self.assertIs(remote.admit("bad", "r2", 0.0), Admission.RUN)
 
 
-class _Fleet:
-    """Three replicas that crash when a bad content runs on them."""
+class _SimulatedFleet:
+    """Three replicas that crash if they run bad content."""
 
     def __init__(self):
         self.registry = SuspectRegistry()
@@ -108,13 +101,13 @@
         answer = self.registry.admit(digest, run_id, 0.0)
         if answer not in (Admission.RUN, Admission.RUN_EXCLUSIVE):
             return
-        alone = answer is Admission.RUN_EXCLUSIVE
+        is_exclusive = answer is Admission.RUN_EXCLUSIVE
         for name in sorted(self.runs_by_replica, key=lambda n: n != preferred):
             runs = self.runs_by_replica[name]
-            if name in self.exclusive or (alone and runs):
+            if name in self.exclusive or (is_exclusive and runs):
                 continue
             runs[run_id] = digest
-            if alone:
+            if is_exclusive:
                 self.exclusive.add(name)
             return
         self.registry.end_run(digest, run_id)
@@ -145,13 +138,13 @@
             max_size=80,
         )
     )
-    def test_two_crashes_at_most_and_innocents_are_cleared(self, steps):
-        """Any interleaving of sends and ends, with two bad contents.
+    def test_at_most_two_crashes_and_good_content_is_cleared(self, steps):
+        """Any interleaving of run starts and ends, with two bad contents.
 
-        Each bad content crashes at most two replicas, and once everything
-        has ended every innocent content runs again without being alone.
+        Each bad content crashes at most two replicas. At the end, all good
+        content runs without exclusivity.
         """
-        fleet, bad = _Fleet(), {"x", "y"}
+        fleet, bad = _SimulatedFleet(), {"x", "y"}
         for index, (is_start, digest, replica) in enumerate(steps):
             if is_start:
                 fleet.start(digest, f"r{index}", replica)
