--- a/libs/routing/src/masticdale_routing/limits.py
+++ b/libs/routing/src/masticdale_routing/limits.py
@@ -63,16 +63,16 @@
         live_hosts: All live hosts.
     """
     ranked = hashing.rank(workspace, {*live_hosts, host})
-    whole, rest = divmod(limits.concurrent_turns, len(ranked))
-    own = whole + (1 if ranked.index(host) < rest else 0)
+    quotient, remainder = divmod(limits.concurrent_turns, len(ranked))
+    own_turns = quotient + (1 if ranked.index(host) < remainder else 0)
     # Only hosts that may run a turn get a part of the rate and the burst.
-    holders = len(ranked) if whole > 0 else max(1, rest)
-    part = 1 / holders if own > 0 else 0.0
+    holders = len(ranked) if quotient > 0 else max(1, remainder)
+    part = 1 / holders if own_turns > 0 else 0.0
     return HostShare(
-        own,
+        own_turns,
         limits.turns_per_s * part,
-        max(1.0, limits.burst * part) if own > 0 else 0.0,
-        "" if own > 0 else ranked[0],
+        max(1.0, limits.burst * part) if own_turns > 0 else 0.0,
+        "" if own_turns > 0 else ranked[0],
     )
 
 
