--- a/libs/routing/src/masticdale_routing/__init__.py
+++ b/libs/routing/src/masticdale_routing/__init__.py
@@ -1,7 +1,7 @@
-"""Placement, admission, retries and suspects; decisions without I/O.
+"""Placement, admission control, retries and crash suspects, without I/O.
 
-The names below are loaded when they are first used: processes that need only
-some of the modules start sooner.
+Submodules are imported lazily, on first access to one of their names, which
+shortens the start of processes that need only some of them.
 """
 
 import importlib
@@ -74,7 +74,7 @@
     from masticdale_routing.tickets import (
         Granted,
         LoadObservation,
-        Offer,
+        OfferResult,
         Queued,
         Refused,
         Ticket,
@@ -147,7 +147,7 @@
     "tickets": (
         "Granted",
         "LoadObservation",
-        "Offer",
+        "OfferResult",
         "Queued",
         "Refused",
         "Ticket",
@@ -189,7 +189,7 @@
     "LeastInFlight",
     "LoadObservation",
     "Location",
-    "Offer",
+    "OfferResult",
     "PauseAction",
     "PauseDecision",
     "PauseKey",
