--- a/libs/ledger/src/masticdale_ledger/isolation.py
+++ b/libs/ledger/src/masticdale_ledger/isolation.py
@@ -65,37 +65,47 @@
             without an arbiter, the standby.
     """
     side = Side.STANDBY if is_standby else Side.OWNER
-    return {a.program_id: _share(a, side is remainder_side) for a in accounts}
+    return {
+        a.program_id: _isolation_quota(a, side is remainder_side)
+        for a in accounts
+    }
 
 
-def _share(account: Account, is_holder: bool) -> IsolationQuota:
+def _isolation_quota(account: Account, gets_remainder: bool) -> IsolationQuota:
     if account.bound is not None:
         # A record leaves room for at most two turns. Half of that may not
         # cover a turn, yet would count as spent after each loss of an owner.
         return IsolationQuota(account.spent_tokens, 0)
-    most = account.most_tokens
-    free = max(0, account.ceiling_tokens - account.taken_tokens)
-    most_free = max(0, account.ceiling_tokens - account.spent_tokens)
+    turn_tokens = account.most_tokens
+    unspent_tokens = max(0, account.ceiling_tokens - account.taken_tokens)
+    peer_unspent_tokens = max(0, account.ceiling_tokens - account.spent_tokens)
     if account.awaits_standby:
         # The standby does not hold this account, so a host that seals the
         # standby would count the program from zero. A replaced owner must not
         # admit its turns as well.
-        free = 0
+        unspent_tokens = 0
     return IsolationQuota(
-        limit_tokens=account.spent_tokens + _part(free, most, is_holder),
-        peer_tokens=_part(most_free, most, not is_holder),
+        limit_tokens=account.spent_tokens
+        + _split_tokens(unspent_tokens, turn_tokens, gets_remainder),
+        peer_tokens=_split_tokens(
+            peer_unspent_tokens, turn_tokens, not gets_remainder
+        ),
     )
 
 
-def _part(free: int, most: int, is_holder: bool) -> int:
+def _split_tokens(
+    unspent_tokens: int, turn_tokens: int, gets_remainder: bool
+) -> int:
     """Returns half of the tokens, or a whole turn if half is less than one.
 
     Only one of the two hosts gets the whole turn; the other gets the rest.
     Without it, programs near their limit would be admitted by neither host.
     """
-    half = free // 2
-    holders = half if half >= most else min(free, most)
-    return holders if is_holder else free - holders
+    half = unspent_tokens // 2
+    larger_part = (
+        half if half >= turn_tokens else min(unspent_tokens, turn_tokens)
+    )
+    return larger_part if gets_remainder else unspent_tokens - larger_part
 
 
 def charge_owner_quota(
