--- a/libs/ledger/src/masticdale_ledger/peer_store.py
+++ b/libs/ledger/src/masticdale_ledger/peer_store.py
@@ -1,4 +1,4 @@
-"""Store calls that another host makes for this one, at both ends."""
+"""Store calls relayed through another host: the client and the server side."""
 
 from returns.result import Failure as Failed
 from returns.result import Result, Success
@@ -14,18 +14,19 @@
 from masticdale_platform import ObjectStore, StoredObject, WatchBatch
 from masticdale_rpc import RpcClient
 
-# What another host may take for a call besides a watch's wait, in seconds:
-# one timeout of the store's client there.
+# Timeout of a relayed call in seconds, besides a watch's wait: one timeout of
+# the other host's store client.
 _RELAY_TIMEOUT_S = 1.0
-# How long a host waits at another one for something new, in seconds. The host
-# asked may have gone silent; a change of the configuration has to be in force
-# two seconds after it, so that this, a timeout and a list of one's own fit in.
+# How long a follower waits at a leader for changes, in seconds. The leader may
+# stop answering: this wait, the timeout and a list from the store itself must
+# fit into the 2 s within which a configuration change has to take effect.
 _FOLLOW_WAIT_S = 0.8
+# Timeout of such a call in seconds, besides its wait.
 _FOLLOW_TIMEOUT_S = 0.3
 
 
 class PeerStore:
-    """An ``ObjectStore`` that another host asks for us."""
+    """An ``ObjectStore`` whose calls another host makes for this one."""
 
     def __init__(self, peer: RpcClient) -> None:
         self._peer = peer
@@ -33,7 +34,7 @@
     async def read(self, key: str) -> Result[StoredObject | None, Failure]:
         """See ``ObjectStore.read``."""
         reply = await self._call(StoreRequest("read", key))
-        return reply.map(lambda r: _stored(r.items[0]) if r.items else None)
+        return reply.map(lambda r: _to_object(r.items[0]) if r.items else None)
 
     async def write(
         self, key: str, value: bytes, expected_version: int
@@ -55,7 +56,7 @@
     ) -> Result[tuple[StoredObject, ...], Failure]:
         """See ``ObjectStore.list``."""
         reply = await self._call(StoreRequest("list", prefix))
-        return reply.map(lambda r: tuple(_stored(i) for i in r.items))
+        return reply.map(lambda r: tuple(_to_object(i) for i in r.items))
 
     async def watch(
         self, prefix: str, position: int, wait_s: float
@@ -64,15 +65,15 @@
         request = StoreRequest(
             "watch", prefix, position=position, wait_ms=int(1000 * wait_s)
         )
-        return (await self._call(request, wait_s)).map(_batch)
+        return (await self._call(request, wait_s)).map(_to_batch)
 
     async def follow(
         self, prefix: str, position: int
     ) -> Result[WatchBatch, Failure]:
-        """Waits for what the other host's own watches return.
+        """Waits for changes that the other host's own watches return.
 
-        Failures: those of ``SharedWatches.newer``; PEER_UNAVAILABLE where the
-        host does not answer.
+        Failures: those of ``SharedWatches.wait_newer``; PEER_UNAVAILABLE if
+        the host does not answer.
         """
         wait_s = _FOLLOW_WAIT_S if position else 0.0
         request = StoreRequest(
@@ -86,7 +87,7 @@
         reply = outcome.unwrap()
         if reply.failure is not None:
             return Failed(reply.failure)
-        return Success(_batch(reply))
+        return Success(_to_batch(reply))
 
     async def _call(
         self, request: StoreRequest, wait_s: float = 0.0
@@ -111,19 +112,20 @@
     request: StoreRequest,
     shared: SharedWatches | None = None,
 ) -> StoreReply:
-    """Makes a store call for another host, on the direct way only.
+    """Makes a store call for another host; never relays it further.
 
     Args:
         direct: The store.
         request: The call.
-        shared: What this host's own watches have returned.
+        shared: The results of this host's own watches; None if it has none,
+            so that it can't be followed.
     """
     key = request.key
     outcome: Result[StoreReply, Failure]
     match request.operation:
         case "read":
             outcome = (await direct.read(key)).map(
-                lambda item: StoreReply((_item(item),) if item else ())
+                lambda item: StoreReply((_to_item(item),) if item else ())
             )
         case "write":
             outcome = (
@@ -135,49 +137,49 @@
             )
         case "list":
             outcome = (await direct.list(key)).map(
-                lambda items: StoreReply(tuple(_item(i) for i in items))
+                lambda items: StoreReply(tuple(_to_item(i) for i in items))
             )
         case "watch":
             outcome = (
                 await direct.watch(
                     key, request.position, request.wait_ms / 1000
                 )
-            ).map(_reply)
+            ).map(_to_reply)
         case "follow" if shared is not None:
             outcome = (
-                await shared.newer(
+                await shared.wait_newer(
                     key, request.position, request.wait_ms / 1000
                 )
-            ).map(_reply)
+            ).map(_to_reply)
         case _:
-            detail = f"operation {request.operation}"
+            detail = f"unknown store operation: {request.operation}"
             return StoreReply(failure=Failure(ErrorKind.BAD_REQUEST, detail))
     if isinstance(outcome, Failed):
         return StoreReply(failure=outcome.failure())
     return outcome.unwrap()
 
 
-def _reply(batch: WatchBatch) -> StoreReply:
+def _to_reply(batch: WatchBatch) -> StoreReply:
     return StoreReply(
-        tuple(_item(i) for i in batch.changed),
+        tuple(_to_item(i) for i in batch.changed),
         batch.deleted_keys,
         batch.position,
         batch.is_snapshot,
     )
 
 
-def _batch(reply: StoreReply) -> WatchBatch:
+def _to_batch(reply: StoreReply) -> WatchBatch:
     return WatchBatch(
         reply.position,
-        tuple(_stored(i) for i in reply.items),
+        tuple(_to_object(i) for i in reply.items),
         reply.deleted_keys,
         reply.is_snapshot,
     )
 
 
-def _stored(item: StoreItem) -> StoredObject:
+def _to_object(item: StoreItem) -> StoredObject:
     return StoredObject(item.key, item.version, item.value.encode())
 
 
-def _item(stored: StoredObject) -> StoreItem:
+def _to_item(stored: StoredObject) -> StoreItem:
     return StoreItem(stored.key, stored.version, stored.value.decode())
--- a/libs/ledger/src/masticdale_ledger/shared_watches.py
+++ b/libs/ledger/src/masticdale_ledger/shared_watches.py
@@ -1,9 +1,8 @@
-"""What this host's watches have returned, for hosts that watch through it.
+"""Serves the results of this host's store watches to other hosts.
 
-Each change costs every host that watches the store a call, and each outage
-some calls a second for as long as it lasts. Where three hosts watch and the
-others ask them, the calls follow the changes and not the number of hosts. It
-costs each host that follows about a call a second and kind between hosts.
+Only a few hosts, the leaders, watch the store; the others follow a leader. The
+load on the store then grows with the number of changes and not with the number
+of hosts. Each follower makes about one call per second and prefix to a leader.
 """
 
 import asyncio
@@ -18,12 +17,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Part:
-    """One followed prefix.
+class _WatchedPrefix:
+    """The state of one watched prefix.
 
     Attributes:
-        position: The store's position of what is held.
-        object_by_key: The objects.
+        position: The store position that the objects reflect.
+        object_by_key: The objects under the prefix.
     """
 
     position: int = 0
@@ -33,84 +32,90 @@
 
 
 class SharedWatches:
-    """The newest of each prefix that this host watches."""
+    """The latest known state of each prefix that this host watches."""
 
     def __init__(self) -> None:
-        self._part_by_prefix: dict[str, _Part] = {}
-        self._is_lost = True
+        self._state_by_prefix: dict[str, _WatchedPrefix] = {}
+        self._is_store_unavailable = True
         self._changed = asyncio.Event()
 
-    def take(self, prefix: str, asked_from: int, batch: WatchBatch) -> None:
-        """Takes what a watch of this host has returned, by whichever way.
+    def apply(self, prefix: str, from_position: int, batch: WatchBatch) -> None:
+        """Applies a batch that a watch of this host returned.
 
         Args:
-            prefix: What was watched.
-            asked_from: The position from which it was.
-            batch: What came.
+            prefix: The watched prefix.
+            from_position: The position at which the watch began.
+            batch: The batch, read from the store or through another host.
         """
-        part = self._part_by_prefix.get(prefix)
+        state = self._state_by_prefix.get(prefix)
         if batch.is_snapshot:
-            part = self._part_by_prefix[prefix] = _Part()
-        elif part is None or part.position != asked_from:
-            # What lies between was taken elsewhere. Passed on with a newer
-            # position, hosts would miss it for good: a replica that leaves
-            # would get new work from all who follow this one.
-            self._part_by_prefix.pop(prefix, None)
-            self._wake()
+            state = self._state_by_prefix[prefix] = _WatchedPrefix()
+        elif state is None or state.position != from_position:
+            # The changes in between are missing here. Followers that got the
+            # newer position without them would never see them: they would go
+            # on sending work to a replica that is leaving.
+            self._state_by_prefix.pop(prefix, None)
+            self._notify()
             return
         for stored in batch.changed:
-            part.object_by_key[stored.key] = stored
+            state.object_by_key[stored.key] = stored
         for key in batch.deleted_keys:
-            part.object_by_key.pop(key, None)
-        part.position = batch.position
-        self._wake()
+            state.object_by_key.pop(key, None)
+        state.position = batch.position
+        self._notify()
 
-    def regain(self) -> None:
-        """Notes that the store answers this host."""
-        self._is_lost = False
-        self._wake()
+    def mark_store_available(self) -> None:
+        """Records that the store answers this host."""
+        self._is_store_unavailable = False
+        self._notify()
 
-    def lose(self) -> None:
-        """Notes that the store does not answer this host."""
-        self._is_lost = True
-        self._wake()
+    def mark_store_unavailable(self) -> None:
+        """Records that the store does not answer this host."""
+        self._is_store_unavailable = True
+        self._notify()
 
-    async def newer(
+    async def wait_newer(
         self, prefix: str, position: int, wait_s: float
     ) -> Result[WatchBatch, Failure]:
-        """Waits for something newer than a position.
+        """Waits for a state newer than a position.
+
+        Args:
+            prefix: The watched prefix.
+            position: The position that the follower has.
+            wait_s: The longest wait, in seconds.
 
         Returns:
-            All objects, or an empty batch after the wait. NOT_FOUND where the
-            prefix is not followed here; PLATFORM_UNAVAILABLE where the store
-            does not answer this host either.
+            A snapshot of the prefix, or an empty batch after the wait.
+
+        Failures: NOT_FOUND if this host does not watch the prefix;
+        PLATFORM_UNAVAILABLE if the store does not answer this host either.
         """
         deadline = asyncio.get_running_loop().time() + wait_s
         while True:
-            part = self._part_by_prefix.get(prefix)
-            if part is None:
+            state = self._state_by_prefix.get(prefix)
+            if state is None:
                 return Failed(Failure(ErrorKind.NOT_FOUND, prefix))
-            if self._is_lost:
-                detail = "the host asked has lost the store"
+            if self._is_store_unavailable:
+                detail = "the leader can't reach the store"
                 failure = Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail)
                 return Failed(failure)
-            # A host that knows more has asked another one before.
-            if part.position > position:
-                return Success(_snapshot(part))
-            rest_s = deadline - asyncio.get_running_loop().time()
-            if rest_s <= 0:
+            # A follower of another leader may already have a later position.
+            if state.position > position:
+                return Success(_snapshot(state))
+            remaining_s = deadline - asyncio.get_running_loop().time()
+            if remaining_s <= 0:
                 return Success(WatchBatch(position, (), (), False))
             changed = self._changed
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(rest_s):
+                async with asyncio.timeout(remaining_s):
                     await changed.wait()
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
 
-def _snapshot(part: _Part) -> WatchBatch:
+def _snapshot(state: _WatchedPrefix) -> WatchBatch:
     return WatchBatch(
-        part.position, tuple(part.object_by_key.values()), (), True
+        state.position, tuple(state.object_by_key.values()), (), True
     )
--- a/libs/ledger/src/masticdale_ledger/store_relay.py
+++ b/libs/ledger/src/masticdale_ledger/store_relay.py
@@ -1,4 +1,4 @@
-"""Store calls by way of another host, where the direct way is closed."""
+"""Falls back to other hosts for store calls when the store is unreachable."""
 
 import asyncio
 import contextlib
@@ -22,124 +22,133 @@
 
 T = TypeVar("T")
 
-# The direct way is tried again after this long at most, in seconds: a change
-# of the configuration is to be in force two seconds after it was acknowledged,
-# also where it comes right after an outage.
-_RETRY_DIRECT_S = 1.0
-# How long a watch waits that finds out whether the store answers, in seconds.
-_PROBE_WAIT_S = 0.05
-# A call that failed this soon after the direct way opened began before it did,
-# in seconds.
-_JUST_OPENED_S = 0.5
-# The pause after such a call, in seconds.
-_SHORT_PAUSE_S = 0.1
-# Hosts asked for one call.
-_RELAYS = 2
-
-# A host that watches and did not answer is not asked for this long, in seconds.
-_LEADER_SILENT_S = 5.0
-# The same for one that has itself lost the store, or has just started: it will
-# soon know more.
-_LEADER_LOST_S = 0.25
+# Longest time between probes of an unreachable store, in seconds. A
+# configuration change has to take effect 2 s after its acknowledgement, also
+# right after an outage.
+_PROBE_INTERVAL_S = 1.0
+# How long a watch that probes the store waits for changes, in seconds.
+_PROBE_WATCH_S = 0.05
+# A call that fails this soon after the store has become reachable, in seconds,
+# was probably sent before.
+_RECOVERY_PERIOD_S = 0.5
+# The delay before such a call is retried, in seconds.
+_RECOVERY_RETRY_S = 0.1
+# The most hosts through which one call is tried.
+_MAX_RELAYS = 2
+
+# A leader that did not answer is not asked for this long, in seconds.
+_SILENT_LEADER_BACKOFF_S = 5.0
+# The same for a leader that has lost the store or has just started.
+_STORELESS_LEADER_BACKOFF_S = 0.25
 
 PeerList = Callable[[], list[RpcClient]]
 Ping = Callable[[], Awaitable[Result[None, Failure]]]
 StoreCall = Callable[[ObjectStore], Awaitable[Result[T, Failure]]]
 
 
-_NO_WAY: Result[Any, Failure] = Failed(
-    Failure(ErrorKind.PLATFORM_UNAVAILABLE, "no way to the store")
+_UNREACHABLE: Result[Any, Failure] = Failed(
+    Failure(
+        ErrorKind.PLATFORM_UNAVAILABLE,
+        "the store is unreachable, directly and through other hosts",
+    )
 )
-_WAY_CHANGED: Result[Any, Failure] = Failed(
-    Failure(ErrorKind.PLATFORM_UNAVAILABLE, "the way to the store has changed")
+_PATH_CHANGED: Result[Any, Failure] = Failed(
+    Failure(
+        ErrorKind.PLATFORM_UNAVAILABLE,
+        "watch interrupted: the store's reachability has changed",
+    )
 )
 
 
-class _Reachability:
-    """Whether the store answers this host directly.
+class _DirectPath:
+    """Tracks whether the store answers this host directly.
 
     Attributes:
-        is_open: Whether calls go the direct way first.
-        changed: Set when that changes; renewed each time.
+        is_reachable: Whether calls go to the store first.
+        changed: Set when that changes; replaced by a new event each time.
     """
 
     def __init__(self) -> None:
-        self.is_open = True
+        self.is_reachable = True
         self.changed = asyncio.Event()
-        self._opened_at = -_JUST_OPENED_S
+        self._recovered_at = -_RECOVERY_PERIOD_S
         self._probe_at = 0.0
 
-    def note(self, *, is_open: bool, reason: str) -> None:
-        """Notes how a direct call ended."""
-        self._plan_probe()
-        if is_open == self.is_open:
+    def record(self, *, is_reachable: bool, reason: str) -> None:
+        """Records the outcome of a direct call."""
+        self._schedule_probe()
+        if is_reachable == self.is_reachable:
             return
-        self.is_open = is_open
-        if is_open:
-            self._opened_at = asyncio.get_running_loop().time()
-        logs.write("store_regained" if is_open else "store_lost", reason=reason)
+        self.is_reachable = is_reachable
+        if is_reachable:
+            self._recovered_at = asyncio.get_running_loop().time()
+        logs.write(
+            "store_regained" if is_reachable else "store_lost", reason=reason
+        )
         self.changed.set()
         self.changed = asyncio.Event()
 
     @property
-    def has_just_opened(self) -> bool:
-        """Whether calls that fail now may have begun before the way opened."""
+    def has_just_recovered(self) -> bool:
+        """Whether a call that fails now may precede the store's recovery."""
         now = asyncio.get_running_loop().time()
-        return self.is_open and now < self._opened_at + _JUST_OPENED_S
+        return (
+            self.is_reachable and now < self._recovered_at + _RECOVERY_PERIOD_S
+        )
 
     @property
-    def probe_in_s(self) -> float:
-        """How long until the next probe is due; at least 0."""
+    def next_probe_in_s(self) -> float:
+        """Seconds until the next probe is due; at least 0."""
         now = asyncio.get_running_loop().time()
         return max(0.0, self._probe_at - now)
 
-    def takes_probe(self) -> bool:
-        """Returns whether a probe is due; the next one is due later."""
-        if self.probe_in_s > 0:
+    def claim_probe(self) -> bool:
+        """Returns whether a probe is due; if so, schedules the next one."""
+        if self.next_probe_in_s > 0:
             return False
-        self._plan_probe()
+        self._schedule_probe()
         return True
 
-    def _plan_probe(self) -> None:
-        # All hosts lose the store in the same moment; their probes must not
-        # come in the same moment as well.
+    def _schedule_probe(self) -> None:
+        # Jitter: all hosts lose the store at the same time, and must not probe
+        # it at the same time.
         now = asyncio.get_running_loop().time()
-        self._probe_at = now + random.uniform(0.8, 1.0) * _RETRY_DIRECT_S
+        self._probe_at = now + random.uniform(0.8, 1.0) * _PROBE_INTERVAL_S
 
 
 class _Leaders:
     """The hosts whose watches this host follows.
 
     Attributes:
-        all: Their clients.
+        all: Clients of all leaders.
     """
 
     def __init__(self, leaders: list[RpcClient]) -> None:
         self.all = leaders
-        self._left_out_until: dict[int, float] = {}
+        self._excluded_until: dict[int, float] = {}
 
-    def usable(self) -> list[RpcClient]:
-        """Returns those that are worth asking now."""
+    def available(self) -> list[RpcClient]:
+        """Returns the leaders that are not excluded at present."""
         now = asyncio.get_running_loop().time()
         return [
             leader
             for number, leader in enumerate(self.all)
-            if self._left_out_until.get(number, 0.0) <= now
+            if self._excluded_until.get(number, 0.0) <= now
         ]
 
-    def leave_out(self, leader: RpcClient, for_s: float) -> None:
-        """Does not ask one for a while."""
+    def exclude(self, leader: RpcClient, duration_s: float) -> None:
+        """Excludes a leader for some seconds."""
         now = asyncio.get_running_loop().time()
-        self._left_out_until[self.all.index(leader)] = now + for_s
+        self._excluded_until[self.all.index(leader)] = now + duration_s
 
 
 class FallbackStore:
-    """An ``ObjectStore``: the direct way, else by way of other hosts.
+    """An ``ObjectStore`` that relays calls if the store is unreachable.
 
-    A host that is cut off from the store alone keeps its configuration and
-    its lists of replicas up to date, and its leases valid. Only watches try
-    the direct way again while it is closed, and with a short wait: a store
-    that takes calls and never answers would hold up every other call.
+    A host that alone is partitioned from the store keeps its configuration and
+    its lists of replicas up to date, and its leases valid. Only watches probe
+    an unreachable store, with a short wait: a store that accepts calls and
+    never answers would delay every other call.
     """
 
     def __init__(
@@ -151,15 +160,15 @@
         shared: SharedWatches | None = None,
         ping: Ping | None = None,
     ) -> None:
-        """Prepares to call.
+        """Initializes the store.
 
         Args:
             direct: The store itself.
             peers: Returns hosts that may make a call for this one.
-            metrics: Counts.
-            leaders: Hosts whose watches this host follows; none for a host
-                that watches the store itself.
-            shared: Where a host that others follow keeps what it saw.
+            metrics: Counts followed watches and relayed calls.
+            leaders: Hosts whose watches this host follows; none for a leader,
+                which watches the store itself.
+            shared: On a leader, the watch results that it serves.
             ping: A cheap call of the store itself, for ``check``.
         """
         self._direct = direct
@@ -169,24 +178,24 @@
         self._ping = ping
         self._random = random.Random()
         self._leaders = _Leaders(leaders or [])
-        self._reachability = _Reachability()
-        self._is_relay_lost = False
-        self._newest_by_prefix: dict[str, int] = {}
+        self._direct_path = _DirectPath()
+        self._relay_failed = False
+        self._last_position_by_prefix: dict[str, int] = {}
 
     @property
     def is_unreachable(self) -> bool:
-        """Whether the store was reached by no way the last time."""
-        return not self._reachability.is_open and self._is_relay_lost
+        """Whether the last direct and the last relayed call both failed."""
+        return not self._direct_path.is_reachable and self._relay_failed
 
     async def read(self, key: str) -> Result[StoredObject | None, Failure]:
         """See ``ObjectStore.read``."""
-        return await self._try(lambda store: store.read(key))
+        return await self._call_with_fallback(lambda store: store.read(key))
 
     async def write(
         self, key: str, value: bytes, expected_version: int
     ) -> Result[int, Failure]:
         """See ``ObjectStore.write``."""
-        return await self._try(
+        return await self._call_with_fallback(
             lambda store: store.write(key, value, expected_version)
         )
 
@@ -194,7 +203,7 @@
         self, key: str, expected_version: int
     ) -> Result[None, Failure]:
         """See ``ObjectStore.delete``."""
-        return await self._try(
+        return await self._call_with_fallback(
             lambda store: store.delete(key, expected_version)
         )
 
@@ -202,56 +211,59 @@
         self, prefix: str
     ) -> Result[tuple[StoredObject, ...], Failure]:
         """See ``ObjectStore.list``."""
-        return await self._try(lambda store: store.list(prefix))
+        return await self._call_with_fallback(lambda store: store.list(prefix))
 
     async def watch(
         self, prefix: str, position: int, wait_s: float
     ) -> Result[WatchBatch, Failure]:
         """See ``ObjectStore.watch``.
 
-        The wait ends early where the direct way opens or closes meanwhile:
-        the host that waits for us may itself have lost the store, and a store
-        that stopped to answer would leave us waiting for nothing.
+        The wait ends early when the store becomes reachable or unreachable:
+        the relaying host may itself have lost the store, and a store that has
+        stopped answering would never end the wait.
         """
         outcome = await self._watch(prefix, position, wait_s)
         if isinstance(outcome, Failed):
             return outcome
         batch = outcome.unwrap()
-        self._newest_by_prefix[prefix] = batch.position
+        self._last_position_by_prefix[prefix] = batch.position
         if self._shared is not None:
-            self._shared.take(prefix, position, batch)
+            self._shared.apply(prefix, position, batch)
         return outcome
 
     async def _watch(
         self, prefix: str, position: int, wait_s: float
     ) -> Result[WatchBatch, Failure]:
-        if self._reachability.is_open:
+        if self._direct_path.is_reachable:
             followed = await self._follow(prefix, position)
             if followed is not None:
                 return followed
         else:
-            if not self._reachability.takes_probe():
+            if not self._direct_path.claim_probe():
                 followed = await self._follow(prefix, position)
                 if followed is not None:
                     return followed
-                limit_s = min(wait_s, _RETRY_DIRECT_S)
+                limit_s = min(wait_s, _PROBE_INTERVAL_S)
                 relayed = self._relay(
                     lambda store: store.watch(prefix, position, limit_s)
                 )
-                return await self._until_changed(relayed) or _WAY_CHANGED
-            wait_s = _PROBE_WAIT_S
+                return (
+                    await self._await_unless_path_changes(relayed)
+                    or _PATH_CHANGED
+                )
+            wait_s = _PROBE_WATCH_S
         if self._leaders.all:
-            # Soon one of them may be followed again.
-            wait_s = min(wait_s, _LEADER_SILENT_S)
+            # A leader may be available again by then.
+            wait_s = min(wait_s, _SILENT_LEADER_BACKOFF_S)
         watched: Any = self._direct.watch(prefix, position, wait_s)
-        outcome = await self._until_changed(watched)
+        outcome = await self._await_unless_path_changes(watched)
         if outcome is None:
-            return _WAY_CHANGED
-        # A waiting watch may be cut off at any time. Only the list that is
-        # read after it tells whether the store answers.
+            return _PATH_CHANGED
+        # The connection of a waiting watch may be dropped at any time. Only
+        # the list that is read next shows whether the store answers.
         if position == 0 or not isinstance(outcome, Failed):
-            self._note(outcome)
-            self._tell_followers(outcome)
+            self._record_outcome(outcome)
+            self._update_followers(outcome)
         return outcome
 
     async def hosts(self) -> Result[tuple[ListedHost, ...], Failure]:
@@ -259,51 +271,54 @@
         return await self._direct.hosts()
 
     async def check(self) -> None:
-        """Finds out whether the store still answers a host that others follow.
+        """Checks on a leader that the store still answers.
 
-        A watch that hears nothing looks like one without changes, and this
-        host may make no other call for half a minute. Where the store was
-        silent to it alone, all hosts that follow it went on with an old
-        configuration, and sent work to replicas that had left.
+        A watch of an unresponsive store looks like one without changes, and
+        the leader may make no other call for half a minute. Its followers
+        would keep an old configuration and send work to replicas that have
+        left.
         """
         if self._shared is None or self._ping is None:
             return
-        if not self._reachability.is_open:
+        if not self._direct_path.is_reachable:
             return
         outcome = await self._ping()
-        self._note(outcome)
+        self._record_outcome(outcome)
         if _is_unavailable(outcome):
-            self._shared.lose()
+            self._shared.mark_store_unavailable()
+
+    async def wait_before_retry(self, max_s: float) -> None:
+        """Waits before a failed watch is retried.
 
-    async def wait_before_retry(self, most_s: float) -> None:
-        """Waits after a failed watch, until another one may do better.
+        While the store is unreachable the wait ends when the next probe is due
+        or the store becomes reachable, so that changes are seen soon after an
+        outage. Of several watches whose waits end for the same probe, the first
+        makes it and the others are relayed.
 
-        Where the direct way is closed the pause ends with the time of the
-        next probe, and as soon as the way is open. Whoever slept on would
-        know of changes, and of replicas that have gone, seconds after the
-        store's return. Of those that end their pause for one probe the first
-        takes it, and the others ask through other hosts.
+        Args:
+            max_s: The longest wait, in seconds.
         """
-        if self._reachability.has_just_opened:
-            most_s = min(most_s, _SHORT_PAUSE_S)
-        if self._reachability.is_open:
-            await asyncio.sleep(most_s)
+        if self._direct_path.has_just_recovered:
+            max_s = min(max_s, _RECOVERY_RETRY_S)
+        if self._direct_path.is_reachable:
+            await asyncio.sleep(max_s)
             return
-        changed = self._reachability.changed
-        limit_s = min(most_s, self._reachability.probe_in_s)
+        changed = self._direct_path.changed
+        limit_s = min(max_s, self._direct_path.next_probe_in_s)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit_s):
                 await changed.wait()
 
-    async def _try(self, call: StoreCall[T]) -> Result[T, Failure]:
+    async def _call_with_fallback(
+        self, call: StoreCall[T]
+    ) -> Result[T, Failure]:
         if self.is_unreachable:
-            # The watches go on to look for a way; whoever waits for this
-            # call is better told at once.
-            return _NO_WAY
-        if not self._reachability.is_open:
+            # Fail fast; only watches go on probing the store.
+            return _UNREACHABLE
+        if not self._direct_path.is_reachable:
             return await self._relay(call)
         outcome = await call(self._direct)
-        self._note(outcome)
+        self._record_outcome(outcome)
         if _is_unavailable(outcome):
             return await self._relay(call)
         return outcome
@@ -311,64 +326,63 @@
     async def _follow(
         self, prefix: str, position: int
     ) -> Result[WatchBatch, Failure] | None:
-        """Watches through another host; None if the store is to be asked.
+        """Watches through a leader; None if the caller should ask the store.
 
-        A host that has lost the store says so, and the next one is asked. All
-        of them may have lost it alone: then the store is asked at once. One
-        that is silent has cost its timeout, and the store is asked at once: a
-        change must not wait for a second one.
+        A leader that has lost the store reports that, and the next one is
+        asked. After a leader that does not answer, or if none is left, the
+        store is asked at once: a change must not wait for a second timeout.
         """
-        for leader in self._leaders.usable():
+        for leader in self._leaders.available():
             outcome = await PeerStore(leader).follow(prefix, position)
             if not isinstance(outcome, Failed):
-                if not self._is_older(prefix, outcome.unwrap()):
+                if not self._is_stale(prefix, outcome.unwrap()):
                     self._metrics.count("watches_followed_total")
                     return outcome
-                self._leaders.leave_out(leader, _LEADER_SILENT_S)
+                self._leaders.exclude(leader, _SILENT_LEADER_BACKOFF_S)
                 continue
             kind = outcome.failure().kind
             if kind not in (
                 ErrorKind.PLATFORM_UNAVAILABLE,
                 ErrorKind.NOT_FOUND,
             ):
-                self._leaders.leave_out(leader, _LEADER_SILENT_S)
+                self._leaders.exclude(leader, _SILENT_LEADER_BACKOFF_S)
                 return None
-            self._leaders.leave_out(leader, _LEADER_LOST_S)
+            self._leaders.exclude(leader, _STORELESS_LEADER_BACKOFF_S)
         return None
 
-    def _is_older(self, prefix: str, batch: WatchBatch) -> bool:
-        """Whether the host asked knows less than this one did.
+    def _is_stale(self, prefix: str, batch: WatchBatch) -> bool:
+        """Whether a leader's batch is older than what this host has seen.
 
-        Its own watch may have gone silent. After a failure everything is read
-        again, and its list would take back what is known of leaving replicas.
+        The leader's own watch may have stalled. Its list, read again after a
+        failure, would make replicas that are leaving look ready again.
         """
-        return batch.position < self._newest_by_prefix.get(prefix, 0)
+        return batch.position < self._last_position_by_prefix.get(prefix, 0)
 
-    def _tell_followers(self, outcome: Result[WatchBatch, Failure]) -> None:
+    def _update_followers(self, outcome: Result[WatchBatch, Failure]) -> None:
         if self._shared is None:
             return
         if not isinstance(outcome, Failed):
-            self._shared.regain()
+            self._shared.mark_store_available()
         elif _is_unavailable(outcome):
-            self._shared.lose()
+            self._shared.mark_store_unavailable()
 
     async def _relay(self, call: StoreCall[T]) -> Result[T, Failure]:
-        outcome: Result[T, Failure] = _NO_WAY
+        outcome: Result[T, Failure] = _UNREACHABLE
         peers = self._peers()
-        for peer in self._random.sample(peers, min(_RELAYS, len(peers))):
+        for peer in self._random.sample(peers, min(_MAX_RELAYS, len(peers))):
             self._metrics.count("store_calls_relayed_total")
             store: Any = PeerStore(peer)
             outcome = await call(store)
             if not _is_unavailable(outcome):
                 break
-        self._is_relay_lost = _is_unavailable(outcome)
+        self._relay_failed = _is_unavailable(outcome)
         return outcome
 
-    async def _until_changed(
+    async def _await_unless_path_changes(
         self,
         watch: Coroutine[Any, Any, Result[WatchBatch, Failure]],
     ) -> Result[WatchBatch, Failure] | None:
-        changed = self._reachability.changed
+        changed = self._direct_path.changed
         task = asyncio.create_task(watch)
         waiter = asyncio.create_task(changed.wait())
         try:
@@ -382,16 +396,16 @@
             task.cancel()
             waiter.cancel()
 
-    def _note(self, outcome: Result[Any, Failure]) -> None:
+    def _record_outcome(self, outcome: Result[Any, Failure]) -> None:
         if not isinstance(outcome, Failed):
-            self._reachability.note(is_open=True, reason="")
+            self._direct_path.record(is_reachable=True, reason="")
             return
         failure = outcome.failure()
-        is_open = failure.kind not in (
+        is_reachable = failure.kind not in (
             ErrorKind.PLATFORM_UNAVAILABLE,
             ErrorKind.WRITE_UNKNOWN,
         )
-        self._reachability.note(is_open=is_open, reason=str(failure))
+        self._direct_path.record(is_reachable=is_reachable, reason=str(failure))
 
 
 def _is_unavailable(outcome: Result[T, Failure]) -> bool:
--- a/libs/ledger/tests/test_shared_watches.py
+++ b/libs/ledger/tests/test_shared_watches.py
@@ -109,7 +109,7 @@
         """A host that lost the store alone would keep old lists of replicas."""
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         for leader in self.leaders:
-            leader.shared.lose()
+            leader.shared.mark_store_unavailable()
         await self.direct.write("a/y", b"2", 0)
         await self.leaders[1].step()
         later = (await self.store.watch(PREFIX, first.position, 5.0)).unwrap()
@@ -124,7 +124,7 @@
         """
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         for leader in self.leaders:
-            leader.shared.lose()
+            leader.shared.mark_store_unavailable()
         position = first.position
         for number in range(5):
             await self.direct.write(f"a/new-{number}", b"2", 0)
@@ -143,11 +143,11 @@
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         leader = self.leaders[0]
         self.leaders[1].is_silent = True
-        leader.shared.lose()
+        leader.shared.mark_store_unavailable()
         found = (await self.direct.read("a/x")).unwrap()
         await self.direct.write("a/x", b"leaves", found.version)
         through = (await self.direct.watch(PREFIX, leader.position, 0)).unwrap()
-        leader.shared.take(PREFIX, leader.position, through)
+        leader.shared.apply(PREFIX, leader.position, through)
         leader.position = through.position
         await self.direct.write("a/y", b"2", 0)
         await leader.step()
@@ -165,7 +165,7 @@
         leader.position = missed.position
         await self.direct.write("a/y", b"2", 0)
         await leader.step()
-        outcome = await leader.shared.newer(PREFIX, 0, 0.0)
+        outcome = await leader.shared.wait_newer(PREFIX, 0, 0.0)
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_FOUND)
 
     async def test_a_list_older_than_what_was_known_is_not_taken(self):
@@ -178,7 +178,7 @@
         await self.leaders[0].step()
         newest = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         self.assertEqual(newest.position, self.leaders[0].position)
-        self.leaders[0].shared.lose()
+        self.leaders[0].shared.mark_store_unavailable()
         again = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         self.assertGreaterEqual(again.position, newest.position)
         self.assertEqual(len(again.changed), 2)
@@ -188,7 +188,7 @@
         await self.leaders[0].step()
         newest = self.leaders[0].position
         self.leaders[0].is_silent = True
-        outcome = await self.leaders[1].shared.newer(PREFIX, newest, 0.05)
+        outcome = await self.leaders[1].shared.wait_newer(PREFIX, newest, 0.05)
         batch = outcome.unwrap()
         self.assertEqual((batch.position, batch.changed), (newest, ()))
         self.assertFalse(batch.is_snapshot)
