--- a/libs/ledger/src/masticdale_ledger/arbiter.py
+++ b/libs/ledger/src/masticdale_ledger/arbiter.py
@@ -1,10 +1,10 @@
-"""A third host that lets one of an owner and its standby go on, not both.
+"""Arbitration between a shard's owner and its standby by a third host.
 
-While the store is away nobody can tell a standby whose owner is lost from one
-that is cut off alone. Some things only one of the two may do: what both did
-would be counted by neither. The shard's object names a third host beforehand,
-so that the store has settled who decides. The two ask it, and the first one has
-it for that epoch. There is no vote, and nobody takes the third host's place.
+During a store outage, a standby whose owner is lost can't be told from one
+that is partitioned. Only one of the two may admit programs that the other does
+not know, since turns admitted by both would be counted by neither. The shard's
+record in the store names the arbiter of an epoch in advance. It decides for the
+side that asks first. There is no vote, and the arbiter has no substitute.
 """
 
 import asyncio
@@ -25,15 +25,15 @@
 )
 from masticdale_ledger.shards import ShardRecord
 
-# One question, in seconds: a hundred round trips between failure domains.
+# Timeout of a call, in seconds: a hundred round trips between failure domains.
 _CALL_TIMEOUT_S = 0.25
 
 
 class Side(enum.StrEnum):
-    """Who may go on in an epoch; as text in messages.
+    """A host that may ask the arbiter for an epoch; a string in messages.
 
-    A host that takes the shard over asks too, so that from then on neither of
-    the others may.
+    The successor is a host that takes the shard over. It asks too, so that
+    afterwards the arbiter decides for neither owner nor standby.
     """
 
     OWNER = "owner"
@@ -41,16 +41,16 @@
     SUCCESSOR = "taker"
 
 
-_SIDE_BY_TEXT = {side.value: side for side in Side}
+_SIDE_BY_VALUE = {side.value: side for side in Side}
 
 
 @dataclasses.dataclass(slots=True)
 class _Appointment:
-    """One shard that this host decides on.
+    """A shard whose arbiter this host is.
 
     Attributes:
         epoch: The owner's epoch.
-        side: Who asked first; empty until then.
+        side: The side that asked first; empty until then.
     """
 
     epoch: int
@@ -58,17 +58,17 @@
 
 
 class Arbiter:
-    """The decisions of this host, in memory.
+    """Decides on shards whose arbiter this host is; keeps state in memory.
 
-    A host that is started again has none: it was appointed by a call that its
-    owner makes once an epoch, and answers that it does not know.
+    After a restart it has no appointments and leaves requests undecided, since
+    owners appoint their arbiter only once per epoch.
     """
 
     def __init__(self) -> None:
         self._appointment_by_shard: dict[int, _Appointment] = {}
 
     def appoint(self, request: AppointRequest) -> AppointReply:
-        """Begins to decide on an epoch of a shard."""
+        """Makes this host the arbiter of an epoch of a shard."""
         known = self._appointment_by_shard.get(request.shard)
         if known is not None and known.epoch >= request.epoch:
             return AppointReply(accepted=False)
@@ -76,7 +76,7 @@
         return AppointReply(accepted=True)
 
     def decide(self, request: DecideRequest) -> DecideReply:
-        """Returns who may go on: the first side that has asked."""
+        """Decides for the first side that asks."""
         known = self._appointment_by_shard.get(request.shard)
         if known is None or known.epoch != request.epoch:
             return DecideReply()
@@ -92,28 +92,33 @@
 
 
 class ArbiterClient:
-    """The way from an owner or a standby to the arbiter of its shard."""
+    """Calls the arbiters of shards for their owner, standby or successor."""
 
     def __init__(self, hosts: Hosts) -> None:
         self._hosts = hosts
-        self._appointing: set[asyncio.Task[None]] = set()
+        self._appointment_tasks: set[asyncio.Task[None]] = set()
 
     def appoint(self, number: int, record: ShardRecord) -> None:
         """Appoints the arbiter of an epoch, in the background.
 
-        Called once an epoch. A second call might reach an arbiter that was
-        started again since, and has forgotten whom it let go on.
+        Must be called only once per epoch. A second call could reach an arbiter
+        that has restarted and lost its decision, and would decide again.
         """
         if not record.arbiter_address:
             return
         task = asyncio.create_task(self._send_appointment(number, record))
-        self._appointing.add(task)
-        task.add_done_callback(self._appointing.discard)
+        self._appointment_tasks.add(task)
+        task.add_done_callback(self._appointment_tasks.discard)
 
     async def decide(
         self, side: Side, number: int, record: ShardRecord
     ) -> Side | None:
-        """Asks for an epoch; returns who may go on, None if nobody can tell."""
+        """Asks the arbiter of an epoch to decide for a side.
+
+        Returns:
+            The side that it has decided for; None if there is no arbiter, it
+            does not answer or does not know the epoch.
+        """
         if not record.arbiter_address:
             return None
         peer = self._hosts.client(record.arbiter_address, record.arbiter_port)
@@ -129,7 +134,7 @@
             side="" if is_failed else outcome.unwrap().side,
             failure=str(outcome.failure()) if is_failed else "",
         )
-        return None if is_failed else _SIDE_BY_TEXT.get(outcome.unwrap().side)
+        return None if is_failed else _SIDE_BY_VALUE.get(outcome.unwrap().side)
 
     async def _send_appointment(self, number: int, record: ShardRecord) -> None:
         peer = self._hosts.client(record.arbiter_address, record.arbiter_port)
@@ -143,5 +148,5 @@
                 arbiter=record.arbiter_address,
                 reason=str(outcome.failure())
                 if isinstance(outcome, Failed)
-                else "a later epoch",
+                else "the host is the arbiter of this or a later epoch",
             )
--- a/libs/ledger/src/masticdale_ledger/client.py
+++ b/libs/ledger/src/masticdale_ledger/client.py
@@ -1,4 +1,4 @@
-"""Finds the owner of a program's shard and asks it."""
+"""Client of the ledger: sends calls to the owner of a program's shard."""
 
 import asyncio
 import collections
@@ -23,33 +23,33 @@
 from masticdale_ledger.shards import ShardMap
 from masticdale_rpc import RpcClient
 
-# Shards of the ledger. Each takes one host's memory and no thread; four let
-# the loss of one host touch a quarter of the programs.
+# Shards of the ledger. With four, the loss of one host usually affects a
+# quarter of the programs.
 SHARD_COUNT = 4
-# One question to an owner, in seconds: some hundred times the round trip
-# between failure domains; a host that is short of processor time answers in
-# some tens of milliseconds.
+# Timeout of one call to an owner, in seconds: some hundred round trips between
+# failure domains. A host that is short of CPU time answers within some tens of
+# milliseconds.
 CALL_TIMEOUT_S = 0.4
-# All questions about one turn, in seconds: an owner that was lost is replaced
-# within this time, and a caller that is refused comes back sooner.
-_PATIENCE_S = 1.2
-# An owner and its standby, asked one after the other, take no longer unless
-# this host itself stood still meanwhile, in seconds.
-_LONGEST_QUESTION_S = 2 * CALL_TIMEOUT_S + 0.2
-# Between two questions while nobody owns the shard, in seconds.
-_PAUSE_S = 0.08
-# Settlements are collected for this long, in seconds. Until one arrives the
-# turn counts at its most, which matters only near the end of a budget.
-_SETTLE_EVERY_S = 0.15
-# Settlements kept for an owner that can't be reached; the oldest are dropped,
-# and their turns count at their most for good.
-_MAX_SETTLEMENTS = 5_000
+# Timeout of all calls for one turn, in seconds. A lost owner is replaced within
+# this time.
+_ADMIT_TIMEOUT_S = 1.2
+# Longest time in seconds that calls to an owner and then to its standby take.
+# An attempt that took longer means that this host itself was paused.
+_MAX_ATTEMPT_S = 2 * CALL_TIMEOUT_S + 0.2
+# Delay between two attempts, in seconds, unless the shard map changes before.
+_RETRY_DELAY_S = 0.08
+# Settlements are batched for this long, in seconds. Until a turn is settled,
+# its full reservation counts, which matters only near the end of a budget.
+_SETTLE_INTERVAL_S = 0.15
+# Settlements kept while owners are unreachable. Beyond this the oldest are
+# dropped, and the full reservations of their turns go on counting.
+_MAX_PENDING_SETTLEMENTS = 5_000
 
-Peers = Callable[[str, int], RpcClient]
-Admit = Callable[[AdmitRequest], Awaitable[AdmitReply]]
-# After an owner has not answered, its standby is asked first for this long,
-# in seconds: each question to a dead host costs a whole timeout.
-_STANDBY_FIRST_S = 1.0
+PeerLookup = Callable[[str, int], RpcClient]
+LocalAdmit = Callable[[AdmitRequest], Awaitable[AdmitReply]]
+# After an owner has not answered, its standby is called first for this long,
+# in seconds, since each call to a dead host takes a whole timeout.
+_STANDBY_FIRST_PERIOD_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -57,9 +57,9 @@
     """An owner that does not answer.
 
     Attributes:
-        version: Version of the shard's record then.
-        first_failed_at: Loop seconds of the first failed question.
-        last_failed_at: Loop seconds of the last failed question.
+        version: Version of the shard's record that names the owner.
+        first_failed_at: Event loop time of the first failed call, in seconds.
+        last_failed_at: Event loop time of the last failed call, in seconds.
     """
 
     version: int
@@ -68,75 +68,79 @@
 
 
 class LedgerClient:
-    """A ``BudgetLedger`` over the owners of all shards.
+    """A ``BudgetLedger`` that calls the owners of all shards.
 
     Attributes:
-        unreachable_by_shard: Owners that did not answer lately.
-        is_stopping: Whether this host is about to end; owners are told.
+        admit_locally: Admits turns of shards that this host serves; set by
+            the application.
+        unreachable_by_shard: Owners whose last call failed without an answer.
+        is_stopping: Whether this host is stopping; sent with each call.
     """
 
     def __init__(
         self,
         shard_map: ShardMap,
         owner: ShardOwner,
-        own: HostAddress,
-        peers: Peers,
+        own_address: HostAddress,
+        peers: PeerLookup,
         metrics: Metrics,
     ) -> None:
-        """Prepares to ask.
+        """Initializes the client.
 
         Args:
-            shard_map: Who owns the shards.
-            owner: The shards of this host.
-            own: This host.
-            peers: Returns the client of an address.
-            metrics: Counts.
+            shard_map: The owners and standbys of the shards.
+            owner: The shards that this host owns.
+            own_address: The address of this host.
+            peers: Returns the RPC client of an address and port.
+            metrics: Records how long admissions take.
         """
-        self.admit_locally: Admit | None = None
+        self.admit_locally: LocalAdmit | None = None
         self.is_stopping = False
         self.unreachable_by_shard: dict[int, UnreachableOwner] = {}
         self._map = shard_map
         self._owner = owner
-        self._own = own
-        self._address = (own.address, own.port)
+        self._own_address = own_address
+        self._own_endpoint = (own_address.address, own_address.port)
         self._peers = peers
         self._metrics = metrics
         self._settlements: collections.deque[Settlement] = collections.deque(
-            maxlen=_MAX_SETTLEMENTS
+            maxlen=_MAX_PENDING_SETTLEMENTS
         )
-        self._pending = asyncio.Event()
+        self._has_settlements = asyncio.Event()
 
     async def admit(
         self, claim: TurnClaim, deadline_at: float
     ) -> Result[None, Failure]:
         """See ``BudgetLedger.admit``."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        give_up_at = min(deadline_at, began + _PATIENCE_S)
+        started_at = loop.time()
+        retry_until = min(deadline_at, started_at + _ADMIT_TIMEOUT_S)
         shard = hashing.shard_of(claim.program_id, SHARD_COUNT)
         failure = Failure(ErrorKind.LEDGER_UNAVAILABLE, "no owner")
-        while loop.time() < give_up_at:
-            asked_at = loop.time()
-            outcome = await self._ask(shard, claim)
+        while loop.time() < retry_until:
+            attempt_started_at = loop.time()
+            outcome = await self._admit_once(shard, claim)
             if not isinstance(outcome, Failed):
-                self._metrics.observe("ledger_seconds", loop.time() - began)
+                self._metrics.observe(
+                    "ledger_seconds", loop.time() - started_at
+                )
                 return outcome
             failure = outcome.failure()
             if failure.kind is ErrorKind.BUDGET_EXCEEDED:
                 return outcome
-            if loop.time() - asked_at > _LONGEST_QUESTION_S:
-                # This host was paused: its question timed out, and the owner
-                # may long have answered. Its caller would be refused although
-                # it has time left.
-                give_up_at = min(deadline_at, loop.time() + CALL_TIMEOUT_S)
-            await self._map.wait_changed(_PAUSE_S)
+            if loop.time() - attempt_started_at > _MAX_ATTEMPT_S:
+                # This host was paused, so that its call timed out although the
+                # owner may have answered. Retry, or the caller would be
+                # rejected before its deadline.
+                retry_until = min(deadline_at, loop.time() + CALL_TIMEOUT_S)
+            await self._map.wait_changed(_RETRY_DELAY_S)
         logs.write_bounded(
             "ledger_unavailable",
             request_id=claim.request_id,
             program_id=claim.program_id,
             shard=shard,
             reason=str(failure),
-            waited_ms=round(1000 * (loop.time() - began)),
+            waited_ms=round(1000 * (loop.time() - started_at)),
         )
         return Failed(
             Failure(ErrorKind.LEDGER_UNAVAILABLE, f"shard {shard}: {failure}")
@@ -150,40 +154,44 @@
         )
         if not self._owner.settle(settlement):
             self._settlements.append(settlement)
-            self._pending.set()
+            self._has_settlements.set()
 
     async def run(self) -> None:
-        """Sends settlements to their owners, again and again."""
+        """Sends settlements to their owners periodically, until cancelled."""
         while True:
-            await self._pending.wait()
-            await asyncio.sleep(_SETTLE_EVERY_S)
+            await self._has_settlements.wait()
+            await asyncio.sleep(_SETTLE_INTERVAL_S)
             await self.flush()
 
     async def flush(self) -> None:
-        """Sends the settlements that wait now."""
-        self._pending.clear()
-        waiting = list(self._settlements)
+        """Sends the pending settlements; keeps those that can't be sent."""
+        self._has_settlements.clear()
+        pending = list(self._settlements)
         self._settlements.clear()
         by_shard: dict[int, list[Settlement]] = collections.defaultdict(list)
-        for settlement in waiting:
+        for settlement in pending:
             if not self._owner.settle(settlement):
                 by_shard[settlement.shard].append(settlement)
         for shard, settlements in by_shard.items():
-            if not await self._send(shard, tuple(settlements)):
+            if not await self._send_settlements(shard, tuple(settlements)):
                 self._settlements.extend(settlements)
-                self._pending.set()
+                self._has_settlements.set()
 
-    async def _ask(self, shard: int, claim: TurnClaim) -> Result[None, Failure]:
+    async def _admit_once(
+        self, shard: int, claim: TurnClaim
+    ) -> Result[None, Failure]:
         view = self._map.get(shard)
         if view is None:
-            return Failed(Failure(ErrorKind.NOT_OWNER, "nobody owns it yet"))
+            return Failed(
+                Failure(ErrorKind.NOT_OWNER, "the shard has no owner yet")
+            )
         request = AdmitRequest(
             shard=shard,
             program_id=claim.program_id,
             request_id=claim.request_id,
             budget_tokens=claim.budget_tokens,
             turn_tokens=claim.turn_tokens,
-            asker=self._own,
+            asker=self._own_address,
             asker_stops=self.is_stopping,
         )
         record = view.record
@@ -195,17 +203,17 @@
         outcome: Result[None, Failure] = Failed(Failure(ErrorKind.NOT_OWNER))
         for address in addresses:
             is_owner = address == (record.address, record.port)
-            outcome = await self._ask_host(address, request)
+            outcome = await self._admit_at(address, request)
             if is_owner:
-                self._note(shard, view.version, outcome)
-            if not _is_no_answer(outcome):
+                self._update_reachability(shard, view.version, outcome)
+            if not _should_try_next(outcome):
                 return outcome
         return outcome
 
-    async def _ask_host(
+    async def _admit_at(
         self, address: tuple[str, int], request: AdmitRequest
     ) -> Result[None, Failure]:
-        if address == self._address and self.admit_locally is not None:
+        if address == self._own_endpoint and self.admit_locally is not None:
             reply = await self.admit_locally(request)
         else:
             peer = self._peers(*address)
@@ -215,7 +223,7 @@
             reply = outcome.unwrap()
         return Success(None) if reply.failure is None else Failed(reply.failure)
 
-    async def _send(
+    async def _send_settlements(
         self, shard: int, settlements: tuple[Settlement, ...]
     ) -> bool:
         view = self._map.get(shard)
@@ -226,7 +234,7 @@
             (record.address, record.port),
             (record.standby_address, record.standby_port),
         ):
-            if not address[0] or address == self._address:
+            if not address[0] or address == self._own_endpoint:
                 continue
             outcome = await self._peers(*address).call(
                 SETTLE, SettleRequest(settlements), CALL_TIMEOUT_S
@@ -243,21 +251,21 @@
         return (
             known is not None
             and known.version == version
-            and now - known.last_failed_at < _STANDBY_FIRST_S
+            and now - known.last_failed_at < _STANDBY_FIRST_PERIOD_S
         )
 
-    def _note(
+    def _update_reachability(
         self, shard: int, version: int, outcome: Result[None, Failure]
     ) -> None:
         is_unreachable = isinstance(outcome, Failed) and (
             outcome.failure().kind is ErrorKind.PEER_UNAVAILABLE
         )
         if is_unreachable:
-            self._note_unreachable(shard, version)
+            self._mark_unreachable(shard, version)
         else:
             self.unreachable_by_shard.pop(shard, None)
 
-    def _note_unreachable(self, shard: int, version: int) -> None:
+    def _mark_unreachable(self, shard: int, version: int) -> None:
         now = asyncio.get_running_loop().time()
         known = self.unreachable_by_shard.get(shard)
         if known is None or known.version != version:
@@ -266,8 +274,8 @@
         known.last_failed_at = now
 
 
-def _is_no_answer(outcome: Result[None, Failure]) -> bool:
-    """Returns whether another host may know better."""
+def _should_try_next(outcome: Result[None, Failure]) -> bool:
+    """Returns whether another host may be able to decide."""
     return isinstance(outcome, Failed) and outcome.failure().kind in (
         ErrorKind.NOT_OWNER,
         ErrorKind.PEER_UNAVAILABLE,
--- a/libs/ledger/src/masticdale_ledger/failover.py
+++ b/libs/ledger/src/masticdale_ledger/failover.py
@@ -1,4 +1,4 @@
-"""The standby in place of an owner that is lost."""
+"""Failover of a shard from a lost owner to its standby."""
 
 import asyncio
 import dataclasses
@@ -23,22 +23,22 @@
 from masticdale_ledger.standby import StandbyCopies
 from masticdale_ledger.states import account_of
 
-# One question to the owner whether it lives, in seconds: a hundred round trips
-# between failure domains. Whoever asked the standby has waited for the owner
-# before, so that a busy owner was silent for longer than this.
+# Timeout of a ping of the owner, in seconds: a hundred round trips between
+# failure domains. Hosts turn to the standby only after the owner has failed to
+# answer them, so a busy owner has had more time than this.
 _PING_TIMEOUT_S = 0.25
-# The owner is asked this often for a shard, in seconds, however many turns
-# come for it.
-_ASK_EVERY_S = 0.3
+# Shortest time between two pings of a shard's owner, in seconds, however many
+# turns arrive.
+_PING_INTERVAL_S = 0.3
 
 
 class StandbyFailover:
-    """Goes on with shards whose owner is lost, until the store says whose.
+    """Makes this host the acting owner of shards whose owner is lost.
 
-    The standby has every account, and hosts that miss the owner come to it. It
-    asks the owner once, goes on with the programs that it knows, and claims the
-    shard meanwhile. Any other host that misses the owner has to wait for longer
-    before it may claim the shard, and the programs with it.
+    The standby holds every account, and hosts whose calls to the owner fail
+    call it next. It pings the owner once, admits turns of the programs that it
+    knows, and claims the shard in the store meanwhile. Other hosts have to wait
+    longer before they may claim the shard.
     """
 
     def __init__(
@@ -58,15 +58,19 @@
         self._copies = copies
         self._hosts = hosts
         self._claims = claims
-        self._asked_at_by_shard: dict[int, float] = {}
-        self._claiming: set[asyncio.Task[None]] = set()
+        self._pinged_at_by_shard: dict[int, float] = {}
+        self._claim_tasks: set[asyncio.Task[None]] = set()
 
     async def fail_over(self, number: int) -> None:
-        """Goes on with a shard whose owner does not answer."""
+        """Takes a shard over if this host is its standby and the owner is lost.
+
+        Args:
+            number: The shard.
+        """
         view = self._map.get(number)
         if view is None or not self._can_take_over(number, view):
             return
-        if not self._is_due(number):
+        if not self._may_ping(number):
             return
         record = view.record
         owner = self._hosts.client(record.address, record.port)
@@ -78,15 +82,15 @@
         )
         if not self._can_take_over(number, view):
             return
-        shard = self._begin(number, view, has_decision=side is Side.STANDBY)
+        shard = self._take_over(number, view, has_decision=side is Side.STANDBY)
         task = asyncio.create_task(self.claim(shard))
-        self._claiming.add(task)
-        task.add_done_callback(self._claiming.discard)
+        self._claim_tasks.add(task)
+        task.add_done_callback(self._claim_tasks.discard)
 
     async def claim(self, shard: OwnedShard) -> None:
-        """Claims a shard that is acted for; its accounts stay."""
-        # If another host seals the shard meanwhile, nothing more is given here.
-        # Its claim then fails where this one is written first.
+        """Claims a shard of which this host is the acting owner."""
+        # If another host seals the shard meanwhile, this one stops admitting
+        # turns. Of the two claims, the one written first succeeds.
         outcome = await self._claims.claim(
             shard.number,
             shard.view.version,
@@ -107,13 +111,13 @@
     def admit_unknown_programs(self, shard: OwnedShard) -> None:
         """Admits programs, too, that the last owner did not know.
 
-        Only where the store is reached by no way. A standby that is cut off
-        alone can't tell itself from one whose owner is lost. Its owner, which
-        lives and has the store, names another standby and counts such programs
-        from zero: they got 1.5 times their budget from the two. So the owner
-        has to have told, with its last copy, that it lost the store too, or the
-        arbiter to let this host go on. In both cases an owner that lives counts
-        programs that it does not know as half spent.
+        For a store outage. A standby that is partitioned can't tell whether
+        its owner is lost: a live owner that reaches the store names another
+        standby and counts such programs from zero, so that they would exceed
+        their budget by half. They are admitted only if the owner's last copy
+        said that it had lost the store too, or if the arbiter has decided for
+        this host. In both cases a live owner counts unknown programs as half
+        spent.
         """
         if shard.alone is None or shard.alone.admits_unknown:
             return
@@ -126,12 +130,12 @@
         logs.write("shard_takes_new", shard=shard.number, epoch=record.epoch)
 
     def seal(self, request: SealRequest) -> SealReply:
-        """Stops the owner of a shard that is being taken over elsewhere.
+        """Seals the copy of a shard that another host is taking over.
 
-        A host that seals a shard may lose the race for it, its answer, or its
-        life. What was given while acting therefore stays here, in the copy, for
-        every host that seals the shard after it. Handed to the first one alone,
-        it was forgotten, and its programs got a budget again.
+        The sealing host may lose the race for the shard, lose this reply or
+        crash. The accounts with the turns admitted as acting owner therefore
+        stay in the copy for every host that seals it later. Otherwise these
+        turns would not be counted, and programs could exceed their budget.
         """
         shard = self._owner.owned().get(request.shard)
         if shard is not None and shard.is_acting:
@@ -146,11 +150,12 @@
                 )
         return self._copies.seal(request)
 
-    def _is_due(self, number: int) -> bool:
+    def _may_ping(self, number: int) -> bool:
+        """Returns whether a ping is due; if so, records its time."""
         now = self._lease.now()
-        if now - self._asked_at_by_shard.get(number, 0.0) < _ASK_EVERY_S:
+        if now - self._pinged_at_by_shard.get(number, 0.0) < _PING_INTERVAL_S:
             return False
-        self._asked_at_by_shard[number] = now
+        self._pinged_at_by_shard[number] = now
         return True
 
     def _can_take_over(self, number: int, view: ShardView) -> bool:
@@ -162,7 +167,7 @@
             and self._copies.is_usable(number, record.epoch)
         )
 
-    def _begin(
+    def _take_over(
         self, number: int, view: ShardView, *, has_decision: bool
     ) -> OwnedShard:
         record = view.record
