--- a/libs/ledger/src/masticdale_ledger/copier.py
+++ b/libs/ledger/src/masticdale_ledger/copier.py
@@ -1,4 +1,4 @@
-"""Keeps the standby's copy of a shard up to date with its owner."""
+"""Replicates the accounts of a shard from its owner to its standby."""
 
 import asyncio
 import dataclasses
@@ -15,18 +15,19 @@
 )
 from masticdale_rpc import RpcClient, was_sent
 
-# One copy, in seconds: a hundred round trips between failure domains.
+# Timeout of a copy, in seconds: a hundred round trips between failure domains.
 _COPY_TIMEOUT_S = 0.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyHeader:
-    """What a copy carries besides its accounts.
+    """The fields of a copy besides its accounts.
 
     Attributes:
         shard: The shard.
         epoch: The owner's epoch.
-        incomplete_for_s: Programs of before may be missing for so long.
+        incomplete_for_s: For how many more seconds a program without an
+            account may have had turns before.
         owner_has_store: Whether the owner reaches the store.
     """
 
@@ -37,7 +38,7 @@
 
 
 class Copier:
-    """Sends changed accounts to one standby, those of one round together.
+    """Sends changed accounts to one standby, in batches.
 
     Attributes:
         is_standby_stopping: Whether the standby has announced that it stops.
@@ -53,88 +54,91 @@
         self.is_standby_stopping = False
         self.standby_may_hold_copy = False
         self.standby_may_admit_unknown = False
-        self._is_complete = False
+        self._standby_has_snapshot = False
         self._lock = asyncio.Lock()
-        self._changed: dict[str, None] = {}
+        self._changed_ids: dict[str, None] = {}
         self._next_round: asyncio.Task[Result[None, Failure]] | None = None
 
     def mark_changed(self, program_id: str) -> None:
-        """Has an account sent with the next copy."""
-        self._changed[program_id] = None
+        """Includes an account in the next copy."""
+        self._changed_ids[program_id] = None
 
     def has_pending(self, *, owner_has_store: bool) -> bool:
-        """Returns whether the standby lacks something."""
+        """Returns whether the standby lacks an account or the store's state."""
         return (
-            bool(self._changed)
+            bool(self._changed_ids)
             or self.standby_may_admit_unknown == owner_has_store
         )
 
     async def send(
-        self, state: CopyHeader, accounts: "AccountSource"
+        self, header: CopyHeader, accounts: "AccountSource"
     ) -> Result[None, Failure]:
-        """Returns once the standby holds everything noted so far.
+        """Returns once the standby holds every change marked so far.
 
-        All that ask while a copy is under way share the next one. One copy
-        each would queue up behind a standby that is silent, a whole timeout
-        for every turn, and delay its replacement by as much.
+        Callers that arrive while a copy is in progress share the next one.
+        With a copy each, every turn would wait for a whole timeout of a standby
+        that does not answer, and delay its replacement.
 
-        Failures: CONFLICT where another host takes the shard over;
-        PEER_UNAVAILABLE where the standby does not answer, or was started
-        again.
+        Failures: CONFLICT if another host has sealed the copy;
+        PEER_UNAVAILABLE if the standby does not answer or has restarted.
         """
         if self._next_round is None:
-            self._next_round = asyncio.create_task(self._send(state, accounts))
+            self._next_round = asyncio.create_task(self._send(header, accounts))
         return await asyncio.shield(self._next_round)
 
     async def _send(
-        self, state: CopyHeader, accounts: "AccountSource"
+        self, header: CopyHeader, accounts: "AccountSource"
     ) -> Result[None, Failure]:
         async with self._lock:
             self._next_round = None
-            is_due = self.has_pending(owner_has_store=state.owner_has_store)
-            if self._is_complete and not is_due:
+            has_pending = self.has_pending(
+                owner_has_store=header.owner_has_store
+            )
+            if self._standby_has_snapshot and not has_pending:
                 return Success(None)
-            changed = list(self._changed)
-            self._changed.clear()
-            is_snapshot = not self._is_complete
+            changed = list(self._changed_ids)
+            self._changed_ids.clear()
+            is_snapshot = not self._standby_has_snapshot
             states = accounts.states(None if is_snapshot else changed)
-            outcome = await self._copy(state, is_snapshot, states)
+            outcome = await self._copy(header, is_snapshot, states)
             if isinstance(outcome, Failed):
-                self._is_complete = False
+                self._standby_has_snapshot = False
                 return outcome
-            return self._handle_reply(state, outcome.unwrap())
+            return self._handle_reply(header, outcome.unwrap())
 
     def _handle_reply(
-        self, state: CopyHeader, reply: CopyReply
+        self, header: CopyHeader, reply: CopyReply
     ) -> Result[None, Failure]:
-        self._is_complete = reply.held
+        self._standby_has_snapshot = reply.held
         self.is_standby_stopping = reply.stops
         if reply.held:
             return Success(None)
         logs.write_bounded(
             "copy_refused",
-            shard=state.shard,
-            epoch=state.epoch,
+            shard=header.shard,
+            epoch=header.epoch,
             sealed=reply.sealed,
         )
         if reply.sealed:
-            return Failed(Failure(ErrorKind.CONFLICT, "the copy is sealed"))
-        detail = "the standby was started again"
+            return Failed(
+                Failure(ErrorKind.CONFLICT, "another host has sealed the copy")
+            )
+        detail = "the standby has restarted and holds no copy"
         return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, detail))
 
     async def _copy(
         self,
-        state: CopyHeader,
+        header: CopyHeader,
         is_snapshot: bool,
         accounts: tuple[AccountState, ...],
     ) -> Result[CopyReply, Failure]:
         request = CopyRequest(
-            shard=state.shard,
-            epoch=state.epoch,
+            shard=header.shard,
+            epoch=header.epoch,
             is_snapshot=is_snapshot,
             accounts=accounts,
-            incomplete_for_s=state.incomplete_for_s,
-            owner_has_store=state.owner_has_store,
+            incomplete_for_s=header.incomplete_for_s,
+            owner_has_store=header.owner_has_store,
             renews=self.standby_may_hold_copy,
         )
         outcome = await self._peer.call(COPY, request, _COPY_TIMEOUT_S)
@@ -142,7 +146,7 @@
         if is_failed and not was_sent(outcome.failure()):
             return outcome
         self.standby_may_hold_copy = True
-        if not state.owner_has_store:
+        if not header.owner_has_store:
             self.standby_may_admit_unknown = True
         elif not is_failed and outcome.unwrap().held:
             self.standby_may_admit_unknown = False
@@ -150,8 +154,8 @@
 
 
 class AccountSource:
-    """Where a copier reads accounts; see ``OwnedShard``."""
+    """Interface from which ``Copier`` reads accounts; see ``OwnedShard``."""
 
     def states(self, program_ids: list[str] | None) -> tuple[AccountState, ...]:
-        """Returns the named accounts, or all for None."""
+        """Returns the accounts of the given programs; for None, of all."""
         raise NotImplementedError
--- a/libs/ledger/src/masticdale_ledger/hosts.py
+++ b/libs/ledger/src/masticdale_ledger/hosts.py
@@ -1,4 +1,4 @@
-"""This process and the other hosts, as the ledger needs them."""
+"""The identity of this process, and the other hosts."""
 
 import dataclasses
 import time
@@ -9,14 +9,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """Who this process is.
+    """The identity of this process.
 
     Attributes:
-        host: Its host's name.
-        incarnation: Differs after each start.
-        address: IP number on which it listens for other hosts.
-        port: And the port.
-        failure_domain: Where the host stands.
+        host: The name of its host.
+        incarnation: Unique ID of the process; a restart gets a new one.
+        address: IP address on which it listens for other hosts.
+        port: Port on which it listens for other hosts.
+        failure_domain: The failure domain of the host.
     """
 
     host: str
@@ -27,56 +27,58 @@
 
     @property
     def host_address(self) -> HostAddress:
-        """What other hosts are told of this one."""
+        """The address of this host, as sent to other hosts."""
         return HostAddress(self.address, self.port, self.failure_domain)
 
 
 class LiveHosts:
-    """Hosts that have asked this one for something lately, so that they live.
+    """Hosts that have sent this one a request lately, and so are alive.
 
-    An owner is asked by every host that has callers. It needs no list in the
-    store to know who can be its standby, or take its shards at a stop.
+    Every host that has callers sends requests to the owners. An owner therefore
+    knows which hosts can be its standby or take over its shards when it stops,
+    without a list in the store.
     """
 
-    # A host with callers asks several times a second, in seconds.
+    # How long after its last request a host counts as alive, in seconds. A
+    # host with callers sends several requests per second.
     _LIVENESS_TIMEOUT_S = 3.0
 
-    def __init__(self, own: HostAddress) -> None:
-        """Begins without any host.
+    def __init__(self, own_address: HostAddress) -> None:
+        """Initializes an empty set of hosts.
 
         Args:
-            own: This host, which is never one of them.
+            own_address: The address of this host, which is never included.
         """
-        self._own = own
+        self._own_address = own_address
         self._seen_at_by_host: dict[HostAddress, float] = {}
 
     def record_request(self, host: HostAddress) -> None:
-        """Notes that a host has asked just now."""
-        if host != self._own:
+        """Records that a host has just sent a request."""
+        if host != self._own_address:
             self._seen_at_by_host[host] = time.monotonic()
 
     def remove(self, host: HostAddress) -> None:
-        """Forgets a host that is about to end."""
+        """Removes a host that is stopping."""
         self._seen_at_by_host.pop(host, None)
 
     def live(self) -> list[HostAddress]:
-        """Returns the hosts that were heard of lately."""
-        oldest = time.monotonic() - self._LIVENESS_TIMEOUT_S
+        """Returns the hosts that have sent a request lately."""
+        cutoff = time.monotonic() - self._LIVENESS_TIMEOUT_S
         self._seen_at_by_host = {
             host: seen_at
             for host, seen_at in self._seen_at_by_host.items()
-            if seen_at >= oldest
+            if seen_at >= cutoff
         }
         return list(self._seen_at_by_host)
 
 
 class Hosts:
-    """The clients of other hosts, to be asked and to be named."""
+    """Interface to the other hosts: their clients, and candidate standbys."""
 
     def client(self, address: str, port: int) -> RpcClient:
         """Returns the client of one host."""
         raise NotImplementedError
 
     def candidates(self) -> list[tuple[str, int]]:
-        """Returns addresses of other hosts that may be a standby."""
+        """Returns addresses of other hosts that may become a standby."""
         raise NotImplementedError
--- a/libs/ledger/src/masticdale_ledger/peer_selector.py
+++ b/libs/ledger/src/masticdale_ledger/peer_selector.py
@@ -1,4 +1,4 @@
-"""Which hosts are an owner's standby and arbiter."""
+"""Chooses the standby and the arbiter of an owner's shards."""
 
 import random
 from collections.abc import Iterable
@@ -7,13 +7,13 @@
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.shards import ShardMap
 
-# A host that failed is not named again for this long, in seconds: a killed
-# process is back sooner, a host that is replaced never is.
+# A host that failed is not chosen again for this long, in seconds; a killed
+# process restarts sooner.
 _FAILED_HOST_BACKOFF_S = 10.0
 
 
 class PeerSelector:
-    """Chooses among the other hosts by what is known of them."""
+    """Chooses among the other hosts by liveness, load and failure domain."""
 
     def __init__(
         self,
@@ -21,13 +21,13 @@
         shard_map: ShardMap,
         lease: Lease,
         hosts: Hosts,
-        seen: LiveHosts,
+        live_hosts: LiveHosts,
     ) -> None:
         self._identity = identity
         self._map = shard_map
         self._lease = lease
         self._hosts = hosts
-        self._seen = seen
+        self._live_hosts = live_hosts
         self._random = random.Random(identity.incarnation)
         self._failed_at_by_address: dict[tuple[str, int], float] = {}
 
@@ -39,8 +39,9 @@
         )
         if not addresses:
             return None
-        # One host's loss then leaves each shard its owner or its standby, and
-        # so does the loss of a failure domain.
+        # Prefer hosts that own no shard and are in another failure domain, so
+        # that the loss of a host or of a failure domain leaves each shard its
+        # owner or its standby.
         owners = {
             (view.record.address, view.record.port)
             for view in self._map.views().values()
@@ -54,39 +55,43 @@
     def choose_arbiter(
         self, standby: tuple[str, int]
     ) -> tuple[str, int] | None:
-        """Returns a host that is likely to outlive owner and standby."""
+        """Returns a host, preferably in a third failure domain; None for none.
+
+        Args:
+            standby: The address of the standby, which is not chosen.
+        """
         domain_by_address = self._domain_by_address()
         others = [
             a for a in self._live_addresses(domain_by_address) if a != standby
         ]
         if not others:
             return None
-        taken = {
+        used_domains = {
             self._identity.failure_domain,
             domain_by_address.get(standby, ""),
         }
         return min(
             self._random.sample(others, len(others)),
-            key=lambda a: domain_by_address.get(a, "") in taken,
+            key=lambda a: domain_by_address.get(a, "") in used_domains,
         )
 
     def mark_failed(self, address: str, port: int) -> None:
-        """Names a host that was lost no standby for a while."""
+        """Excludes a host that failed from the choice for a while."""
         self._failed_at_by_address[(address, port)] = self._lease.now()
 
     def _domain_by_address(self) -> dict[tuple[str, int], str]:
         return {
             (host.address, host.port): host.failure_domain
-            for host in self._seen.live()
+            for host in self._live_hosts.live()
         }
 
     def _live_addresses(
         self, domain_by_address: dict[tuple[str, int], str]
     ) -> list[tuple[str, int]]:
-        """Returns hosts that probably live.
+        """Returns hosts that are probably alive, without those that failed.
 
-        Those that have asked for something lately do. A host that is only
-        known by name may be dead, and naming it would cost a write.
+        Hosts that have sent a request lately come first. Any other host may be
+        dead, and choosing it would cost another write of the shard's record.
         """
         return self._without_failed(domain_by_address) or self._without_failed(
             self._hosts.candidates()
--- a/libs/ledger/src/masticdale_ledger/standby.py
+++ b/libs/ledger/src/masticdale_ledger/standby.py
@@ -1,8 +1,9 @@
-"""Copies of other hosts' shards.
+"""Copies of other hosts' shards on their standby.
 
-An owner admits a turn only after its standby holds the account. So a standby
-that is sealed stops the owner at once, whatever clocks say, and whoever takes
-the shard over gets exact accounts. The loss of one host costs no budget.
+An owner admits a turn only after its standby has acknowledged the account.
+Sealing the standby's copy therefore fences the owner at once, independently of
+clocks, and gives the next owner exact accounts. No budget is lost with one
+host.
 """
 
 import collections
@@ -18,23 +19,25 @@
     SealRequest,
 )
 
-# Programs kept of one shard; the longest unchanged go first. As many as an
-# owner keeps.
+# Accounts kept per shard, as many as an owner keeps. Beyond this, the least
+# recently changed are evicted.
 _MAX_ACCOUNTS = 20_000
 
 
 @dataclasses.dataclass(slots=True)
 class _ShardCopy:
-    """What is held of one shard.
+    """The copy of one shard.
 
     Attributes:
         epoch: The owner's epoch.
-        account_by_id: Its accounts.
-        complete_from: Clock seconds from which no program is missing.
-        owner_has_store: Whether its owner reached the store with its last copy.
-        was_stop_announced: Whether its owner was told that this host stops.
-        was_acting: Whether it counts what was given here, and what its owner
-            may have given meanwhile.
+        account_by_id: The accounts, by program ID.
+        complete_from: Time on the boot clock, in seconds, from which a program
+            without an account has had no turns before.
+        owner_has_store: Whether the owner reached the store at its last copy.
+        was_stop_announced: Whether the owner was told that this host stops.
+        was_acting: Whether this host was the acting owner: the accounts then
+            include the turns that it admitted and those that the owner may
+            have admitted meanwhile.
     """
 
     epoch: int
@@ -46,12 +49,12 @@
 
 
 class StandbyCopies:
-    """The copies that this host holds.
+    """The copies that this host holds as a standby.
 
     Attributes:
-        is_stopping: Whether this host is about to end. Owners are told, and
-            name another standby while this one still answers: none of their
-            turns has to wait for a host that is gone.
+        is_stopping: Whether this host is stopping. Owners are told, and name
+            another standby while this one still answers, so that no turn has
+            to wait for a stopped host.
     """
 
     def __init__(self) -> None:
@@ -60,7 +63,7 @@
         self._sealed_epoch_by_shard: dict[int, int] = {}
 
     def put(self, request: CopyRequest) -> CopyReply:
-        """Takes changed accounts from an owner."""
+        """Applies a copy from an owner; rejects it if its epoch is sealed."""
         if request.epoch <= self._sealed_epoch_by_shard.get(request.shard, 0):
             return CopyReply(sealed=True)
         copy = self._copy_by_shard.get(request.shard)
@@ -73,10 +76,10 @@
             )
             self._copy_by_shard[request.shard] = copy
         if copy is None or copy.epoch != request.epoch:
-            # This process started after the copy was made. It may have been
-            # sealed before: with consent from now on, an owner that was
-            # replaced went on beside the next one. The owner has to name it
-            # again, by a write that fails if it was replaced.
+            # This process started after the copy was made, and may have been
+            # sealed before it restarted. If it accepted, a replaced owner could
+            # go on beside the next one. The owner has to name its standby
+            # again, by a write that fails if the owner was replaced.
             return CopyReply(held=False)
         copy.complete_from = boot_time_s() + request.incomplete_for_s
         copy.owner_has_store = request.owner_has_store
@@ -89,10 +92,10 @@
         return CopyReply(held=True, stops=self.is_stopping)
 
     def is_usable(self, shard: int, epoch: int) -> bool:
-        """Returns whether there is a copy of an epoch to act on.
+        """Returns whether this host may take over with its copy of an epoch.
 
-        A sealed one is none. Nor is one whose owner was told that this host
-        stops: it names another standby, and counts nothing for this one.
+        It may not with a sealed copy, nor if the owner was told that this host
+        stops: that owner does not count what this host would admit.
         """
         copy = self._copy_by_shard.get(shard)
         if copy is None or copy.epoch != epoch or copy.was_stop_announced:
@@ -100,7 +103,7 @@
         return epoch > self._sealed_epoch_by_shard.get(shard, 0)
 
     def owner_lost_store(self, shard: int, epoch: int) -> bool:
-        """Returns whether an owner said so with its last copy of an epoch."""
+        """Returns whether an epoch's last copy said that the store was lost."""
         copy = self._copy_by_shard.get(shard)
         return (
             copy is not None
@@ -115,16 +118,17 @@
         accounts: tuple[AccountState, ...],
         incomplete_for_s: float,
     ) -> None:
-        """Replaces a sealed copy by what became of it while this host acted.
+        """Replaces a sealed copy by the accounts of the acting owner.
 
-        An owner that was only cut off may have sent a copy of its next epoch
-        meanwhile, which then stays.
+        A copy of a later epoch stays: it comes from an owner that was only
+        partitioned meanwhile.
 
         Args:
             shard: The shard.
-            epoch: The epoch whose copy was sealed to act for its owner.
-            accounts: All accounts, with what was given here.
-            incomplete_for_s: Programs of before may be missing for so long.
+            epoch: The epoch whose copy was sealed when this host took over.
+            accounts: All accounts, with the turns admitted here.
+            incomplete_for_s: For how many more seconds a program without an
+                account may have had turns before.
         """
         held = self._copy_by_shard.get(shard)
         if held is not None and held.epoch > epoch:
@@ -138,7 +142,7 @@
         )
 
     def seal(self, request: SealRequest) -> SealReply:
-        """Takes no more copies up to an epoch; returns what is held of it."""
+        """Rejects copies up to an epoch from now on; returns its last copy."""
         sealed = self._sealed_epoch_by_shard.get(request.shard, 0)
         self._sealed_epoch_by_shard[request.shard] = max(sealed, request.epoch)
         copy = self._copy_by_shard.get(request.shard)
