--- a/libs/ledger/src/masticdale_ledger/messages.py
+++ b/libs/ledger/src/masticdale_ledger/messages.py
@@ -1,4 +1,4 @@
-"""The messages of the service ``Ledger``, each the mirror of a struct."""
+"""The messages of the ``Ledger`` service; each mirrors a Thrift struct."""
 
 import dataclasses
 
@@ -8,11 +8,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostAddress:
-    """Where other hosts reach a host, and where it stands.
+    """The address and the failure domain of a host.
 
     Attributes:
-        address: IP number on which it listens for other hosts.
-        port: And the port.
+        address: IP address on which it listens for other hosts.
+        port: Port on which it listens for other hosts.
         failure_domain: Its failure domain.
     """
 
@@ -30,9 +30,9 @@
         program_id: The program.
         request_id: The turn.
         budget_tokens: The whole budget of the program.
-        turn_tokens: What the turn uses at most.
-        asker: The host that asks. Owners learn from it which hosts live.
-        asker_stops: Whether that host is about to end.
+        turn_tokens: The most tokens that the turn may use.
+        asker: The calling host, from which owners learn which hosts are alive.
+        asker_stops: Whether the calling host is stopping.
     """
 
     shard: int
@@ -46,14 +46,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmitReply:
-    """None where the turn is admitted, else why not."""
+    """The outcome of an admission; ``failure`` is None if it succeeded."""
 
     failure: Failure | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settlement:
-    """What one admitted turn has used."""
+    """The tokens that an admitted turn has used."""
 
     shard: int
     program_id: str
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettleReply:
-    """Shards whose settlements belong to another owner."""
+    """The shards that the called host does not own."""
 
     other_shards: tuple[int, ...] = ()
 
@@ -82,13 +82,13 @@
     Attributes:
         program_id: The program.
         budget_tokens: Its whole budget.
-        spent_tokens: What its ended turns used.
+        spent_tokens: Tokens that its ended turns used.
         counts_from_start: Whether every turn was counted.
-        bound_tokens: What its record says.
-        bound_version: Version of the record; 0 for none.
-        reserved_ids: Turns under way.
-        reserved_tokens: The most that each of them may use.
-        most_tokens: The most that any of its turns might have used.
+        bound_tokens: The bound in its record; 0 without a record.
+        bound_version: Version of the record; 0 without a record.
+        reserved_ids: Request IDs of the turns in progress.
+        reserved_tokens: Tokens reserved for each of these turns.
+        most_tokens: The largest reservation of any of its turns.
     """
 
     program_id: str
@@ -104,13 +104,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandOver:
-    """An owner that stops offers a shard.
+    """Offers a shard of an owner that is stopping to another host.
 
     Attributes:
         shard: The shard.
-        version: Version of its object as the owner has written it.
-        accounts: Everything the owner knows.
-        incomplete_for_s: Programs of before may be missing for so long.
+        version: Version of the shard's object as the owner has written it.
+        accounts: All accounts.
+        incomplete_for_s: For how many more seconds a program without an
+            account may have had turns before.
     """
 
     shard: int
@@ -121,7 +122,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandOverReply:
-    """None where the called host owns the shard now, else why not."""
+    """The outcome of a handoff; ``failure`` is None if it succeeded."""
 
     failure: Failure | None = None
 
@@ -134,12 +135,13 @@
         shard: The shard.
         epoch: The owner's epoch.
         is_snapshot: Whether these are all accounts.
-        accounts: What has changed, each account whole.
-        incomplete_for_s: Programs of before may be missing for so long.
+        accounts: The changed accounts, each in full.
+        incomplete_for_s: For how many more seconds a program without an
+            account may have had turns before.
         owner_has_store: Whether the owner reaches the store, and so may name
             another standby at any time.
         renews: Whether a copy of this epoch may have arrived before. A standby
-            that holds none then was started again, and takes none.
+            that holds none then has restarted, and rejects this one.
     """
 
     shard: int
@@ -153,12 +155,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyReply:
-    """What a standby says of a copy.
+    """The answer of a standby to a copy.
 
     Attributes:
-        held: Whether it holds the copy.
-        sealed: Whether another host takes the shard over.
-        stops: Whether the standby is about to end.
+        held: Whether the standby holds the copy.
+        sealed: Whether the copy's epoch is sealed or superseded.
+        stops: Whether the standby is stopping.
     """
 
     held: bool = False
@@ -168,7 +170,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SealRequest:
-    """Asks a standby to take no more copies of an epoch."""
+    """Asks a standby to reject copies of an epoch and return its last one."""
 
     shard: int
     epoch: int
@@ -179,11 +181,12 @@
     """The sealed copy.
 
     Attributes:
-        held: Whether there is one; without, the accounts are lost.
+        held: Whether the standby holds a copy; if not, the accounts are lost.
         accounts: All accounts.
-        incomplete_for_s: Programs of before may be missing for so long.
-        acted: Whether the standby has acted for the owner. The accounts then
-            count what that owner may have given meanwhile.
+        incomplete_for_s: For how many more seconds a program without an
+            account may have had turns before.
+        acted: Whether the standby was the acting owner. The accounts then
+            include turns that the owner may have admitted meanwhile.
     """
 
     held: bool = False
@@ -202,19 +205,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppointReply:
-    """Whether the host is the arbiter from now on."""
+    """Whether the host accepts to be the arbiter of the epoch."""
 
     accepted: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DecideRequest:
-    """Asks an arbiter whether one side may go on.
+    """Asks an arbiter to decide for the calling side.
 
     Attributes:
         shard: The shard.
         epoch: The owner's epoch.
-        side: Who asks; a ``Side``.
+        side: The calling side; a ``Side``.
     """
 
     shard: int
@@ -224,7 +227,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DecideReply:
-    """Who may go on: a ``Side``; empty where the arbiter does not know."""
+    """The side decided for: a ``Side``; empty if the epoch is unknown."""
 
     side: str = ""
 
@@ -243,12 +246,12 @@
     """A call of ``ObjectStore`` to be made for another host.
 
     Attributes:
-        operation: Name of the method.
+        operation: The method name, or "follow" for the host's own watches.
         key: The key, or the prefix.
-        value: What to write.
+        value: The value to write.
         version: The expected version.
-        position: Where a watch begins.
-        wait_ms: How long a watch waits.
+        position: The position at which a watch begins.
+        wait_ms: The longest wait of a watch, in milliseconds.
     """
 
     operation: str
@@ -261,7 +264,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreReply:
-    """What the store answered; the fields that the operation fills."""
+    """The result of a store call; each operation sets only some fields."""
 
     items: tuple[StoreItem, ...] = ()
     deleted_keys: tuple[str, ...] = ()
