--- a/libs/ledger/src/masticdale_ledger/copier.py
+++ b/libs/ledger/src/masticdale_ledger/copier.py
@@ -79,7 +79,7 @@
         With a copy each, every turn would wait for a whole timeout of a standby
         that does not answer, and delay its replacement.
 
-        Failures: CONFLICT if another host has sealed the copy;
+        Failures: CONFLICT if the epoch is sealed or superseded at the standby;
         PEER_UNAVAILABLE if the standby does not answer or has restarted.
         """
         if self._next_round is None:
@@ -121,7 +121,10 @@
         )
         if reply.sealed:
             return Failed(
-                Failure(ErrorKind.CONFLICT, "another host has sealed the copy")
+                Failure(
+                    ErrorKind.CONFLICT,
+                    "the copy's epoch is sealed or superseded",
+                )
             )
         detail = "the standby has restarted and holds no copy"
         return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, detail))
--- a/libs/ledger/src/masticdale_ledger/messages.py
+++ b/libs/ledger/src/masticdale_ledger/messages.py
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettleReply:
-    """The shards that the called host does not own."""
+    """The shards whose settlements the called host has not applied."""
 
     other_shards: tuple[int, ...] = ()
 
--- a/libs/ledger/tests/test_failover.py
+++ b/libs/ledger/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Tests of a standby that goes on in place of its owner, and of its claim."""
+"""Tests of the failover from a lost owner to its standby."""
 
 import asyncio
 import types
@@ -53,7 +53,7 @@
 
 
 class Owner(Hosts):
-    """The other host: answers, or is silent until the caller's timeout."""
+    """The owner's host: answers, or lets calls time out."""
 
     def __init__(self):
         self.is_silent = True
@@ -72,7 +72,7 @@
 
 
 class LossyStore(MemoryStore):
-    """A store that does a write and is gone before it answers."""
+    """A store that applies a write and fails before it answers."""
 
     def __init__(self):
         super().__init__()
@@ -92,7 +92,7 @@
         return Failed(Failure(ErrorKind.WRITE_UNKNOWN, "no answer"))
 
 
-class ActingCase(unittest.IsolatedAsyncioTestCase):
+class FailoverCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.store = LossyStore()
         self.map = ShardMap()
@@ -150,7 +150,7 @@
         return None
 
     async def read_map(self):
-        """The store is back, and what it holds becomes known."""
+        """Restores the store and reads the shard's record into the map."""
         self.store.is_lossy = False
         self.store.faults.down = False
         self.store.faults.delay_s = 0.0
@@ -158,13 +158,11 @@
         self.map.put(found.unwrap())
 
 
-class ActingTest(ActingCase):
-    async def test_a_shard_goes_on_after_one_question_to_its_lost_owner(self):
-        """Programs would wait 1.4 s for a host that lost its power.
+class FailoverTest(FailoverCase):
+    async def test_a_standby_takes_over_after_one_ping_of_its_lost_owner(self):
+        """Guards against turns that wait for other hosts to claim the shard.
 
-        Every host that missed the owner waited for a second timeout and a
-        random while before one of them claimed the shard. The standby has the
-        accounts: it asks once and goes on.
+        The standby holds the accounts and takes over after a single ping.
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -183,10 +181,11 @@
         self.assertIs(await self.admit(claim("r")), ErrorKind.NOT_OWNER)
         self.assertTrue(self.copies.is_usable(SHARD, 1))
 
-    async def test_new_programs_wait_until_the_store_is_known_to_be_lost(self):
-        """An owner that lives would count them from zero.
+    async def test_new_programs_wait_until_the_store_is_found_unreachable(self):
+        """Guards against a live owner that counts these programs from zero.
 
-        It may reach the store, name another standby and never ask this one.
+        It may reach the store and name another standby without sealing this
+        one.
         """
         self.store.faults.delay_s = 0.3
         await self.acting.fail_over(SHARD)
@@ -197,7 +196,7 @@
         await asyncio.sleep(0.7)
         self.assertIsNone(await self.admit(claim("r2", "new")))
 
-    async def test_what_was_given_meanwhile_is_counted_once_it_owns(self):
+    async def test_turns_admitted_as_acting_owner_count_after_the_claim(self):
         self.store.faults.delay_s = 0.2
         await self.acting.fail_over(SHARD)
         for number in range(2):
@@ -206,17 +205,17 @@
         shard = self.owner.owned()[SHARD]
         self.assertFalse(shard.is_acting)
         account = shard.accounts.get("known")
-        # 40 before, two turns here, and a half of 560 that the owner may
-        # have given when it was alone.
+        # 40 before, two turns here, and the half of 560 that the owner may
+        # have admitted while isolated.
         self.assertGreaterEqual(account.taken_tokens, 40 + 200 + 280)
 
 
-class UnknownClaimTest(ActingCase):
-    async def test_a_claim_that_turns_out_written_keeps_the_accounts(self):
-        """Programs would count as half spent, or be told 402.
+class UnknownClaimTest(FailoverCase):
+    async def test_a_claim_whose_answer_was_lost_keeps_the_accounts(self):
+        """Otherwise programs would count as half spent or be rejected with 402.
 
-        The claim is done, its answer lost, and the store gone right after it.
-        When the store is back it names this process as the owner.
+        The claim is written, but its answer is lost and the store fails. When
+        the store is back, its record names this process as the owner.
         """
         self.store.is_lossy = True
         await self.acting.fail_over(SHARD)
@@ -230,12 +229,12 @@
         self.assertIn("r", account.reserved_by_request_id)
         self.assertTrue(account.counts_from_start)
 
-    async def test_a_hand_over_of_unknown_outcome_keeps_the_accounts(self):
-        """A program was told 402 after a fifth of its budget.
+    async def test_a_handoff_of_unknown_outcome_keeps_the_accounts(self):
+        """Guards against 402 for programs with most of their budget left.
 
-        A host stops and offers its shard. The claim is done and its answer
-        lost; the host that stops admits nothing more. Here the offered
-        accounts have to last until the store says whose the shard is.
+        A stopping host offers its shard, and the answer to the claim is lost.
+        The offered accounts must be kept until the store shows whether the
+        claim was written.
         """
         self.store.is_lossy = True
         state = AccountState("known", BUDGET, 40, True, 900, 3, (), (), 100)
@@ -250,11 +249,11 @@
         self.assertEqual(account.spent_tokens, 40)
 
     async def test_a_claim_without_the_records_is_not_declined(self):
-        """Two hosts would admit turns of the same programs.
+        """Guards against two owners that admit turns of the same programs.
 
-        The claim of an offered shard is written, and the store gone before the
-        records are read. Told that it was declined, the host that offered the
-        shard would go on with it.
+        The claim of an offered shard is written, but the store fails before the
+        records are read. If the offer were declined, the offering host would
+        go on as the owner.
         """
         self.store.is_silent_for_lists = True
         state = AccountState("known", BUDGET, 40, True, 0, 0, (), (), 100)
--- a/libs/ledger/tests/test_seals.py
+++ b/libs/ledger/tests/test_seals.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from test_failover import SHARD, ActingCase, claim
+from test_failover import SHARD, FailoverCase, claim
 
 from masticdale_common import ErrorKind
 from masticdale_ledger.messages import SealRequest
@@ -11,7 +11,7 @@
 EPOCH = 1
 
 
-class SealsOfAnActedShardTest(ActingCase):
+class SealsOfAnActedShardTest(FailoverCase):
     """A program that loops got its budget nearly twice: 2296 of 1176 tokens.
 
     Its owner is killed and the store is away. The standby acts, also for
