--- a/libs/ledger/src/masticdale_ledger/failover.py
+++ b/libs/ledger/src/masticdale_ledger/failover.py
@@ -187,12 +187,12 @@
         shard.is_acting = True
         shard.has_decision = has_decision
         is_holder = has_decision or not record.arbiter_address
-        shares = isolation_quotas(
+        quotas = isolation_quotas(
             accounts.all(),
             is_standby=True,
             remainder_side=Side.STANDBY if is_holder else Side.OWNER,
         )
-        shard.alone = Isolation(shares, admits_unknown=False)
+        shard.alone = Isolation(quotas, admits_unknown=False)
         self._owner.take(shard)
         logs.write(
             "shard_acted_for",
--- a/libs/ledger/tests/test_isolation.py
+++ b/libs/ledger/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""Tests of budgets while an owner and its standby can't reach each other."""
+"""Tests of budgets while an owner and its standby are partitioned."""
 
 import asyncio
 import unittest
@@ -32,11 +32,11 @@
 
 
 class Link:
-    """The way from an owner to its standby.
+    """The link from an owner to its standby.
 
     Attributes:
-        is_cut: Copies don't arrive.
-        loses_answers: They arrive, and the answers don't.
+        is_cut: Whether copies are lost.
+        loses_answers: Whether copies arrive and their answers are lost.
     """
 
     def __init__(self):
@@ -53,7 +53,13 @@
 
 
 class World:
-    """One program, the hosts that may admit its turns, and its tokens."""
+    """One program, the hosts that may admit its turns, and its tokens.
+
+    Attributes:
+        used: Tokens of each admitted turn, by request ID.
+        open_turns: Turns in progress: request ID and admitting host.
+        replaced_owners: Owners that do not know yet that they were replaced.
+    """
 
     def __init__(self, budget, most):
         self.budget = budget
@@ -63,14 +69,14 @@
         self.epoch = 0
         self.writers = 0
         self.used = {}
-        self.open = []
+        self.open_turns = []
         self.owner = None
-        self.acting = None
-        self.ghosts = []
+        self.acting_owner = None
+        self.replaced_owners = []
         self.asked = 0
-        self.own(Accounts(), 0.0)
+        self.start_owner(Accounts(), 0.0)
 
-    def host(self, accounts, incomplete_s, copier):
+    def create_host(self, accounts, incomplete_s, copier):
         """Returns a host that owns the shard, and the shard."""
         self.writers += 1
         writer = f"w{self.writers}"
@@ -95,12 +101,12 @@
         owner.take(shard)
         return owner, shard
 
-    def own(self, accounts, incomplete_s):
-        """A new owner with a new standby."""
+    def start_owner(self, accounts, incomplete_s):
+        """Starts a new owner with a new standby."""
         self.epoch += 1
         self.link = Link()
         self.lease.confirm(self.lease.now())
-        self.owner = self.host(accounts, incomplete_s, Copier(self.link))
+        self.owner = self.create_host(accounts, incomplete_s, Copier(self.link))
 
     async def admit(self, host):
         if host is None:
@@ -112,48 +118,50 @@
         owner, _ = host
         if isinstance(await owner.admit(SHARD, claim), Success):
             self.used[request_id] = self.most
-            self.open.append((request_id, host))
+            self.open_turns.append((request_id, host))
 
     def settle(self, amount):
-        """The oldest turn ends; its settlement reaches one host."""
-        if not self.open:
+        """Ends the oldest turn; settles it at its host and at the owner."""
+        if not self.open_turns:
             return
-        request_id, (_, shard) = self.open.pop(0)
+        request_id, (_, shard) = self.open_turns.pop(0)
         self.used[request_id] = min(amount, self.most)
         for target in (shard, self.owner[1]):
             target.accounts.settle(PROGRAM, request_id, self.used[request_id])
             if target.copier is not None:
                 target.copier.mark_changed(PROGRAM)
 
-    def part(self):
-        """Owner and standby lose each other and the store."""
+    def partition(self):
+        """Partitions owner and standby from each other and from the store."""
         shard = self.owner[1]
         self.link.is_cut = True
         self.store.faults.down = True
         if shard.alone is None:
-            shares = isolation_quotas(shard.accounts.all(), is_standby=False)
-            shard.alone = Isolation(shares, admits_unknown=False)
+            quotas = isolation_quotas(shard.accounts.all(), is_standby=False)
+            shard.alone = Isolation(quotas, admits_unknown=False)
 
-    def act(self):
-        """The standby goes on in place of the owner."""
-        if not self.store.faults.down or self.acting is not None:
+    def fail_over(self):
+        """Makes the standby the acting owner."""
+        if not self.store.faults.down or self.acting_owner is not None:
             return
         if not self.link.copies.is_usable(SHARD, self.epoch):
             return
         copy = self.link.copies.seal(SealRequest(SHARD, self.epoch))
         accounts = Accounts()
         accounts.adopt([account_of(state) for state in copy.accounts])
-        self.acting = self.host(accounts, copy.incomplete_for_s, None)
-        shares = isolation_quotas(accounts.all(), is_standby=True)
-        self.acting[1].alone = Isolation(shares, admits_unknown=True)
+        self.acting_owner = self.create_host(
+            accounts, copy.incomplete_for_s, None
+        )
+        quotas = isolation_quotas(accounts.all(), is_standby=True)
+        self.acting_owner[1].alone = Isolation(quotas, admits_unknown=True)
 
-    async def meet(self):
-        """The store is back; somebody owns the shard by a new record."""
+    async def take_over(self):
+        """Restores the store; a new owner takes the shard over."""
         self.store.faults.down = False
         old = self.owner
-        if self.acting is not None:
-            states = self.acting[1].acted_states()
-            incomplete_s = self.acting[1].incomplete_for_s
+        if self.acting_owner is not None:
+            states = self.acting_owner[1].acted_states()
+            incomplete_s = self.acting_owner[1].incomplete_for_s
         elif old[1].alone is not None and self.link.is_cut:
             reply = self.link.copies.seal(SealRequest(SHARD, self.epoch))
             if not reply.held:
@@ -164,22 +172,22 @@
             incomplete_s = reply.incomplete_for_s
         else:
             return
-        # The old owner may not know yet that it has been replaced.
-        self.ghosts.append(old)
-        self.acting = None
-        accounts = Accounts(await self.bounds())
+        # The old owner does not know yet that it has been replaced.
+        self.replaced_owners.append(old)
+        self.acting_owner = None
+        accounts = Accounts(await self.read_bounds())
         accounts.adopt([account_of(state) for state in states])
-        self.own(accounts, incomplete_s)
+        self.start_owner(accounts, incomplete_s)
 
-    async def lose_all(self):
-        """Every process is killed; only the store remains."""
+    async def lose_all_hosts(self):
+        """Kills every process; a new owner has only the store's records."""
         self.store.faults.down = False
-        self.ghosts.clear()
-        self.open.clear()
-        self.acting = None
-        self.own(Accounts(await self.bounds()), 1000.0)
+        self.replaced_owners.clear()
+        self.open_turns.clear()
+        self.acting_owner = None
+        self.start_owner(Accounts(await self.read_bounds()), 1000.0)
 
-    async def bounds(self):
+    async def read_bounds(self):
         written = await ProgramRecords(self.store, "reader").read(PROGRAM)
         found = written.unwrap()
         bound = found.bound if found else None
@@ -190,23 +198,25 @@
             case "owner":
                 await self.admit(self.owner)
             case "standby":
-                await self.admit(self.acting)
-            case "ghost":
-                await self.admit(self.ghosts[-1] if self.ghosts else None)
+                await self.admit(self.acting_owner)
+            case "replaced":
+                await self.admit(
+                    self.replaced_owners[-1] if self.replaced_owners else None
+                )
             case "settle":
                 self.settle(amount)
             case "copy":
                 await self.owner[0].copy_changed()
-            case "answers":
+            case "lose answers":
                 self.link.loses_answers = not self.link.loses_answers
-            case "part":
-                self.part()
-            case "act":
-                self.act()
-            case "meet":
-                await self.meet()
-            case "lose":
-                await self.lose_all()
+            case "partition":
+                self.partition()
+            case "failover":
+                self.fail_over()
+            case "takeover":
+                await self.take_over()
+            case "lose hosts":
+                await self.lose_all_hosts()
 
 
 KINDS = (
@@ -214,21 +224,21 @@
     "owner",
     "standby",
     "standby",
-    "ghost",
+    "replaced",
     "settle",
     "settle",
     "copy",
-    "answers",
-    "part",
-    "act",
-    "meet",
-    "lose",
+    "lose answers",
+    "partition",
+    "failover",
+    "takeover",
+    "lose hosts",
 )
 
 
-# No turn ends by itself here, so that waiting for one decides nothing.
+# Turns end only by a step, so an admission must not wait for one to end.
 @mock.patch("masticdale_ledger.owner._TURNS_END_WITHIN_S", 0.0)
-class ApartTest(unittest.TestCase):
+class IsolationTest(unittest.TestCase):
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=400)
     @hypothesis.given(
         turns=st.integers(1, 8),
@@ -237,15 +247,13 @@
             max_size=60,
         ),
     )
-    def test_apart_they_hand_out_no_more_than_the_budget_and_one_turn(
+    def test_partitioned_hosts_exceed_the_budget_by_at_most_one_turn(
         self, turns, steps
     ):
-        """A program that loops would get a part of its budget twice.
+        """Guards against a program that spends part of its budget twice.
 
-        Owner and standby lose each other and the store, both go on alone, one
-        of them or a third takes over, all are killed: in any order and more
-        than once, with copies whose answers are lost and turns that end at
-        any time.
+        Partitions, failovers, takeovers and losses of all hosts occur in any
+        order, with lost answers and turns that end at any time.
         """
         most = 100
         budget = int(1.5 * turns * most)
@@ -258,12 +266,11 @@
 
         asyncio.run(play())
 
-    def test_alone_and_acting_then_all_are_killed(self):
-        """A program that loops got half of its budget a second time.
+    def test_isolated_owner_and_acting_standby_then_all_hosts_are_lost(self):
+        """Guards against a program that spends half of its budget twice.
 
-        The store is away and the owner can't reach its standby. Both go on
-        with the program. Then all hosts are killed: the program has no record
-        and counts as half spent, so that they may have given no more.
+        After the loss of all hosts a program without a record counts as half
+        spent, so both sides together must not admit more than that.
         """
 
         async def play():
@@ -271,58 +278,58 @@
             await world.step("owner", 0)
             await world.step("settle", 20)
             await world.step("copy", 0)
-            await world.step("part", 0)
-            await world.step("act", 0)
+            await world.step("partition", 0)
+            await world.step("failover", 0)
             for _ in range(20):
                 await world.step("owner", 0)
                 await world.step("standby", 0)
             self.assertLessEqual(sum(world.used.values()), 600)
-            # The shares are worth something: both have gone on.
+            # Both sides have admitted turns.
             self.assertGreaterEqual(sum(world.used.values()), 400)
-            await world.step("lose", 0)
+            await world.step("lose hosts", 0)
             for _ in range(20):
                 await world.step("owner", 0)
             self.assertLessEqual(sum(world.used.values()), 1300)
 
         asyncio.run(play())
 
-    def test_an_owner_alone_that_is_killed_and_back_has_spent_its_share(self):
-        """Its standby was only cut off, and its copy is older.
+    def test_an_isolated_owner_that_restarts_has_spent_its_quota(self):
+        """Guards against turns of an isolated owner that are not counted.
 
-        The owner went on alone, was killed, and takes its shard again with the
-        standby's copy, which lacks what it gave when it was alone.
+        After its restart the owner gets the copy of its standby, which lacks
+        the turns that it admitted while isolated.
         """
 
         async def play():
             world = World(1200, 100)
             await world.step("owner", 0)
-            await world.step("part", 0)
+            await world.step("partition", 0)
             for _ in range(10):
                 await world.step("owner", 0)
             given = sum(world.used.values())
-            await world.step("meet", 0)
+            await world.step("takeover", 0)
             account = world.owner[1].accounts.get(PROGRAM)
             self.assertGreaterEqual(account.taken_tokens, given)
 
         asyncio.run(play())
 
-    def test_programs_with_a_record_wait_and_lose_nothing(self):
-        """A program near its record would be told 402 after one kill.
+    def test_programs_with_a_record_wait_and_are_charged_nothing(self):
+        """Guards against 402 for programs near their record's bound.
 
-        The part that its lost owner might have given would count as spent.
+        A quota of the lost owner would count as spent.
         """
         accounts = Accounts()
         claim = TurnClaim(PROGRAM, "r", 1000, 100)
         account = accounts.open(claim, "record", True, 0.0)
         account.spent_tokens = 600
         account.bound = Bound(900, 1)
-        for acting in (False, True):
-            share = isolation_quotas([account], is_standby=acting)[PROGRAM]
-            self.assertEqual(share.limit_tokens, 600)
-            self.assertEqual(share.peer_tokens, 0)
+        for is_standby in (False, True):
+            quota = isolation_quotas([account], is_standby=is_standby)[PROGRAM]
+            self.assertEqual(quota.limit_tokens, 600)
+            self.assertEqual(quota.peer_tokens, 0)
 
-    def test_where_half_holds_no_turn_the_standby_may_give_one(self):
-        """Programs of few turns would wait for the end of an outage."""
+    def test_where_half_covers_no_turn_the_standby_may_admit_one(self):
+        """Guards against programs with room for one turn that have to wait."""
         accounts = Accounts()
         claim = TurnClaim(PROGRAM, "r", 400, 100)
         account = accounts.open(claim, "record", True, 0.0)
