--- a/libs/ledger/tests/test_client.py
+++ b/libs/ledger/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of how long a host asks for a turn before it refuses it."""
+"""Tests of the timeouts and retries of ``LedgerClient``."""
 
 import asyncio
 import time
@@ -32,7 +32,7 @@
 
 
 class Owner:
-    """Another host; this one is paused while it waits for its first answer."""
+    """An owner; the calling host is paused while its first call waits."""
 
     def __init__(self, pause_s=0.0, answers=()):
         self.pause_s = pause_s
@@ -48,15 +48,10 @@
 
 
 class PausedHostTest(unittest.TestCase):
-    """A caller with time left was refused because its host had been paused.
+    """Guards against rejecting a turn because its host was paused.
 
-    The host asks an owner, is paused for longer than it would ask, and finds
-    its question timed out and its patience spent, although the owner has long
-    answered. It refused the turn without one more question.
-
-    Shown by pauses of 1.3 to 2.0 s at 2 to 6 ms after the first turn of
-    ``test_programs_do_not_share_a_budget``: statuses [503, 200, 200], just
-    those of the two failures in CI. Pauses of 0.5 s change nothing.
+    After a pause longer than the admission timeout, the call has timed out
+    although the owner has answered.
     """
 
     def admit(self, owner, deadline_s=3.0):
@@ -79,17 +74,17 @@
 
         return asyncio.run(play())
 
-    def test_after_a_pause_the_owner_is_asked_once_more(self):
+    def test_after_a_pause_the_call_is_retried_once(self):
         owner = Owner(pause_s=1.5, answers=[Success(AdmitReply())])
         self.assertIsInstance(self.admit(owner), Success)
         self.assertEqual(owner.calls, 2)
 
-    def test_after_a_pause_beyond_the_deadline_it_is_not(self):
+    def test_after_a_pause_beyond_the_deadline_it_is_not_retried(self):
         owner = Owner(pause_s=1.5, answers=[Success(AdmitReply())])
         self.assertIsInstance(self.admit(owner, deadline_s=1.3), Failed)
         self.assertEqual(owner.calls, 1)
 
-    def test_without_a_pause_the_patience_is_what_it_was(self):
+    def test_without_a_pause_the_admission_timeout_applies(self):
         began = time.monotonic()
         self.assertIsInstance(self.admit(Owner()), Failed)
         self.assertLess(time.monotonic() - began, 1.2 + 0.2)
--- a/libs/ledger/tests/test_messages.py
+++ b/libs/ledger/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of the ledger's messages on the wire."""
+"""Tests that the ledger's messages match their Thrift IDL."""
 
 import unittest
 
@@ -25,7 +25,7 @@
 
 class ContractTest(unittest.TestCase):
     def test_the_structs_are_those_of_the_idl(self):
-        """Hosts of two versions would misread each other's messages."""
+        """Guards against hosts that misread messages of another version."""
         declared = parse_idl("masticdale_ledger", "ledger.thrift", "Ledger")
         for name in LEDGER.rpc_by_name:
             for part in ("args", "result"):
--- a/libs/ledger/tests/test_shared_watches.py
+++ b/libs/ledger/tests/test_shared_watches.py
@@ -1,4 +1,4 @@
-"""Tests of hosts that watch the store through others."""
+"""Tests of hosts that follow the store watches of other hosts."""
 
 import asyncio
 import unittest
@@ -15,8 +15,8 @@
 PREFIX = "a/"
 
 
-class CountedStore(MemoryStore):
-    """Counts the watches that reach the store."""
+class CountingStore(MemoryStore):
+    """A store that counts the watches that reach it."""
 
     def __init__(self):
         super().__init__()
@@ -28,7 +28,7 @@
 
 
 class Leader:
-    """A host that watches the store and is asked by others."""
+    """A host that watches the store and serves the results to followers."""
 
     def __init__(self, store):
         self.shared = SharedWatches()
@@ -53,7 +53,7 @@
 
 class FollowingTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.direct = CountedStore()
+        self.direct = CountingStore()
         self.leaders = [Leader(self.direct) for _ in range(2)]
         await self.direct.write("a/x", b"1", 0)
         for leader in self.leaders:
@@ -61,8 +61,8 @@
         self.store = FallbackStore(self.direct, list, Metrics(), self.leaders)
         self.direct.watches = 0
 
-    async def test_a_host_that_follows_makes_no_calls(self):
-        """Each change would cost every host of a fleet a call."""
+    async def test_a_follower_makes_no_store_calls(self):
+        """Guards against a load on the store that grows with the hosts."""
         batch = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         self.assertTrue(batch.is_snapshot)
         self.assertEqual([s.value for s in batch.changed], [b"1"])
@@ -79,7 +79,7 @@
         )
         self.assertEqual(self.direct.watches, 2)
 
-    async def test_what_is_deleted_is_in_no_later_snapshot(self):
+    async def test_a_deleted_object_is_in_no_later_snapshot(self):
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         found = (await self.direct.read("a/x")).unwrap()
         await self.direct.delete("a/x", found.version)
@@ -90,10 +90,9 @@
         self.assertEqual(later.changed, ())
 
     async def test_a_silent_leader_costs_one_timeout(self):
-        """A change would not be in force in time on hosts that follow it.
+        """Guards against changes that take effect late on followers.
 
-        The leader is suspended. The host that waits there asks the store
-        itself after one timeout, and sees a change that came meanwhile.
+        After one timeout of a leader, the follower asks the store itself.
         """
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         for leader in self.leaders:
@@ -105,8 +104,8 @@
         self.assertLess(loop.time() - began, 1.5)
         self.assertEqual([s.key for s in later.changed], ["a/y"])
 
-    async def test_a_leader_without_the_store_passes_to_the_next(self):
-        """A host that lost the store alone would keep old lists of replicas."""
+    async def test_after_a_leader_without_the_store_the_next_is_asked(self):
+        """Guards against followers that keep outdated lists of replicas."""
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         for leader in self.leaders:
             leader.shared.mark_store_unavailable()
@@ -116,11 +115,10 @@
         self.assertEqual(later.position, self.leaders[1].position)
         self.assertEqual(self.direct.watches, 1)
 
-    async def test_leaders_that_lost_the_store_alone_hold_up_nobody(self):
-        """A change was not in force in time on hosts with a way of their own.
+    async def test_followers_of_partitioned_leaders_ask_the_store_at_once(self):
+        """Guards against followers that take their leaders' loss for an outage.
 
-        The store turns away just the hosts that the others follow. Taken for
-        an outage, it kept those from asking the store for two seconds and more.
+        They reach the store themselves and must ask it without delay.
         """
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         for leader in self.leaders:
@@ -133,12 +131,11 @@
             position = outcome.unwrap().position
         self.assertEqual(position, first.position + 5)
 
-    async def test_what_a_leader_took_through_others_is_passed_on(self):
-        """A replica that leaves got new work from every host but the leader.
+    async def test_changes_that_a_leader_received_by_relay_are_served(self):
+        """Guards against new work for a replica that is leaving.
 
-        The leader was cut off from the store and took changes through another
-        host. Back at the store it took the next change directly, and passed
-        the one in between on as it had been before.
+        A leader must also serve the changes that it received through another
+        host while it could not reach the store.
         """
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         leader = self.leaders[0]
@@ -146,9 +143,9 @@
         leader.shared.mark_store_unavailable()
         found = (await self.direct.read("a/x")).unwrap()
         await self.direct.write("a/x", b"leaves", found.version)
-        through = (await self.direct.watch(PREFIX, leader.position, 0)).unwrap()
-        leader.shared.apply(PREFIX, leader.position, through)
-        leader.position = through.position
+        relayed = (await self.direct.watch(PREFIX, leader.position, 0)).unwrap()
+        leader.shared.apply(PREFIX, leader.position, relayed)
+        leader.position = relayed.position
         await self.direct.write("a/y", b"2", 0)
         await leader.step()
         later = (await self.store.watch(PREFIX, first.position, 5.0)).unwrap()
@@ -157,7 +154,7 @@
             {"a/x": b"leaves", "a/y": b"2"},
         )
 
-    async def test_a_gap_in_what_a_leader_took_is_never_passed_on(self):
+    async def test_a_leader_with_a_gap_in_its_changes_serves_none(self):
         leader = self.leaders[0]
         found = (await self.direct.read("a/x")).unwrap()
         await self.direct.write("a/x", b"leaves", found.version)
@@ -168,11 +165,11 @@
         outcome = await leader.shared.wait_newer(PREFIX, 0, 0.0)
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_FOUND)
 
-    async def test_a_list_older_than_what_was_known_is_not_taken(self):
-        """A replica that leaves would count as ready again.
+    async def test_a_list_older_than_the_known_position_is_rejected(self):
+        """Guards against a replica that is leaving but looks ready again.
 
-        The host followed a leader that fell silent, reads everything again,
-        and asks another one whose own watch has been silent for longer.
+        The follower lists everything again at another leader, whose own watch
+        has stalled for longer.
         """
         await self.direct.write("a/y", b"2", 0)
         await self.leaders[0].step()
@@ -183,7 +180,7 @@
         self.assertGreaterEqual(again.position, newest.position)
         self.assertEqual(len(again.changed), 2)
 
-    async def test_an_older_leader_takes_nothing_back(self):
+    async def test_a_leader_with_an_older_position_returns_no_changes(self):
         await self.direct.write("a/y", b"2", 0)
         await self.leaders[0].step()
         newest = self.leaders[0].position
--- a/libs/ledger/tests/test_standby.py
+++ b/libs/ledger/tests/test_standby.py
@@ -1,4 +1,4 @@
-"""Tests of the copies that stop an owner who is replaced."""
+"""Tests of the copies whose sealing fences a replaced owner."""
 
 import unittest
 
@@ -18,12 +18,11 @@
     def setUp(self):
         self.copies = StandbyCopies()
 
-    def test_a_sealed_owner_gets_no_more_consent(self):
-        """Two owners at once would each admit turns of the same program.
+    def test_a_sealed_standby_rejects_further_copies(self):
+        """Guards against two owners that admit turns of the same program.
 
-        A host takes the shard over and seals the copy. The last owner is only
-        cut off from it and goes on: its next copy is refused, so that it
-        admits nothing.
+        The next copy of an owner that was replaced during a partition is
+        rejected, so that it admits nothing.
         """
         self.copies.put(copy(3, account("a"), snapshot=True))
         self.copies.seal(SealRequest(1, 3))
@@ -31,7 +30,7 @@
         self.assertTrue(reply.sealed)
         self.assertFalse(reply.held)
 
-    def test_a_seal_returns_what_the_owner_was_told_is_held(self):
+    def test_a_seal_returns_the_acknowledged_accounts(self):
         self.copies.put(copy(3, account("a"), account("b"), snapshot=True))
         self.copies.put(copy(3, account("a", 50)))
         reply = self.copies.seal(SealRequest(1, 3))
@@ -41,29 +40,29 @@
             {"a": 50, "b": 0},
         )
 
-    def test_a_restarted_standby_asks_for_everything(self):
+    def test_a_restarted_standby_needs_a_snapshot(self):
         reply = self.copies.put(copy(3, account("a")))
         self.assertFalse(reply.held)
         self.assertFalse(reply.sealed)
         reply = self.copies.put(copy(3, account("a"), snapshot=True))
         self.assertTrue(reply.held)
 
-    def test_a_copy_of_another_epoch_is_not_passed_off_as_complete(self):
-        """A takeover must not trust a copy that its owner has left behind.
+    def test_a_copy_of_another_epoch_is_not_returned(self):
+        """Guards against a takeover with outdated accounts.
 
-        The owner named another standby and later this one again; in between
-        it admitted turns that are not in the old copy.
+        The owner named another standby and later this one again; turns
+        admitted in between are missing in the old copy.
         """
         self.copies.put(copy(3, account("a"), snapshot=True))
         self.assertFalse(self.copies.seal(SealRequest(1, 5)).held)
 
-    def test_a_seal_binds_older_epochs_only(self):
+    def test_a_seal_does_not_affect_later_epochs(self):
         self.copies.seal(SealRequest(1, 3))
         reply = self.copies.put(copy(4, account("a"), snapshot=True))
         self.assertTrue(reply.held)
 
-    def test_a_copy_of_a_later_epoch_is_not_replaced_by_an_acted_one(self):
-        """The accounts of a living owner would be lost with its next loss."""
+    def test_an_acting_owners_accounts_do_not_replace_a_later_epoch(self):
+        """Guards against losing the accounts of a live owner's copy."""
         self.copies.put(copy(3, account("a"), snapshot=True))
         self.copies.seal(SealRequest(1, 3))
         self.copies.put(copy(4, account("a", 50), snapshot=True))
@@ -71,7 +70,7 @@
         reply = self.copies.seal(SealRequest(1, 4))
         self.assertEqual(reply.accounts, (account("a", 50),))
 
-    def test_the_time_of_missing_programs_is_handed_on(self):
+    def test_the_incomplete_period_is_returned(self):
         self.copies.put(copy(1, snapshot=True, incomplete=50.0))
         reply = self.copies.seal(SealRequest(1, 1))
         self.assertAlmostEqual(reply.incomplete_for_s, 50.0, delta=5)
--- a/libs/ledger/tests/test_store_relay.py
+++ b/libs/ledger/tests/test_store_relay.py
@@ -1,4 +1,4 @@
-"""Tests of reaching the store by way of another host."""
+"""Tests of store calls that are relayed through another host."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 
 
 class StubPeer:
-    """Another host, which has its own way to the same store."""
+    """Another host, which reaches the store itself."""
 
     def __init__(self, store):
         self.store = store
@@ -34,12 +34,12 @@
         self.peer = StubPeer(MemoryStore())
         self.store = FallbackStore(self.direct, lambda: [self.peer], Metrics())
 
-    async def test_the_direct_way_comes_first(self):
+    async def test_a_reachable_store_is_called_directly(self):
         (await self.store.write("a/x", b"{}", 0)).unwrap()
         self.assertEqual(self.peer.calls, 0)
         self.assertEqual(self.direct.write_count, 1)
 
-    async def test_another_host_is_asked_where_the_direct_way_is_closed(self):
+    async def test_calls_are_relayed_if_the_store_is_unreachable(self):
         self.direct.faults.down = True
         version = (await self.store.write("a/x", b"{}", 0)).unwrap()
         found = (await self.store.read("a/x")).unwrap()
@@ -51,11 +51,11 @@
         (await self.store.delete("a/x", version)).unwrap()
         self.assertIsNone((await self.store.read("a/x")).unwrap())
 
-    async def test_conflicts_and_lost_answers_come_through(self):
-        """A writer would take another's record for its own.
+    async def test_relayed_conflicts_and_unknown_outcomes_are_reported(self):
+        """Guards against a writer that takes another's record for its own.
 
-        What the store says of a write has to mean the same by way of another
-        host: a conflict is one, and a lost answer leaves the outcome open.
+        A relayed write must report conflicts and unknown outcomes as a direct
+        one does.
         """
         self.direct.faults.down = True
         await self.store.write("a/x", b"{}", 0)
@@ -74,8 +74,8 @@
         self.assertIs(kind, ErrorKind.WRITE_UNKNOWN)
         self.assertEqual(self.peer.calls, 0)
 
-    async def test_a_store_that_nobody_reaches_fails_at_once(self):
-        """Each turn that needs a record would wait for several timeouts."""
+    async def test_calls_fail_fast_if_no_host_reaches_the_store(self):
+        """Guards against turns that wait for an unreachable store."""
         self.direct.faults.down = True
         self.peer.store.faults.down = True
         await self.store.read("a/x")
@@ -85,7 +85,7 @@
             kind = (await self.store.read("a/x")).failure().kind
         self.assertIs(kind, ErrorKind.PLATFORM_UNAVAILABLE)
 
-    async def test_a_watch_finds_the_direct_way_again(self):
+    async def test_a_watch_detects_that_the_store_is_reachable_again(self):
         self.direct.faults.down = True
         self.peer.store.faults.down = True
         await self.store.read("a/x")
--- a/libs/ledger/tests/try_plans.py
+++ b/libs/ledger/tests/try_plans.py
@@ -1,10 +1,10 @@
-"""Plays fresh plans of ``test_any_order`` by hand.
+"""Plays random plans of ``test_any_order`` with new seeds.
 
     python try_plans.py --first 200000 --count 3000
     python try_plans.py --first 200017 --count 1 --show
 
-A seed that hands out too much is printed. With ``--show`` its plan is shortened
-and played again with every event and log line.
+Prints each seed whose plan exceeds a budget by more than one turn. With
+``--show``, also shrinks its plan and prints every event and log line.
 """
 
 import argparse
@@ -12,11 +12,11 @@
 
 from hosts_case import MOST, World, play, random_steps
 
-_EVENTS = 250
+_EVENTS_PER_PLAN = 250
 
 
 def budget_of(seed):
-    """Returns a budget of 1.5 to 12 turns at their most."""
+    """Returns a budget of 1.5 to 12 turns of maximum size."""
     return int(1.5 * (1 + seed % 8) * MOST)
 
 
@@ -24,15 +24,15 @@
     return asyncio.run(play(budget, steps)).overspent()
 
 
-def shorten(budget, steps):
-    """Returns a plan without the events that the overspending doesn't need."""
+def shrink(budget, steps):
+    """Removes events from a plan as long as it still overspends."""
     size = len(steps) // 2
     while size:
         start = 0
         while start < len(steps):
-            shorter = steps[:start] + steps[start + size :]
-            if overspent(budget, shorter):
-                steps = shorter
+            shrunk = steps[:start] + steps[start + size :]
+            if overspent(budget, shrunk):
+                steps = shrunk
             else:
                 start += size
         size //= 2
@@ -40,8 +40,8 @@
 
 
 def show(budget, steps):
-    """Prints events and log lines of a plan."""
-    world: World = asyncio.run(play(budget, shorten(budget, steps)))
+    """Shrinks a plan and prints its events and log lines."""
+    world: World = asyncio.run(play(budget, shrink(budget, steps)))
     for event in world.trace:
         print(event)
     for message_type, fields in world.lines:
@@ -54,18 +54,18 @@
     parser.add_argument("--count", type=int, default=1000)
     parser.add_argument("--show", action="store_true")
     args = parser.parse_args()
-    broken = 0
+    failed_count = 0
     for seed in range(args.first, args.first + args.count):
         budget = budget_of(seed)
-        steps = random_steps(seed, _EVENTS)
+        steps = random_steps(seed, _EVENTS_PER_PLAN)
         found = overspent(budget, steps)
         if not found:
             continue
-        broken += 1
+        failed_count += 1
         print(f"seed {seed}, budget {budget}: {found}")
         if args.show:
             show(budget, steps)
-    print(f"{broken} of {args.count} plans hand out too much")
+    print(f"{failed_count} of {args.count} plans overspend")
 
 
 if __name__ == "__main__":
