--- a/libs/ledger/src/masticdale_ledger/client.py
+++ b/libs/ledger/src/masticdale_ledger/client.py
@@ -116,7 +116,9 @@
         started_at = loop.time()
         retry_until = min(deadline_at, started_at + _ADMIT_TIMEOUT_S)
         shard = hashing.shard_of(claim.program_id, SHARD_COUNT)
-        failure = Failure(ErrorKind.LEDGER_UNAVAILABLE, "no owner")
+        failure = Failure(
+            ErrorKind.LEDGER_UNAVAILABLE, "the deadline expired before any call"
+        )
         while loop.time() < retry_until:
             attempt_started_at = loop.time()
             outcome = await self._admit_once(shard, claim)
--- a/libs/ledger/src/masticdale_ledger/copier.py
+++ b/libs/ledger/src/masticdale_ledger/copier.py
@@ -57,14 +57,19 @@
         self._standby_has_snapshot = False
         self._lock = asyncio.Lock()
         self._changed_ids: dict[str, None] = {}
-        self._next_round: asyncio.Task[Result[None, Failure]] | None = None
+        self._next_copy: asyncio.Task[Result[None, Failure]] | None = None
 
     def mark_changed(self, program_id: str) -> None:
         """Includes an account in the next copy."""
         self._changed_ids[program_id] = None
 
     def has_pending(self, *, owner_has_store: bool) -> bool:
-        """Returns whether the standby lacks an account or the store's state."""
+        """Returns whether the standby has not received all changes.
+
+        Args:
+            owner_has_store: Whether the owner reaches the store; a change of
+                this is copied too.
+        """
         return (
             bool(self._changed_ids)
             or self.standby_may_admit_unknown == owner_has_store
@@ -82,15 +87,15 @@
         Failures: CONFLICT if the epoch is sealed or superseded at the standby;
         PEER_UNAVAILABLE if the standby does not answer or has restarted.
         """
-        if self._next_round is None:
-            self._next_round = asyncio.create_task(self._send(header, accounts))
-        return await asyncio.shield(self._next_round)
+        if self._next_copy is None:
+            self._next_copy = asyncio.create_task(self._send(header, accounts))
+        return await asyncio.shield(self._next_copy)
 
     async def _send(
         self, header: CopyHeader, accounts: "AccountSource"
     ) -> Result[None, Failure]:
         async with self._lock:
-            self._next_round = None
+            self._next_copy = None
             has_pending = self.has_pending(
                 owner_has_store=header.owner_has_store
             )
--- a/libs/ledger/src/masticdale_ledger/failover.py
+++ b/libs/ledger/src/masticdale_ledger/failover.py
@@ -111,13 +111,13 @@
     def admit_unknown_programs(self, shard: OwnedShard) -> None:
         """Admits programs, too, that the last owner did not know.
 
-        For a store outage. A standby that is partitioned can't tell whether
-        its owner is lost: a live owner that reaches the store names another
-        standby and counts such programs from zero, so that they would exceed
-        their budget by half. They are admitted only if the owner's last copy
-        said that it had lost the store too, or if the arbiter has decided for
-        this host. In both cases a live owner counts unknown programs as half
-        spent.
+        Called when the store can't be reached. A partitioned standby can't tell
+        whether its owner is lost: a live owner that reaches the store names
+        another standby and counts such programs from zero, so that they would
+        exceed their budget by half. They are admitted only if the owner's last
+        copy said that it had lost the store too, or if the arbiter has decided
+        for this host. In both cases a live owner counts unknown programs as
+        half spent.
         """
         if shard.alone is None or shard.alone.admits_unknown:
             return
@@ -160,10 +160,10 @@
 
     def _can_take_over(self, number: int, view: ShardView) -> bool:
         record = view.record
-        here = (self._identity.address, self._identity.port)
+        own_endpoint = (self._identity.address, self._identity.port)
         return (
             number not in self._owner.owned()
-            and (record.standby_address, record.standby_port) == here
+            and (record.standby_address, record.standby_port) == own_endpoint
             and self._copies.is_usable(number, record.epoch)
         )
 
@@ -186,11 +186,11 @@
         )
         shard.is_acting = True
         shard.has_decision = has_decision
-        is_holder = has_decision or not record.arbiter_address
+        gets_remainder = has_decision or not record.arbiter_address
         quotas = isolation_quotas(
             accounts.all(),
             is_standby=True,
-            remainder_side=Side.STANDBY if is_holder else Side.OWNER,
+            remainder_side=Side.STANDBY if gets_remainder else Side.OWNER,
         )
         shard.alone = Isolation(quotas, admits_unknown=False)
         self._owner.take(shard)
--- a/libs/ledger/src/masticdale_ledger/isolation.py
+++ b/libs/ledger/src/masticdale_ledger/isolation.py
@@ -111,7 +111,7 @@
 def charge_owner_quota(
     state: AccountState, remainder_side: Side = Side.STANDBY
 ) -> AccountState:
-    """Charges what the last owner may have handed out while isolated.
+    """Charges an account with what its owner may have used while isolated.
 
     The owner may have used its quota even if it was killed afterwards and its
     host has restarted.
@@ -120,17 +120,17 @@
         state: The account as its standby held it.
         remainder_side: See ``isolation_quotas``.
     """
-    shares = isolation_quotas(
+    quotas = isolation_quotas(
         [account_of(state)], is_standby=True, remainder_side=remainder_side
     )
-    return charge_peer_quota(state, shares[state.program_id])
+    return charge_peer_quota(state, quotas[state.program_id])
 
 
 def charge_peer_quota(
-    state: AccountState, share: IsolationQuota
+    state: AccountState, quota: IsolationQuota
 ) -> AccountState:
     """Charges an account with the tokens that the other host may have used."""
-    spent = state.spent_tokens + share.peer_tokens
+    spent = state.spent_tokens + quota.peer_tokens
     return dataclasses.replace(state, spent_tokens=spent)
 
 
--- a/libs/ledger/src/masticdale_ledger/peer_selector.py
+++ b/libs/ledger/src/masticdale_ledger/peer_selector.py
@@ -32,7 +32,7 @@
         self._failed_at_by_address: dict[tuple[str, int], float] = {}
 
     def choose_standby(self) -> tuple[str, int] | None:
-        """Returns the address of the best standby; None where there is none."""
+        """Returns the address of the best standby; None if there is none."""
         domain_by_address = self._domain_by_address()
         addresses = self._live_addresses(domain_by_address) or list(
             domain_by_address
@@ -76,7 +76,7 @@
         )
 
     def mark_failed(self, address: str, port: int) -> None:
-        """Excludes a host that failed from the choice for a while."""
+        """Excludes a failed host from the choice for a while."""
         self._failed_at_by_address[(address, port)] = self._lease.now()
 
     def _domain_by_address(self) -> dict[tuple[str, int], str]:
--- a/libs/ledger/src/masticdale_ledger/standby.py
+++ b/libs/ledger/src/masticdale_ledger/standby.py
@@ -2,8 +2,8 @@
 
 An owner admits a turn only after its standby has acknowledged the account.
 Sealing the standby's copy therefore fences the owner at once, independently of
-clocks, and gives the next owner exact accounts. No budget is lost with one
-host.
+clocks, and gives the next owner exact accounts. The loss of a single host
+costs no budget.
 """
 
 import collections
