--- a/libs/ledger/src/masticdale_ledger/client.py
+++ b/libs/ledger/src/masticdale_ledger/client.py
@@ -42,7 +42,7 @@
 # its full reservation counts, which matters only near the end of a budget.
 _SETTLE_INTERVAL_S = 0.15
 # Settlements kept while owners are unreachable. Beyond this the oldest are
-# dropped, and the full reservations of their turns go on counting.
+# dropped, and the full reservations of their turns keep counting.
 _MAX_PENDING_SETTLEMENTS = 5_000
 
 PeerLookup = Callable[[str, int], RpcClient]
--- a/libs/ledger/src/masticdale_ledger/isolation.py
+++ b/libs/ledger/src/masticdale_ledger/isolation.py
@@ -15,9 +15,9 @@
     Both hold the same accounts when the partition begins. While the store is
     unavailable neither can be replaced and no record can be written. The
     tokens left below the first step, which is what counts as spent if both
-    lose their memory, are split between the two. If each could hand out all of
-    them, a program could exceed its budget by half after the loss of all hosts.
-    Programs with a record are not admitted.
+    lose their memory, are split between the two. If each could admit turns for
+    all of them, a program could exceed its budget by half after the loss of all
+    hosts. Programs with a record are not admitted.
 
     Attributes:
         quota_by_program_id: Quotas of the programs known when the partition
@@ -33,12 +33,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IsolationQuota:
-    """The part of one program's budget that each side may hand out.
+    """The part of one program's budget that each side may use.
 
     Attributes:
         limit_tokens: Spent and reserved tokens up to which this host admits
             the program.
-        peer_tokens: Tokens that the other host may have handed out.
+        peer_tokens: Tokens that turns admitted by the other host may use.
     """
 
     limit_tokens: int
--- a/libs/ledger/src/masticdale_ledger/standby.py
+++ b/libs/ledger/src/masticdale_ledger/standby.py
@@ -78,7 +78,7 @@
         if copy is None or copy.epoch != request.epoch:
             # This process started after the copy was made, and may have been
             # sealed before it restarted. If it accepted, a replaced owner could
-            # go on beside the next one. The owner has to name its standby
+            # admit turns beside the next one. The owner has to name its standby
             # again, by a write that fails if the owner was replaced.
             return CopyReply(held=False)
         copy.complete_from = boot_time_s() + request.incomplete_for_s
--- a/libs/ledger/tests/test_failover.py
+++ b/libs/ledger/tests/test_failover.py
@@ -56,7 +56,7 @@
     """The owner's host: answers, or lets calls time out."""
 
     def __init__(self):
-        self.is_silent = True
+        self.is_unresponsive = True
 
     def client(self, address, port):
         return self
@@ -65,7 +65,7 @@
         return []
 
     async def call(self, rpc, request, timeout_s):
-        if not self.is_silent:
+        if not self.is_unresponsive:
             return Success(SettleReply())
         await asyncio.sleep(timeout_s)
         return Failed(unavailable("a", "timed out", sent=True))
@@ -76,17 +76,17 @@
 
     def __init__(self):
         super().__init__()
-        self.is_lossy = False
-        self.is_silent_for_lists = False
+        self.loses_write_answers = False
+        self.fails_lists = False
 
     async def list(self, prefix):
-        if self.is_silent_for_lists:
+        if self.fails_lists:
             return Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE, "no answer"))
         return await super().list(prefix)
 
     async def write(self, key, value, expected_version):
         outcome = await super().write(key, value, expected_version)
-        if not self.is_lossy:
+        if not self.loses_write_answers:
             return outcome
         self.faults.down = True
         return Failed(Failure(ErrorKind.WRITE_UNKNOWN, "no answer"))
@@ -151,7 +151,7 @@
 
     async def read_map(self):
         """Restores the store and reads the shard's record into the map."""
-        self.store.is_lossy = False
+        self.store.loses_write_answers = False
         self.store.faults.down = False
         self.store.faults.delay_s = 0.0
         found = await self.store.read(shard_key(SHARD))
@@ -176,7 +176,7 @@
         self.assertIn("r", account.reserved_by_request_id)
 
     async def test_an_owner_that_answers_is_not_replaced(self):
-        self.other.is_silent = False
+        self.other.is_unresponsive = False
         await self.acting.fail_over(SHARD)
         self.assertIs(await self.admit(claim("r")), ErrorKind.NOT_OWNER)
         self.assertTrue(self.copies.is_usable(SHARD, 1))
@@ -217,7 +217,7 @@
         The claim is written, but its answer is lost and the store fails. When
         the store is back, its record names this process as the owner.
         """
-        self.store.is_lossy = True
+        self.store.loses_write_answers = True
         await self.acting.fail_over(SHARD)
         self.assertIsNone(await self.admit(claim("r")))
         await asyncio.sleep(0.05)
@@ -236,7 +236,7 @@
         The offered accounts must be kept until the store shows whether the
         claim was written.
         """
-        self.store.is_lossy = True
+        self.store.loses_write_answers = True
         state = AccountState("known", BUDGET, 40, True, 900, 3, (), (), 100)
         version = self.map.get(SHARD).version
         reply = await self.keeper.accept(
@@ -255,20 +255,20 @@
         records are read. If the offer were declined, the offering host would
         go on as the owner.
         """
-        self.store.is_silent_for_lists = True
+        self.store.fails_lists = True
         state = AccountState("known", BUDGET, 40, True, 0, 0, (), (), 100)
         version = self.map.get(SHARD).version
         reply = await self.keeper.accept(
             HandOver(SHARD, version, (state,), 0.0)
         )
         self.assertIs(reply.failure.kind, ErrorKind.WRITE_UNKNOWN)
-        self.store.is_silent_for_lists = False
+        self.store.fails_lists = False
         await self.read_map()
         await self.keeper.look()
         account = self.owner.owned()[SHARD].accounts.get("known")
         self.assertEqual(account.spent_tokens, 40)
 
-    async def test_a_claim_that_was_not_written_is_forgotten(self):
+    async def test_a_claim_that_was_not_written_is_retried(self):
         self.store.faults.drop_writes = 1
         await self.acting.fail_over(SHARD)
         await asyncio.sleep(0.05)
--- a/libs/ledger/tests/test_shared_watches.py
+++ b/libs/ledger/tests/test_shared_watches.py
@@ -34,7 +34,7 @@
         self.shared = SharedWatches()
         self.store = FallbackStore(store, list, Metrics(), None, self.shared)
         self.direct = store
-        self.is_silent = False
+        self.is_unresponsive = False
         self.position = 0
 
     async def step(self, wait_s=0.0):
@@ -45,7 +45,7 @@
             self.position = outcome.unwrap().position
 
     async def call(self, rpc, request, timeout_s):
-        if self.is_silent:
+        if self.is_unresponsive:
             await asyncio.sleep(timeout_s)
             return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, "silent"))
         return Success(await serve_store(self.direct, request, self.shared))
@@ -89,14 +89,14 @@
         self.assertTrue(later.is_snapshot)
         self.assertEqual(later.changed, ())
 
-    async def test_a_silent_leader_costs_one_timeout(self):
+    async def test_an_unresponsive_leader_costs_one_timeout(self):
         """Guards against changes that take effect late on followers.
 
         After one timeout of a leader, the follower asks the store itself.
         """
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         for leader in self.leaders:
-            leader.is_silent = True
+            leader.is_unresponsive = True
         await self.direct.write("a/y", b"2", 0)
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -139,7 +139,7 @@
         """
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         leader = self.leaders[0]
-        self.leaders[1].is_silent = True
+        self.leaders[1].is_unresponsive = True
         leader.shared.mark_store_unavailable()
         found = (await self.direct.read("a/x")).unwrap()
         await self.direct.write("a/x", b"leaves", found.version)
@@ -184,7 +184,7 @@
         await self.direct.write("a/y", b"2", 0)
         await self.leaders[0].step()
         newest = self.leaders[0].position
-        self.leaders[0].is_silent = True
+        self.leaders[0].is_unresponsive = True
         outcome = await self.leaders[1].shared.wait_newer(PREFIX, newest, 0.05)
         batch = outcome.unwrap()
         self.assertEqual((batch.position, batch.changed), (newest, ()))
