--- a/libs/ledger/src/masticdale_ledger/isolation.py
+++ b/libs/ledger/src/masticdale_ledger/isolation.py
@@ -15,9 +15,9 @@
     Both hold the same accounts when the partition begins. While the store is
     unavailable neither can be replaced and no record can be written. The
     tokens left below the first step, which is what counts as spent if both
-    lose their memory, are split between the two. If each could hand out all of
-    them, a program could exceed its budget by half after the loss of all hosts.
-    Programs with a record are not admitted.
+    lose their memory, are split between the two. If each could admit turns for
+    all of them, a program could exceed its budget by half after the loss of all
+    hosts. Programs with a record are not admitted.
 
     Attributes:
         quota_by_program_id: Quotas of the programs known when the partition
@@ -33,12 +33,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IsolationQuota:
-    """The part of one program's budget that each side may hand out.
+    """The part of one program's budget that each side may use.
 
     Attributes:
         limit_tokens: Spent and reserved tokens up to which this host admits
             the program.
-        peer_tokens: Tokens that the other host may have handed out.
+        peer_tokens: Tokens that turns admitted by the other host may use.
     """
 
     limit_tokens: int
@@ -65,43 +65,53 @@
             without an arbiter, the standby.
     """
     side = Side.STANDBY if is_standby else Side.OWNER
-    return {a.program_id: _share(a, side is remainder_side) for a in accounts}
+    return {
+        a.program_id: _isolation_quota(a, side is remainder_side)
+        for a in accounts
+    }
 
 
-def _share(account: Account, is_holder: bool) -> IsolationQuota:
+def _isolation_quota(account: Account, gets_remainder: bool) -> IsolationQuota:
     if account.bound is not None:
         # A record leaves room for at most two turns. Half of that may not
         # cover a turn, yet would count as spent after each loss of an owner.
         return IsolationQuota(account.spent_tokens, 0)
-    most = account.most_tokens
-    free = max(0, account.ceiling_tokens - account.committed_tokens)
-    most_free = max(0, account.ceiling_tokens - account.spent_tokens)
+    turn_tokens = account.most_tokens
+    unspent_tokens = max(0, account.ceiling_tokens - account.committed_tokens)
+    peer_unspent_tokens = max(0, account.ceiling_tokens - account.spent_tokens)
     if account.awaits_standby_ack:
         # The standby does not hold this account, so a host that seals the
         # standby would count the program from zero. A replaced owner must not
         # admit its turns as well.
-        free = 0
+        unspent_tokens = 0
     return IsolationQuota(
-        limit_tokens=account.spent_tokens + _part(free, most, is_holder),
-        peer_tokens=_part(most_free, most, not is_holder),
+        limit_tokens=account.spent_tokens
+        + _split_tokens(unspent_tokens, turn_tokens, gets_remainder),
+        peer_tokens=_split_tokens(
+            peer_unspent_tokens, turn_tokens, not gets_remainder
+        ),
     )
 
 
-def _part(free: int, most: int, is_holder: bool) -> int:
+def _split_tokens(
+    unspent_tokens: int, turn_tokens: int, gets_remainder: bool
+) -> int:
     """Returns half of the tokens, or a whole turn if half is less than one.
 
     Only one of the two hosts gets the whole turn; the other gets the rest.
     Without it, programs near their limit would be admitted by neither host.
     """
-    half = free // 2
-    holders = half if half >= most else min(free, most)
-    return holders if is_holder else free - holders
+    half = unspent_tokens // 2
+    larger_part = (
+        half if half >= turn_tokens else min(unspent_tokens, turn_tokens)
+    )
+    return larger_part if gets_remainder else unspent_tokens - larger_part
 
 
 def charge_owner_quota(
     state: AccountState, remainder_side: Side = Side.STANDBY
 ) -> AccountState:
-    """Charges what the last owner may have handed out while isolated.
+    """Charges an account with what its owner may have used while isolated.
 
     The owner may have used its quota even if it was killed afterwards and its
     host has restarted.
@@ -110,19 +120,19 @@
         state: The account as its standby held it.
         remainder_side: See ``isolation_quotas``.
     """
-    shares = isolation_quotas(
+    quotas = isolation_quotas(
         [account_from_state(state)],
         is_standby=True,
         remainder_side=remainder_side,
     )
-    return charge_peer_quota(state, shares[state.program_id])
+    return charge_peer_quota(state, quotas[state.program_id])
 
 
 def charge_peer_quota(
-    state: AccountState, share: IsolationQuota
+    state: AccountState, quota: IsolationQuota
 ) -> AccountState:
     """Charges an account with the tokens that the other host may have used."""
-    spent = state.spent_tokens + share.peer_tokens
+    spent = state.spent_tokens + quota.peer_tokens
     return dataclasses.replace(state, spent_tokens=spent)
 
 
