--- a/libs/ledger/tests/test_any_order.py
+++ b/libs/ledger/tests/test_any_order.py
@@ -319,7 +319,9 @@
         self.assertGreater(await self.admit_turns(self.standby, "new", 1), 0)
         self.standby.store.is_cut = True
         self.world.store.faults.down = False
-        acting_states = self.standby.owner.owned()[SHARD].states_with_peer_spending()
+        acting_states = self.standby.owner.owned()[
+            SHARD
+        ].states_with_peer_spending()
         successor = next(
             p
             for p in self.world.process_by_name.values()
