--- a/libs/ledger/src/masticdale_ledger/admissions.py
+++ b/libs/ledger/src/masticdale_ledger/admissions.py
@@ -18,7 +18,7 @@
 
 # A host that asks is told after this long that the turn is not decided yet,
 # in seconds: 0.15 less than it waits, for the way and for a busy processor.
-ANSWER_WITHIN_S = 0.25
+REPLY_TIMEOUT_S = 0.25
 
 
 class Admissions:
@@ -27,7 +27,7 @@
     def __init__(self, owner: ShardOwner, acting: ActingStandby) -> None:
         self._owner = owner
         self._acting = acting
-        self._decision_by_request: dict[
+        self._pending_by_request: dict[
             tuple[str, str], asyncio.Task[Result[None, Failure]]
         ] = {}
 
@@ -40,14 +40,14 @@
         the decision goes on. To ask again then continues it.
         """
         key = (claim.program_id, claim.request_id)
-        decision = self._decision_by_request.get(key)
+        decision = self._pending_by_request.get(key)
         if decision is None:
             decision = asyncio.create_task(self._decide(shard, claim))
-            self._decision_by_request[key] = decision
+            self._pending_by_request[key] = decision
             decision.add_done_callback(
-                lambda _: self._decision_by_request.pop(key, None)
+                lambda _: self._pending_by_request.pop(key, None)
             )
-        await asyncio.wait((decision,), timeout=ANSWER_WITHIN_S)
+        await asyncio.wait((decision,), timeout=REPLY_TIMEOUT_S)
         if decision.done():
             return decision.result()
         detail = f"shard {shard} waits for the store or its standby"
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -316,7 +316,7 @@
         is_due = time.monotonic() - self._cleaned_at >= _CLEANUP_INTERVAL_S
         if is_due and _CLEANUP_SHARD in self._shard_by_number:
             self._cleaned_at = time.monotonic()
-            await self._records.delete_old(time.time_ns() // 1_000_000)
+            await self._records.delete_expired(time.time_ns() // 1_000_000)
 
     async def _reserve(
         self, shard: OwnedShard, claim: TurnClaim
--- a/libs/ledger/src/masticdale_ledger/records.py
+++ b/libs/ledger/src/masticdale_ledger/records.py
@@ -15,7 +15,7 @@
 # Records whose owner died before it forgot their programs are deleted once
 # they are this old, in milliseconds: a day. A program that still ran then, and
 # lost its record and all memory of it, would get its budget again.
-_KEEP_MS = 86_400_000
+_RETENTION_MS = 86_400_000
 
 
 class _Record(pydantic.BaseModel):
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WrittenBound:
+class StoredBound:
     """A bound as it stands in the store.
 
     Attributes:
@@ -73,7 +73,7 @@
             lambda items: {
                 item.key.removeprefix(RECORD_PREFIX): bound
                 for item in items
-                if (bound := _bound(item)) is not None
+                if (bound := _parse_bound(item)) is not None
             }
         )
 
@@ -111,7 +111,7 @@
         if isinstance(found, Failed):
             return found
         stored = found.unwrap()
-        written = _record(stored) if stored is not None else None
+        written = _parse_record(stored) if stored is not None else None
         if stored is None or written is None or written.writer != self._writer:
             return outcome
         if written.bound_tokens < tokens:
@@ -120,11 +120,13 @@
 
     async def read(
         self, program_id: str
-    ) -> Result[WrittenBound | None, Failure]:
+    ) -> Result[StoredBound | None, Failure]:
         """Returns a program's bound as it stands in the store."""
         key = RECORD_PREFIX + record_name(program_id)
         outcome = await self._store.read(key)
-        return outcome.map(lambda item: _written(item) if item else None)
+        return outcome.map(
+            lambda item: _parse_stored_bound(item) if item else None
+        )
 
     async def delete(self, program_id: str, version: int) -> None:
         """Deletes the record of a program that will not come back."""
@@ -137,7 +139,7 @@
                 "record_not_deleted", key=key, reason=str(outcome.failure())
             )
 
-    async def delete_old(self, now_ms: int) -> None:
+    async def delete_expired(self, now_ms: int) -> None:
         """Deletes the records that no owner will delete any more.
 
         Without it each loss of owners leaves some behind for good, and every
@@ -153,13 +155,13 @@
             )
             return
         for item in found.unwrap():
-            record = _record(item)
-            if record is None or now_ms - record.at_ms < _KEEP_MS:
+            record = _parse_record(item)
+            if record is None or now_ms - record.at_ms < _RETENTION_MS:
                 continue
             await self._delete(item.key, item.version)
 
 
-def _record(item: StoredObject) -> _Record | None:
+def _parse_record(item: StoredObject) -> _Record | None:
     try:
         return _Record.model_validate_json(item.value)
     except pydantic.ValidationError as error:
@@ -169,13 +171,13 @@
         return None
 
 
-def _written(item: StoredObject) -> WrittenBound | None:
-    record = _record(item)
+def _parse_stored_bound(item: StoredObject) -> StoredBound | None:
+    record = _parse_record(item)
     if record is None:
         return None
-    return WrittenBound(Bound(record.bound_tokens, item.version), record.writer)
+    return StoredBound(Bound(record.bound_tokens, item.version), record.writer)
 
 
-def _bound(item: StoredObject) -> Bound | None:
-    written = _written(item)
+def _parse_bound(item: StoredObject) -> Bound | None:
+    written = _parse_stored_bound(item)
     return written.bound if written else None
--- a/libs/ledger/src/masticdale_ledger/service.py
+++ b/libs/ledger/src/masticdale_ledger/service.py
@@ -42,9 +42,9 @@
         reconciler: ShardReconciler,
         acting: ActingStandby,
         copies: StandbyCopies,
-        direct: ObjectStore,
-        seen: SeenHosts,
-        shared: SharedWatches | None,
+        direct_store: ObjectStore,
+        seen_hosts: SeenHosts,
+        shared_watches: SharedWatches | None,
     ) -> None:
         self._acting = acting
         self._arbiter = Arbiter()
@@ -52,16 +52,16 @@
         self._copies = copies
         self._owner = owner
         self._reconciler = reconciler
-        self._direct = direct
-        self._seen = seen
-        self._shared = shared
+        self._direct_store = direct_store
+        self._seen_hosts = seen_hosts
+        self._shared_watches = shared_watches
 
     async def admit(self, request: AdmitRequest) -> AdmitReply:
         """Admits a turn of an own shard."""
         if request.asker_stops:
-            self._seen.forget(request.asker)
+            self._seen_hosts.forget(request.asker)
         else:
-            self._seen.note(request.asker)
+            self._seen_hosts.note(request.asker)
         claim = TurnClaim(
             program_id=request.program_id,
             request_id=request.request_id,
@@ -104,4 +104,6 @@
 
     async def store(self, request: StoreRequest) -> StoreReply:
         """Makes a store call for a host that can't."""
-        return await serve_store(self._direct, request, self._shared)
+        return await serve_store(
+            self._direct_store, request, self._shared_watches
+        )
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -37,10 +37,10 @@
 from masticdale_rpc import unavailable
 
 SHARD = 0
-MOST = 100
+MAX_TURN_TOKENS = 100
 # An event takes this long on the hosts' clock, in seconds: more than a
 # standby waits between two questions to its owner.
-EVENT_S = 0.31
+EVENT_DURATION_S = 0.31
 
 
 class Clock:
@@ -67,17 +67,17 @@
 
     async def read(self, key):
         if self.is_lost:
-            return self._away()
+            return self._unavailable()
         return await self._store.read(key)
 
     async def list(self, prefix):
         if self.is_lost:
-            return self._away()
+            return self._unavailable()
         return await self._store.list(prefix)
 
     async def write(self, key, value, expected_version):
         if self.is_lost:
-            return self._away()
+            return self._unavailable()
         outcome = await self._store.write(key, value, expected_version)
         if not self.loses_answers:
             return outcome
@@ -87,10 +87,10 @@
 
     async def delete(self, key, expected_version):
         if self.is_lost:
-            return self._away()
+            return self._unavailable()
         return await self._store.delete(key, expected_version)
 
-    def _away(self):
+    def _unavailable(self):
         return Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE, "away"))
 
 
@@ -108,7 +108,7 @@
         pair = frozenset((self._source, self._target))
         if process is None:
             return Failed(unavailable(self._target, "refused", sent=False))
-        if pair in world.cuts:
+        if pair in world.partitions:
             return Failed(unavailable(self._target, "timed out", sent=True))
         reply = await getattr(process.service, rpc.name)(request)
         if (self._source, self._target) in world.lost_answers:
@@ -221,14 +221,14 @@
         self.names = dict(enumerate(names, start=1))
         self.store = MemoryStore()
         self.clock = Clock()
-        self.cuts = set()
+        self.partitions = set()
         self.lost_answers = set()
         self.process_by_name = {}
-        self.open = []
-        self.unsent = []
-        self.given_by_program = {}
+        self.open_turns = []
+        self.unsent_settlements = []
+        self.granted_by_program = {}
         self.trace = []
-        self.lines = []
+        self.log_lines = []
         self._starts = 0
         self._requests = 0
         self._programs = 0
@@ -242,9 +242,9 @@
                 process.seen.note(other.identity.reached_at)
         first = self.process_by_name[self.names[1]]
         await first.reconciler.reconcile()
-        await self.learn()
+        await self.refresh_maps()
 
-    async def learn(self):
+    async def refresh_maps(self):
         for process in self.process_by_name.values():
             await process.read_map()
 
@@ -272,7 +272,7 @@
             program,
             request_id,
             self.budget,
-            MOST,
+            MAX_TURN_TOKENS,
             process.identity.reached_at,
             process.is_stopping,
         )
@@ -283,12 +283,12 @@
             outcome = await self._ask(process, port, request)
             is_missed = isinstance(outcome, Failed)
             if port == record.port:
-                self._note(process, view, is_missed)
+                self._note_reachability(process, view, is_missed)
             if is_missed:
                 continue
             failure = outcome.unwrap().failure
             if failure is None:
-                self._give(program, request_id, process)
+                self._record_grant(program, request_id, process)
                 return True
             if failure.kind is not ErrorKind.NOT_OWNER:
                 return False
@@ -300,7 +300,7 @@
         link = Link(self, process.name, self.names[port])
         return await link.call(ADMIT, request, 0.4)
 
-    def _note(self, process, view, is_missed):
+    def _note_reachability(self, process, view, is_missed):
         known = process.client.unreachable_by_shard
         if not is_missed:
             known.pop(SHARD, None)
@@ -308,25 +308,25 @@
         now = asyncio.get_running_loop().time()
         known[SHARD] = Unreachable(view.version, now - 1.0, now)
 
-    def _give(self, program, request_id, asked):
-        given = self.given_by_program.setdefault(program, {})
-        given[request_id] = MOST
-        self.open.append(Turn(program, request_id, asked))
+    def _record_grant(self, program, request_id, asked):
+        given = self.granted_by_program.setdefault(program, {})
+        given[request_id] = MAX_TURN_TOKENS
+        self.open_turns.append(Turn(program, request_id, asked))
 
     async def end_turn(self, used):
         """The oldest turn ends; its host reports what it has used."""
-        if not self.open:
+        if not self.open_turns:
             return
-        turn = self.open.pop(0)
-        self.given_by_program[turn.program][turn.request_id] = used
-        self.unsent.append((turn, used))
+        turn = self.open_turns.pop(0)
+        self.granted_by_program[turn.program][turn.request_id] = used
+        self.unsent_settlements.append((turn, used))
         await self.send_settlements()
 
     async def send_settlements(self):
-        unsent, self.unsent = self.unsent, []
+        unsent, self.unsent_settlements = self.unsent_settlements, []
         for turn, used in unsent:
             if not await self._settle(turn, used):
-                self.unsent.append((turn, used))
+                self.unsent_settlements.append((turn, used))
 
     async def _settle(self, turn, used):
         process = turn.asked
@@ -362,7 +362,7 @@
         program = f"{'pq'[second % 2]}{self._programs}"
         process = self.process_by_name.get(name)
         self.trace.append((kind, name, other, program))
-        self.clock.now_s += EVENT_S
+        self.clock.now_s += EVENT_DURATION_S
         match kind:
             case "turns":
                 for _ in range(1 + first % 4):
@@ -370,7 +370,7 @@
             case "programs":
                 self._programs += 1
             case "end":
-                await self.end_turn(first % (MOST + 1))
+                await self.end_turn(first % (MAX_TURN_TOKENS + 1))
             case "look" if process:
                 await process.reconciler.reconcile()
             case "learn" if process:
@@ -378,13 +378,15 @@
             case "copy" if process:
                 await process.owner.replicate_changes()
             case "cut":
-                self.cuts.add(frozenset((name, other)))
+                self.partitions.add(frozenset((name, other)))
             case "isolate":
-                self.cuts |= {frozenset((name, n)) for n in names if n != name}
+                self.partitions |= {
+                    frozenset((name, n)) for n in names if n != name
+                }
             case "lose-answers":
                 self.lost_answers.add((name, other))
             case "heal":
-                self.cuts.clear()
+                self.partitions.clear()
                 self.lost_answers.clear()
             case "store-cut" if process:
                 process.store.is_cut = True
@@ -417,12 +419,12 @@
         """Returns the programs that got more than they may."""
         total_by_program = {
             program: sum(given.values())
-            for program, given in self.given_by_program.items()
+            for program, given in self.granted_by_program.items()
         }
         return {
             program: total
             for program, total in total_by_program.items()
-            if total > self.budget + MOST
+            if total > self.budget + MAX_TURN_TOKENS
         }
 
 
@@ -431,7 +433,7 @@
     """Has the hosts decide at once, on the world's clock and into its log."""
 
     def write(message_type, **fields):
-        world.lines.append((message_type, fields))
+        world.log_lines.append((message_type, fields))
 
     with (
         mock.patch("masticdale_common.logs.write", write),
@@ -480,7 +482,7 @@
     ]
 
 
-async def play(budget, steps):
+async def run_plan(budget, steps):
     """Plays a plan; returns what was overspent, and by which events."""
     world = World(budget)
     with simulated(world):
--- a/libs/ledger/tests/test_admissions.py
+++ b/libs/ledger/tests/test_admissions.py
@@ -142,7 +142,7 @@
         await asyncio.sleep(0.7)
         self.assertLessEqual(peer.calls, 2)
 
-    @mock.patch("masticdale_ledger.admissions.ANSWER_WITHIN_S", 2.0)
+    @mock.patch("masticdale_ledger.admissions.REPLY_TIMEOUT_S", 2.0)
     async def test_turns_that_arrive_together_share_copies(self):
         """Turns of a busy shard would queue up behind each other's copies.
 
--- a/libs/ledger/tests/test_any_order.py
+++ b/libs/ledger/tests/test_any_order.py
@@ -3,7 +3,14 @@
 import asyncio
 import unittest
 
-from hosts_case import MOST, SHARD, World, play, random_steps, simulated
+from hosts_case import (
+    MAX_TURN_TOKENS,
+    SHARD,
+    World,
+    random_steps,
+    run_plan,
+    simulated,
+)
 
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import SealRequest
@@ -59,7 +66,7 @@
         await self.owner.owner.replicate_changes()
 
     def cut(self, *names):
-        self.world.cuts.add(frozenset(names))
+        self.world.partitions.add(frozenset(names))
 
     async def ask(self, process, program, count):
         """Returns how many turns of a program a host's callers are given."""
@@ -71,8 +78,10 @@
         return given
 
     def assert_within_budget(self, program):
-        given = self.world.given_by_program.get(program, {})
-        self.assertLessEqual(sum(given.values()), self.world.budget + MOST)
+        given = self.world.granted_by_program.get(program, {})
+        self.assertLessEqual(
+            sum(given.values()), self.world.budget + MAX_TURN_TOKENS
+        )
 
 
 class CutOffStandbyTest(HostsCase):
@@ -281,10 +290,10 @@
         )
         for _ in range(5):
             if await self.ask(self.standby, "old", 1):
-                await self.world.end_turn(MOST)
+                await self.world.end_turn(MAX_TURN_TOKENS)
         for _ in range(16):
             if await self.ask(taker, "old", 1):
-                await self.world.end_turn(MOST)
+                await self.world.end_turn(MAX_TURN_TOKENS)
         self.assert_within_budget("old")
 
     async def test_a_host_that_owned_the_shard_before_counts_what_it_is_offered(
@@ -300,11 +309,11 @@
         Lines: ``shard_taken`` twice with the same epoch, the second time with
         fewer accounts than ``shard_handed_over`` names.
         """
-        self.world.cuts |= {frozenset(("a", n)) for n in "bcd"}
+        self.world.partitions |= {frozenset(("a", n)) for n in "bcd"}
         for _ in range(2):
             await self.ask(self.standby, "new", 2)
         self.assertFalse(self.standby.owner.owned()[SHARD].is_acting)
-        self.world.cuts.clear()
+        self.world.partitions.clear()
         for process in self.world.process_by_name.values():
             process.reconciler.is_stopping = process is not self.owner
         epoch = self.standby.owner.owned()[SHARD].view.record.epoch
@@ -314,7 +323,7 @@
         self.assertGreater(shard.view.record.epoch, epoch)
         account = shard.accounts.get("new")
         self.assertIsNotNone(account)
-        given = self.world.given_by_program["new"]
+        given = self.world.granted_by_program["new"]
         self.assertEqual(account.committed_tokens, sum(given.values()))
 
 
@@ -354,13 +363,13 @@
 class AnyOrderTest(unittest.TestCase):
     def check(self, seed, budget):
         # Not a test's own loop, whose debug mode takes twenty times as long.
-        world = asyncio.run(play(budget, random_steps(seed, _EVENTS)))
+        world = asyncio.run(run_plan(budget, random_steps(seed, _EVENTS)))
         self.assertEqual(world.overspent(), {}, f"seed {seed}")
 
     def test_old_plans(self):
         for seed, turns in _OLD_SEEDS:
             with self.subTest(seed=seed):
-                self.check(seed, int(turns * MOST))
+                self.check(seed, int(turns * MAX_TURN_TOKENS))
 
     def test_no_order_hands_out_more_than_the_budget_and_one_turn(self):
         """A program that loops would be served beyond what its caller set.
@@ -371,7 +380,7 @@
         """
         for seed in _SEEDS:
             with self.subTest(seed=seed):
-                self.check(seed, int(1.5 * (1 + seed % 8) * MOST))
+                self.check(seed, int(1.5 * (1 + seed % 8) * MAX_TURN_TOKENS))
 
 
 if __name__ == "__main__":
--- a/libs/ledger/tests/test_records.py
+++ b/libs/ledger/tests/test_records.py
@@ -30,7 +30,7 @@
                 records.time, "time_ns", return_value=now_ns
             ):
                 await program_records.raise_bound(program, 100, 0)
-        await program_records.delete_old(DAY_MS + 1)
+        await program_records.delete_expired(DAY_MS + 1)
         left = (await store.list(RECORD_PREFIX)).unwrap()
         self.assertEqual([json.loads(i.value)["at_ms"] for i in left], [DAY_MS])
 
--- a/libs/ledger/tests/try_plans.py
+++ b/libs/ledger/tests/try_plans.py
@@ -10,18 +10,18 @@
 import argparse
 import asyncio
 
-from hosts_case import MOST, World, play, random_steps
+from hosts_case import MAX_TURN_TOKENS, World, random_steps, run_plan
 
 _EVENTS = 250
 
 
 def budget_of(seed):
     """Returns a budget of 1.5 to 12 turns at their most."""
-    return int(1.5 * (1 + seed % 8) * MOST)
+    return int(1.5 * (1 + seed % 8) * MAX_TURN_TOKENS)
 
 
 def overspent(budget, steps):
-    return asyncio.run(play(budget, steps)).overspent()
+    return asyncio.run(run_plan(budget, steps)).overspent()
 
 
 def shorten(budget, steps):
@@ -41,10 +41,10 @@
 
 def show(budget, steps):
     """Prints events and log lines of a plan."""
-    world: World = asyncio.run(play(budget, shorten(budget, steps)))
+    world: World = asyncio.run(run_plan(budget, shorten(budget, steps)))
     for event in world.trace:
         print(event)
-    for message_type, fields in world.lines:
+    for message_type, fields in world.log_lines:
         print("   ", message_type, fields)
 
 
