--- a/libs/ledger/src/masticdale_ledger/accounts.py
+++ b/libs/ledger/src/masticdale_ledger/accounts.py
@@ -1,9 +1,10 @@
-"""What programs have spent of their budgets; decides without I/O.
+"""Token accounting of program budgets; performs no I/O.
 
-Up to the first step of a budget the owner of a program's shard counts in
-memory only. What lies beyond is spent only after a record in the store says
-so. Whoever takes the shard over, after the loss of any memory, therefore knows
-a bound of what was spent: the record, or the first step.
+The owner of a shard counts the first part of each budget in memory only.
+Beyond that unrecorded limit, tokens are granted only after a record in the
+store holds a higher upper bound. A new owner that has lost all accounts
+therefore still has an upper bound of what was spent: the record, or the
+unrecorded limit.
 """
 
 import collections
@@ -11,39 +12,40 @@
 
 from masticdale_gateway.calls import TurnClaim
 
-# Share of a budget up to which no record is written: most programs end below
-# it, and cost the store nothing.
+# Share of a budget that is granted without a record. Programs that end below
+# it cause no store writes.
 _UNRECORDED_SHARE = 0.5
-# How far a record reaches beyond the turn that needs it, in turns at their
-# most. A turn uses a part of its most, so that one record lasts for some turns.
-# One that reached further would count as spent after a loss of all memory, and
-# tell programs that they have spent what they never used.
+# Turns, at their maximum size, that a record is written ahead of the turn that
+# needs it. Turns rarely reach their maximum, so one record serves several. A
+# larger value overstates spending after all accounts are lost, and programs
+# with tokens left are refused.
 _RECORD_AHEAD_TURNS = 1
-# A program without a turn for this long is forgotten, in seconds; twice the
-# time within which programs come back.
+# Programs without a turn for this long are evicted, in seconds; twice the time
+# within which callers resume a program.
 _IDLE_TIMEOUT_S = 120.0
-# Most programs held; the longest unused go first.
+# Maximum number of accounts; the least recently used is evicted first.
 _MAX_ACCOUNTS = 20_000
 
 
 def unrecorded_limit_tokens(budget_tokens: int) -> int:
-    """Returns how much of a budget is spent without a record in the store."""
+    """Returns how many tokens of a budget are granted without a record."""
     return int(_UNRECORDED_SHARE * budget_tokens)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admitted:
-    """The turn may run."""
+    """The turn is admitted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BudgetExceeded:
-    """The budget does not hold the turn.
+    """The turn does not fit the budget.
 
     Attributes:
-        spent_tokens: What counts as spent.
-        reserved_tokens: What turns under way may still use.
-        is_final: Whether the turn would not fit if those used nothing.
+        spent_tokens: Tokens counted as spent.
+        reserved_tokens: Tokens reserved by turns in flight.
+        is_final: Whether the turn would not fit even if the turns in flight
+            used nothing.
     """
 
     spent_tokens: int
@@ -53,11 +55,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NeedsRecord:
-    """The store has to hold a higher bound first.
+    """The store must record a higher bound before the turn is admitted.
 
     Attributes:
         bound_tokens: The bound to write.
-        version: Version of the record now; 0 where there is none.
+        version: Current version of the record; 0 if there is none.
     """
 
     bound_tokens: int
@@ -69,10 +71,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bound:
-    """What a record in the store says of a program.
+    """The upper bound of a program's spending that the store holds.
 
     Attributes:
-        tokens: The program may have spent up to this.
+        tokens: Most tokens that the program may have spent.
         version: Version of the record.
     """
 
@@ -82,18 +84,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Account:
-    """One program.
+    """The account of one program.
 
     Attributes:
         program_id: The program.
-        budget_tokens: Its whole budget.
-        spent_tokens: Output tokens of its ended turns.
-        bound: Its record; None where it has none.
-        counts_from_start: Whether every turn has been counted here, so that
-            no record is needed below the first step.
-        reserved_by_request_id: The most that each turn under way may use.
-        last_used_at: When it was last asked for, in seconds.
-        most_tokens: The most that any of its turns might have used.
+        budget_tokens: Its total budget.
+        spent_tokens: Output tokens of its completed turns.
+        bound: The bound in the store; None without a record.
+        counts_from_start: Whether this account has counted every turn of the
+            program, so that no record is needed below the unrecorded limit.
+        reserved_by_request_id: Maximum tokens of each turn in flight.
+        last_used_at: Monotonic seconds of the last request.
+        most_tokens: Largest maximum of any of its turns.
         awaits_standby_ack: Whether no standby has acknowledged it yet.
     """
 
@@ -109,29 +111,29 @@
 
     @property
     def reserved_tokens(self) -> int:
-        """What turns under way may still use."""
+        """Tokens that turns in flight may still use."""
         return sum(self.reserved_by_request_id.values())
 
     @property
     def committed_tokens(self) -> int:
-        """What is spent, or may still be by turns under way."""
+        """Tokens spent and reserved."""
         return self.spent_tokens + self.reserved_tokens
 
     @property
     def ceiling_tokens(self) -> int:
-        """What counts as spent after the loss of all memory."""
+        """Tokens that count as spent if all accounts are lost."""
         if self.bound is not None:
             return self.bound.tokens
         return unrecorded_limit_tokens(self.budget_tokens)
 
     def evaluate(self, claim: TurnClaim) -> Verdict:
-        """Decides on a turn; takes nothing."""
+        """Decides whether a turn may run; reserves nothing."""
         if claim.request_id in self.reserved_by_request_id:
             return Admitted()
         needed = self.committed_tokens + claim.turn_tokens
-        # A bound is rarely reached. Where it stands in for the true count,
-        # one turn may go beyond the budget, which the promise allows; without
-        # it, programs with tokens left were told 402 after a loss of all hosts.
+        # An inexact count is an upper bound that is rarely reached. It may be
+        # exceeded by one turn, which the guarantee allows. Otherwise programs
+        # with tokens left get 402 after all hosts were lost.
         slack = 0 if self.counts_from_start else claim.turn_tokens
         limit = self.budget_tokens + slack
         if needed > limit:
@@ -148,13 +150,13 @@
 
 
 class Accounts:
-    """The programs of one shard."""
+    """The accounts of one shard."""
 
     def __init__(self, bound_by_record: dict[str, Bound] | None = None) -> None:
-        """Begins without any account.
+        """Starts without accounts.
 
         Args:
-            bound_by_record: What the store holds, by name of the record.
+            bound_by_record: Bounds in the store by record name.
         """
         self._bound_by_record = bound_by_record or {}
         self._account_by_id: collections.OrderedDict[str, Account] = (
@@ -165,7 +167,7 @@
         return len(self._account_by_id)
 
     def get(self, program_id: str) -> Account | None:
-        """Returns a program's account, if there is one."""
+        """Returns a program's account, or None."""
         return self._account_by_id.get(program_id)
 
     def all(self) -> list[Account]:
@@ -175,14 +177,15 @@
     def get_or_create(
         self, claim: TurnClaim, record: str, is_new: bool, now: float
     ) -> Account:
-        """Returns the account of a claim's program; makes it if need be.
+        """Returns the account of a claim's program; creates it if missing.
 
         Args:
             claim: The turn.
             record: Name of the program's record in the store.
-            is_new: Whether the program surely had no turn before that ended
-                elsewhere: then nothing of its budget is spent.
-            now: Present seconds.
+            is_new: Whether no turn of the program can have completed under
+                another owner. An unknown program then starts with nothing
+                spent.
+            now: Current monotonic seconds.
         """
         account = self._account_by_id.get(claim.program_id)
         if account is None:
@@ -196,13 +199,13 @@
         return account
 
     def reserve(self, claim: TurnClaim) -> Account:
-        """Takes what an admitted turn may use; returns its account."""
+        """Reserves the maximum of an admitted turn; returns the account."""
         account = self._account_by_id[claim.program_id]
         account.reserved_by_request_id[claim.request_id] = claim.turn_tokens
         return account
 
     def settle(self, program_id: str, request_id: str, used: int) -> None:
-        """Replaces a reservation by what was used."""
+        """Replaces a reservation by the tokens that the turn used."""
         account = self._account_by_id.get(program_id)
         if account is None:
             return
@@ -220,24 +223,24 @@
             account.bound = bound
 
     def restore(self, accounts: list[Account]) -> None:
-        """Takes over the accounts of the shard's last owner."""
+        """Adds accounts received from another host; replaces known ones."""
         for account in accounts:
             self._account_by_id[account.program_id] = account
 
     def evict_idle(self, now: float) -> list[Account]:
-        """Drops the programs that were not asked for in a long time.
+        """Evicts the programs that have been idle for the timeout.
 
         Returns:
-            What was dropped.
+            The evicted accounts.
         """
-        forgotten: list[Account] = []
+        evicted: list[Account] = []
         while self._account_by_id:
             oldest = next(iter(self._account_by_id.values()))
             if now - oldest.last_used_at < _IDLE_TIMEOUT_S:
                 break
             self._account_by_id.popitem(last=False)
-            forgotten.append(oldest)
-        return forgotten
+            evicted.append(oldest)
+        return evicted
 
     def _create(
         self, claim: TurnClaim, record: str, is_new: bool, now: float
--- a/libs/ledger/src/masticdale_ledger/admissions.py
+++ b/libs/ledger/src/masticdale_ledger/admissions.py
@@ -1,9 +1,9 @@
-"""Answers hosts that ask for a turn in time, however long that takes.
+"""Answers admission requests before the asking host's timeout.
 
-A decision may have to wait for the store, for the standby, or for an owner
-that is lost. A host that asks waits less than that. Without an answer it would
-take the owner for dead, ask elsewhere and have its shards taken over, although
-the owner lives and most of its programs need neither store nor standby.
+A decision may wait for the store, the standby or a failed owner for longer
+than the asking host does. A host that gets no answer takes the owner for dead
+and has its shards taken over, although the owner is alive and most of its
+programs need neither store nor standby.
 """
 
 import asyncio
@@ -16,13 +16,14 @@
 from masticdale_ledger.acting import ActingStandby
 from masticdale_ledger.owner import ShardOwner
 
-# A host that asks is told after this long that the turn is not decided yet,
-# in seconds: 0.15 less than it waits, for the way and for a busy processor.
+# A request that is undecided after this long is answered with
+# LEDGER_UNAVAILABLE, in seconds. 0.15 less than the asking host waits, for the
+# network and a busy processor.
 REPLY_TIMEOUT_S = 0.25
 
 
 class Admissions:
-    """Decisions under way; a host that asks again joins its own."""
+    """Pending admission decisions; a repeated request joins its decision."""
 
     def __init__(self, owner: ShardOwner, acting: ActingStandby) -> None:
         self._owner = owner
@@ -34,10 +35,10 @@
     async def admit(
         self, shard: int, claim: TurnClaim
     ) -> Result[None, Failure]:
-        """Decides on a turn, as far as that is possible in time.
+        """Decides on a turn, or reports that the decision is pending.
 
         Failures: those of ``ShardOwner.admit``; LEDGER_UNAVAILABLE also while
-        the decision goes on. To ask again then continues it.
+        the decision is pending. Asking again joins it.
         """
         key = (claim.program_id, claim.request_id)
         decision = self._pending_by_request.get(key)
@@ -50,7 +51,7 @@
         await asyncio.wait((decision,), timeout=REPLY_TIMEOUT_S)
         if decision.done():
             return decision.result()
-        detail = f"shard {shard} waits for the store or its standby"
+        detail = f"shard {shard}: decision waits for the store or the standby"
         return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
 
     async def _decide(
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -1,4 +1,4 @@
-"""Writes into the store who owns a shard, and who its standby is."""
+"""Writes the owner and the standby of each shard to the store."""
 
 import contextlib
 import dataclasses
@@ -36,23 +36,24 @@
 from masticdale_ledger.states import account_from_state
 from masticdale_platform import ObjectStore, StoredObject
 
-# After the accounts of a shard are lost, a program of before may come back
+# After the accounts of a shard are lost, programs that they counted may return
 # for this long, in seconds; twice the longest time that callers keep one.
 RECOVERY_WINDOW_S = 120.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TakeoverState:
-    """What is known of a shard that is taken over.
+    """What the next owner knows of a shard.
 
     Attributes:
-        previous: Whether the last owner surely acts no more.
-        accounts: Its accounts.
-        incomplete_for_s: Programs of before may be missing for so long.
-        predecessor: The process whose accounts these exactly are; empty where
-            they may lack something of the last owner's.
-        acting_shard: The shard that this host has acted for until the claim is
-            written; its accounts then count in place of these.
+        previous: Whether the previous owner has certainly stopped.
+        accounts: Accounts of the shard's programs.
+        incomplete_for_s: Seconds for which earlier programs may still be
+            missing from the accounts.
+        predecessor: Incarnation of the process whose accounts these are
+            exactly; empty if they may lack changes of the previous owner.
+        acting_shard: The shard for which this host acts as standby until the
+            claim is written; its accounts then replace these.
     """
 
     previous: PreviousOwner
@@ -62,18 +63,18 @@
     acting_shard: OwnedShard | None = None
 
 
-# Programs of before count as half spent, or up to their records.
+# Returning programs count as half spent, or as spent up to their records.
 LOST_ACCOUNTS = TakeoverState(PreviousOwner.ENDED, (), RECOVERY_WINDOW_S)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnconfirmedClaim:
-    """A claim whose answer was lost.
+    """A claim whose outcome in the store is unknown.
 
     Attributes:
-        record: What was written, or was not.
-        version: Version of the shard's object before it.
-        takeover: What this host owns the shard with if it was.
+        record: The record that may have been written.
+        version: Version of the shard's object before the write.
+        takeover: What this host knows of the shard if the write was done.
     """
 
     record: ShardRecord
@@ -82,7 +83,7 @@
 
 
 class ShardClaims:
-    """Takes shards for this host, and names their standbys.
+    """Claims shards for this host and assigns their standbys.
 
     Attributes:
         partners: Chooses the standbys and arbiters.
@@ -115,7 +116,7 @@
         self.partners = Partners(identity, shard_map, lease, hosts, seen)
 
     async def refresh(self, number: int) -> bool:
-        """Reads a shard's object; returns whether the store answered."""
+        """Reads a shard's record; returns whether the store answered."""
         found = await self._store.read(shard_key(number))
         if isinstance(found, Failed):
             return False
@@ -127,19 +128,21 @@
     async def claim(
         self, number: int, version: int, takeover: TakeoverState
     ) -> Result[None, Failure]:
-        """Writes that this host owns a shard, and begins to own it.
+        """Writes this host's ownership of a shard, then starts to own it.
 
         Args:
             number: The shard.
-            version: Version of its object now; 0 where there is none.
-            takeover: What is known of it.
+            version: Current version of its object; 0 if there is none.
+            takeover: What is known of the shard.
 
-        Failures: CONFLICT where another host was first; else the store's.
+        Failures: CONFLICT if another host has claimed the shard or this host
+        is writing its record; WRITE_UNKNOWN if the claim may have been
+        written; otherwise the store's failure.
         """
         with self._try_lock(number) as locked:
             if locked:
                 return await self._write_record(number, version, takeover)
-        return Failed(Failure(ErrorKind.CONFLICT, "claimed right now"))
+        return Failed(Failure(ErrorKind.CONFLICT, "another claim in progress"))
 
     async def _write_record(
         self, number: int, version: int, takeover: TakeoverState
@@ -154,17 +157,17 @@
                 self._unconfirmed_by_shard[number] = unconfirmed
             return written
         view = ShardView(record, written.unwrap())
-        begun = await self._start_owning(number, view, takeover)
-        if isinstance(begun, Failed):
-            # Written, and not owned yet: a host that offered the shard must
-            # not go on as if it had been declined.
+        started = await self._start_owning(number, view, takeover)
+        if isinstance(started, Failed):
+            # The claim is written although the shard isn't owned yet. A host
+            # that offered the shard must not keep serving it.
             self._unconfirmed_by_shard[number] = unconfirmed
-            detail = str(begun.failure())
+            detail = str(started.failure())
             return Failed(Failure(ErrorKind.WRITE_UNKNOWN, detail))
-        return begun
+        return started
 
     async def resolve_unconfirmed(self) -> None:
-        """Owns the shards whose claims turn out to have been written."""
+        """Starts to own shards whose unconfirmed claims were written."""
         for number, claim in list(self._unconfirmed_by_shard.items()):
             view = self._map.get(number)
             if view is None or view.version <= claim.version:
@@ -175,7 +178,7 @@
                 self._unconfirmed_by_shard.pop(number, None)
 
     async def resume(self, number: int, view: ShardView) -> None:
-        """Goes on with a shard whose record this process has written."""
+        """Continues a shard whose record this process has written."""
         await self._resume(number, view, LOST_ACCOUNTS)
 
     async def _resume(
@@ -184,23 +187,23 @@
         with self._try_lock(number) as locked:
             if not locked:
                 return
-            begun = await self._start_owning(number, view, takeover)
-            if not isinstance(begun, Failed):
+            started = await self._start_owning(number, view, takeover)
+            if not isinstance(started, Failed):
                 self._unconfirmed_by_shard.pop(number, None)
 
     async def _start_owning(
         self, number: int, view: ShardView, takeover: TakeoverState
     ) -> Result[None, Failure]:
         record = view.record
-        # Read after the claim: what the last owner wrote is in it, and what
-        # it might write from now on conflicts with what is written here.
+        # Read only after the claim is written. Later record writes of the
+        # previous owner conflict with those of this host.
         bounds = await self._records.load()
         if isinstance(bounds, Failed):
             return bounds
         accounts = Accounts(bounds.unwrap())
         shard = takeover.acting_shard or self._owner.owned().get(number)
         if shard is not None:
-            # It has gone on here until now, or until it was sealed.
+            # This host has served the shard, up to now or to its sealing.
             takeover = self.retained_state(shard)
         accounts.restore(
             [account_from_state(state) for state in takeover.accounts]
@@ -227,8 +230,8 @@
     ) -> None:
         incomplete_s = takeover.incomplete_for_s
         if takeover.previous is PreviousOwner.LOST:
-            # The last owner may act on until its lease ends, and the programs
-            # that it admits in that time are not known here.
+            # The previous owner may admit programs until its lease expires;
+            # they are unknown here.
             incomplete_s = LEASE_S + RECOVERY_WINDOW_S
         self._owner.take(
             OwnedShard(
@@ -270,9 +273,9 @@
         )
 
     async def replace_standby(self, shard: OwnedShard) -> None:
-        """Names another standby; the accounts stay.
+        """Replaces the standby if it fails or leaves; keeps the accounts.
 
-        The write fails where another host has taken the shard over.
+        The write fails if another host has taken the shard over.
         """
         if shard.is_handing_over:
             return
@@ -283,8 +286,8 @@
     async def _replace_standby(self, shard: OwnedShard) -> None:
         copied = await shard.replicate_now()
         if _is_sealed(copied) and shard.isolation is None:
-            # Whoever sealed the standby counts what may be given here, and is
-            # about to write that it owns the shard.
+            # The host that sealed the standby is about to claim the shard, and
+            # accounts for what an isolated owner may grant.
             self._isolate(shard)
             return
         if isinstance(copied, Failed):
@@ -298,17 +301,17 @@
             await self._write_standby(shard)
 
     async def assign_standby(self, shard: OwnedShard) -> None:
-        """Names another standby at once, whatever the present one says."""
+        """Assigns another standby without asking the current one."""
         with self._try_lock(shard.number) as locked:
             if locked:
                 await self._write_standby(shard)
 
     @contextlib.contextmanager
     def _try_lock(self, number: int) -> Iterator[bool]:
-        """Yields whether nothing else of this host writes a shard's object.
+        """Yields whether this task alone may write a shard's record.
 
-        Two writes at once would conflict, and each take the other's for that
-        of another host.
+        Of two concurrent writes one conflicts, and would be taken for the
+        write of another host.
         """
         if number in self._locked_shards:
             yield False
@@ -320,7 +323,7 @@
             self._locked_shards.discard(number)
 
     async def ask_arbiter(self, shard: OwnedShard) -> None:
-        """Finds out whether the standby may have gone on with new programs."""
+        """Asks the arbiter unless the standby can't have admitted programs."""
         if shard.won_arbitration or not shard.standby_may_admit_new:
             return
         side = await self.arbitration.decide(
@@ -329,10 +332,10 @@
         shard.won_arbitration = side is Side.OWNER
 
     async def allowance_holder(self, number: int, record: ShardRecord) -> Side:
-        """Returns who may have gone on with what only one of two may do.
+        """Returns the side that may have used the indivisible allowance.
 
-        For a shard that is taken over here, whose standby has not acted. The
-        arbiter lets nobody go on after this.
+        Serves the takeover of a shard whose standby has not acted. Afterwards
+        the arbiter decides for neither the owner nor the standby.
         """
         if not record.arbiter_address:
             return Side.STANDBY
@@ -340,7 +343,7 @@
         return Side.OWNER if side in (None, Side.OWNER) else Side.STANDBY
 
     async def _write_standby(self, shard: OwnedShard) -> Failure | None:
-        """Returns why no other standby could be named; None if one was."""
+        """Writes another standby; returns the failure, or None."""
         await self.ask_arbiter(shard)
         old = shard.view.record
         self.partners.avoid(old.standby_address, old.standby_port)
@@ -370,11 +373,11 @@
         return None
 
     def retained_state(self, shard: OwnedShard) -> TakeoverState:
-        """Returns what is known of a shard that this host goes on with.
+        """Returns what this host knows of a shard that it keeps serving.
 
-        Its old standby may have acted meanwhile, and can't be asked: it counts
-        as having given its share. If it may have taken programs that are not
-        known here, those count as half spent when they come.
+        The old standby may have acted and can't be asked, so that its share
+        counts as spent. If it may have admitted programs that are unknown
+        here, they count as half spent when they arrive.
         """
         states = shard.states(None)
         if shard.isolation is not None:
@@ -384,9 +387,9 @@
         incomplete_for_s = shard.incomplete_for_s
         if shard.standby_may_admit_new:
             incomplete_for_s = max(incomplete_for_s, RECOVERY_WINDOW_S)
-            waiting = shard.unacknowledged_program_ids()
+            unacknowledged = shard.unacknowledged_program_ids()
             states = tuple(
-                unknown_here(s) if s.program_id in waiting else s
+                unknown_here(s) if s.program_id in unacknowledged else s
                 for s in states
             )
         return TakeoverState(
@@ -411,11 +414,11 @@
         kind = outcome.failure().kind
         if kind not in (ErrorKind.WRITE_UNKNOWN, ErrorKind.CONFLICT):
             return outcome
-        # Either the answer was lost and the write was not, or somebody else
-        # was first; both show in the store.
+        # Either the write succeeded and its answer was lost, or another host
+        # wrote first. A read tells which.
         found = await self._store.read(key)
         if isinstance(found, Failed):
-            # A conflict may be the write's own second try.
+            # A conflict may come from a retry of this write.
             return Failed(Failure(ErrorKind.WRITE_UNKNOWN, str(found)))
         stored = found.unwrap()
         if stored is None:
