--- a/libs/ledger/src/masticdale_ledger/reconciler.py
+++ b/libs/ledger/src/masticdale_ledger/reconciler.py
@@ -1,4 +1,4 @@
-"""Sees to it that every shard has an owner, and every owner a standby."""
+"""Keeps an owner assigned to every shard and a standby to every owner."""
 
 import asyncio
 import collections
@@ -38,28 +38,29 @@
 from masticdale_platform import MUST_NOT_EXIST, ObjectStore
 from masticdale_rpc import was_sent
 
-# How often the shards are looked at, in seconds.
+# Interval of the reconciliation loop, in seconds.
 RECONCILE_INTERVAL_S = 0.2
-# How often the lease is looked at, in seconds.
+# Interval at which the age of the lease is checked, in seconds.
 LEASE_CHECK_INTERVAL_S = 0.5
-# An owner asks the store again once its last answer is this old, in seconds:
-# a third of the lease, so that two failed rounds leave time for a third.
+# Age of the lease at which it is renewed, in seconds: a third of its duration,
+# which leaves time for a third attempt after two failures.
 _RENEW_AFTER_S = LEASE_S / 3
-# An owner that has not answered for this long is replaced, in seconds: longer
+# An owner that does not answer for this long is replaced, in seconds. Longer
 # than a pause of its process on a busy machine, shorter than callers wait.
 _OWNER_TIMEOUT_S = 0.5
-# A question older than this does not count, in seconds.
+# Maximum age of the last failed call to an owner, in seconds; without a recent
+# failure the owner counts as reachable.
 _FAILURE_MAX_AGE_S = 1.5
-# All hosts see an unowned shard at once; each waits a random part of this, in
-# seconds, so that the first one's record spares the others their calls.
+# Maximum random delay of a claim, in seconds. All hosts see a vacant shard at
+# the same time; the jitter lets one write its claim before the others try.
 _CLAIM_JITTER_S = 1.0
 _CALL_TIMEOUT_S = 0.5
-# Hosts that are offered a shard at a stop; one that stops too says so at once.
+# Maximum number of hosts that are offered a shard during a planned stop.
 _MAX_OFFERS = 3
 
 
 class ShardReconciler:
-    """Claims shards without an owner, gives them away at a stop."""
+    """Claims vacant shards, replaces standbys, hands shards over at a stop."""
 
     def __init__(
         self,
@@ -91,11 +92,11 @@
         self._claim_due_at_by_shard: dict[int, float] = {}
 
     async def reconcile(self) -> None:
-        """Drops shards that others own, claims those that nobody serves."""
+        """Drops shards that other hosts own and claims vacant ones."""
         await self._drop_superseded()
         if self.is_stopping or not self._map.is_loaded:
             return
-        # All at once: one dead standby would hold up the other shards.
+        # Concurrently, so that a dead standby does not delay other shards.
         await asyncio.gather(
             *(self._reconcile_shard(n) for n in range(SHARD_COUNT))
         )
@@ -117,9 +118,9 @@
             await self._claim(number, previous)
 
     async def renew_lease(self) -> None:
-        """Asks the store who owns the shards, while some are owned here.
+        """Reads the shard records to renew the lease, if any shard is owned.
 
-        The answer extends the lease, or shows that another host has them.
+        Drops the shards that another host turns out to own.
         """
         age_s = self._lease.age_s
         if not self._owner.owned() or (
@@ -139,7 +140,7 @@
         self._lease.renew(sent_at)
 
     async def accept(self, offer: HandOver) -> HandOverReply:
-        """Takes over a shard that its owner offers."""
+        """Takes over a shard that its owner hands over."""
         if self.is_stopping or not self._map.is_loaded:
             return HandOverReply(Failure(ErrorKind.STOPPING))
         failure = await self._check_offer(offer)
@@ -157,34 +158,34 @@
         return HandOverReply()
 
     async def _check_offer(self, offer: HandOver) -> Failure | None:
-        """Returns why a shard can't be taken over as it is offered.
+        """Returns why an offered shard can't be taken over, or None.
 
-        A host that owned the shard once, and has not learned that it does no
-        more, would count with what it remembers, and write an epoch that was
-        used before: its standby then took that for the older one.
+        A former owner that has not learned of its replacement drops the shard
+        first. Otherwise it would count with its old accounts and reuse an
+        epoch, and its standby would reject it as outdated.
         """
         view = self._map.get(offer.shard)
         if view is None or view.version < offer.version:
             await self._claims.refresh(offer.shard)
             view = self._map.get(offer.shard)
         if view is None or view.version != offer.version:
-            return Failure(ErrorKind.CONFLICT, "not the shard's last version")
+            return Failure(ErrorKind.CONFLICT, "shard version mismatch")
         owned = self._owner.owned().get(offer.shard)
         if owned is not None and owned.view.version < offer.version:
             self._drop(offer.shard, view)
         return None
 
     async def hand_over_all(self) -> None:
-        """Offers every shard to another host; for a planned stop."""
+        """Hands every shard over to another host, for a planned stop."""
         self.is_stopping = True
         for shard in self._owner.owned().values():
             await self._hand_over(shard)
 
     async def _drop_superseded(self) -> None:
-        """Drops shards that others own; keeps those that this process owns.
+        """Drops shards that other hosts own.
 
-        A write whose answer was lost may turn out to have been done. Taken for
-        another host's, it would cost the accounts of all its programs.
+        Resolves unconfirmed writes first. If such a write of this process were
+        taken for another host's, the accounts of the shard would be lost.
         """
         await self._claims.resolve_unconfirmed()
         for number, shard in self._owner.owned().items():
@@ -201,7 +202,7 @@
         logs.write("shard_lost", shard=number, new_owner=view.record.owner)
 
     def _previous_owner_if_vacant(self, number: int) -> PreviousOwner | None:
-        """Returns what is known of the owner of a shard nobody serves."""
+        """Returns the state of a vacant shard's owner; None if not vacant."""
         view = self._map.get(number)
         if view is None:
             return PreviousOwner.NONE
@@ -209,7 +210,7 @@
             return None
         record = view.record
         if record.owner == self._identity.host:
-            # This process is its host's newest, so the one before has ended.
+            # Only one process of a host runs, so the owning one has ended.
             return PreviousOwner.ENDED
         lost = self._client.unreachable_by_shard.get(number)
         if lost is None or lost.version != view.version:
@@ -223,20 +224,20 @@
         if previous is PreviousOwner.ENDED:
             return True
         now = asyncio.get_running_loop().time()
-        # A host that owns shards leaves the next one to the others first, so
-        # that the loss of one host touches few programs.
-        spread_s = _CLAIM_JITTER_S * (2 if self._owner.owned() else 1)
+        # Hosts that own shards wait longer, so that shards spread over hosts
+        # and the loss of one host affects fewer programs.
+        max_delay_s = _CLAIM_JITTER_S * (2 if self._owner.owned() else 1)
         if previous is PreviousOwner.LOST:
-            spread_s /= 4
+            max_delay_s /= 4
         due_at = self._claim_due_at_by_shard.setdefault(
-            number, now + self._random.uniform(0, spread_s)
+            number, now + self._random.uniform(0, max_delay_s)
         )
         return now >= due_at
 
     async def _claim(self, number: int, previous: PreviousOwner) -> None:
         self._claim_due_at_by_shard.pop(number, None)
-        # Without the store the claim would fail, and sealing the standby
-        # before it would stop the one host that may go on.
+        # Claims need the store. Sealing the standby without it would stop the
+        # only host that may still serve the shard.
         if not await self._claims.refresh(number):
             return
         if self._previous_owner_if_vacant(number) is None:
@@ -256,7 +257,7 @@
     async def _fence_previous_owner(
         self, number: int, view: ShardView | None, previous: PreviousOwner
     ) -> TakeoverState:
-        """Stops the last owner where it may live, and gets its accounts."""
+        """Seals the previous owner's standby; returns what is known."""
         if view is None:
             return TakeoverState(PreviousOwner.NONE)
         if previous is PreviousOwner.LOST:
@@ -290,7 +291,7 @@
             await self._acting.claim(shard)
 
     async def _seal(self, number: int, record: ShardRecord) -> SealReply | None:
-        """Returns None where the standby can't be asked."""
+        """Seals the standby's copy; returns None if it can't be reached."""
         if not record.standby_address:
             return None
         request = SealRequest(number, record.epoch)
@@ -329,10 +330,10 @@
         )
 
     async def _hand_over(self, shard: OwnedShard) -> None:
-        """Offers a shard to one host after the other, until one takes it."""
+        """Offers a shard to one host after another until one takes it."""
         if self._is_store_lost():
-            # Nobody could write that the shard is theirs. The standby consents
-            # until the end here, and acts afterwards.
+            # No host could write its claim. The standby acknowledges turns
+            # until this host ends, and acts for it afterwards.
             return
         shard.is_handing_over = True
         takeover = await self._fence_standby(shard)
@@ -344,11 +345,11 @@
             await self._claims.assign_standby(shard)
 
     async def _fence_standby(self, shard: OwnedShard) -> TakeoverState:
-        """Returns what the next owner is to know of a shard.
+        """Seals the standby; returns what the next owner needs to know.
 
-        A standby that does not learn of the hand-over misses this host once it
-        has ended, and would act with shares that nobody counts. Sealed it does
-        not; where it can't be sealed its shares count as spent.
+        A standby that does not learn of the handover would act for this host
+        once it has ended, and nobody would count its share. A sealed standby
+        can't act. If sealing fails, its share counts as spent.
         """
         exact = TakeoverState(
             PreviousOwner.ENDED, shard.states(None), shard.incomplete_for_s
@@ -365,7 +366,7 @@
     async def _offer(
         self, shard: OwnedShard, target: HostAddress, takeover: TakeoverState
     ) -> bool:
-        """Returns whether the target surely has not taken the shard."""
+        """Returns whether the target has certainly not taken the shard."""
         offer = HandOver(
             shard.number,
             shard.view.version,
@@ -389,8 +390,8 @@
         if failure is None:
             self._owner.drop(shard.number)
             return False
-        # If it may have been taken, the other host may own it with these
-        # accounts. To admit turns here too would spend a budget twice; the
+        # If the outcome is unknown, the target may own the shard with these
+        # accounts. Admitting turns here too would spend budgets twice, so the
         # shard waits for its takeover.
         if isinstance(outcome, Failed):
             return not was_sent(failure)
@@ -399,9 +400,9 @@
     def _handover_targets(self) -> list[HostAddress]:
         """Returns the hosts that may take a shard, the least loaded first.
 
-        Any host that lives can, not only those that own shards already: in a
-        rolling restart all shards would end up at the host that is stopped
-        last, and with nobody to take them their accounts would be lost.
+        Includes hosts that own no shard. Otherwise a rolling restart gathers
+        all shards on the host that is stopped last, which has no target left,
+        and their accounts are lost.
         """
         shards_by_address: collections.Counter[tuple[str, int]] = (
             collections.Counter()
