--- a/libs/ledger/src/masticdale_ledger/leases.py
+++ b/libs/ledger/src/masticdale_ledger/leases.py
@@ -1,37 +1,37 @@
-"""How long an owner may act on what it last read, in time that counts sleep."""
+"""Lease of shard ownership, measured in time that includes suspension."""
 
 import time
 from collections.abc import Callable
 
-# An owner acts on its ownership for this long after it has asked the store,
-# in seconds. Outages of the store were seen to last up to twelve seconds.
-# Ownership passes on sooner where the standby can be asked; this is the bound
-# for whoever can reach neither the owner nor its standby.
+# Seconds for which an owner may act after its last renewal. Must outlast store
+# outages. Ownership moves sooner if the standby can be sealed; the lease bounds
+# the case in which neither owner nor standby answers.
 LEASE_S = 30.0
 
 
 def boot_time_s() -> float:
-    """Returns seconds of the clock that goes on while a host is suspended.
+    """Returns seconds of a clock that includes time spent suspended.
 
-    The monotonic clock stops then: an owner that measured its lease with it
-    would wake up in the belief that no time has passed.
+    The monotonic clock stops while a host is suspended, so that a lease
+    measured with it would still look valid after a resume.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Lease:
-    """When this host last knew what the store holds."""
+    """Lease of this host, renewed when the store answers on shard records."""
 
     def __init__(
         self,
         now: Callable[[], float] = boot_time_s,
         is_store_lost: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Begins without an answer.
+        """Starts without a renewal.
 
         Args:
-            now: A clock that counts suspension, in seconds.
-            is_store_lost: Whether the store was reached by no way lately.
+            now: Clock in seconds that includes time spent suspended.
+            is_store_lost: Whether the store was unreachable, directly and
+                through other hosts, when last called.
         """
         self._now = now
         self._is_store_lost = is_store_lost
@@ -42,29 +42,30 @@
         return self._now()
 
     def renew(self, sent_at: float) -> None:
-        """Notes an answer of the store.
+        """Renews the lease.
 
         Args:
-            sent_at: When the call was sent: the answer may have lain unread
-                for any time, the call can't have been seen before it.
+            sent_at: Clock seconds at which the successful store call was
+                sent. The answer may have waited unread for any time, so the
+                time of its arrival proves nothing.
         """
         if self._renewed_at is None or sent_at > self._renewed_at:
             self._renewed_at = sent_at
 
     @property
     def is_store_lost(self) -> bool:
-        """Whether the store was reached by no way the last time."""
+        """Whether the store was unreachable by any path when last called."""
         return self._is_store_lost()
 
     @property
     def age_s(self) -> float | None:
-        """Seconds since the last confirmed call; None before the first."""
+        """Seconds since the last renewal; None before the first."""
         if self._renewed_at is None:
             return None
         return self._now() - self._renewed_at
 
     @property
     def is_valid(self) -> bool:
-        """Whether ownership may be acted on."""
+        """Whether this host may act as the owner of its shards."""
         age_s = self.age_s
         return age_s is not None and age_s < LEASE_S
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -25,38 +25,38 @@
 from masticdale_ledger.shards import ShardView
 from masticdale_ledger.states import account_to_state
 
-# How often settled turns are copied, in seconds; as often as they arrive.
+# Interval at which settled turns are replicated to standbys, in seconds; the
+# same as that at which hosts send settlements.
 REPLICATION_INTERVAL_S = 0.15
-# The owner of this shard looks for records that nobody deletes, this often in
+# The owner of this shard deletes orphaned records for all, at this interval in
 # seconds.
 _CLEANUP_SHARD = 0
 _CLEANUP_INTERVAL_S = 3600.0
-# Rounds of judging and writing for one turn. Each conflict raises the bound
-# to another owner's, so that three rounds pass every step.
+# Attempts to evaluate one turn and write its record. After a conflict the next
+# attempt starts from the bound that another owner has written.
 _MAX_ATTEMPTS = 4
-# A turn that only fits once others of its program have ended waits so long, in
-# seconds: three turns as they usually last. They reserve their most and use a
-# fifth to a half of it, and 402 ends a program at once: sub-agents that started
-# together told their own program that its budget was spent.
+# A turn that is over budget only because of reserved tokens waits this long for
+# them, in seconds: about three usual turns. Turns reserve their maximum and use
+# a fraction, and a 402 ends the program, so that sub-agents started together
+# would exhaust their program's budget.
 _RESERVATION_WAIT_S = 1.0
 _RETRY_INTERVAL_S = 0.03
 
 
 class OwnedShard(AccountSource):
-    """A shard while this host owns it.
+    """A shard that this host owns, or acts for as standby.
 
     Attributes:
         number: Its number.
-        view: The record by which it is owned.
-        accounts: Its programs.
-        copier: Keeps the standby up to date; None without a standby.
-        predecessor: The process whose accounts these exactly are; empty where
-            they may lack something of the last owner's.
+        view: Its record in the store, by which it is owned.
+        accounts: The accounts of its programs.
+        copier: Replicates accounts to the standby; None without a standby.
+        predecessor: Incarnation of the process whose accounts were taken over
+            exactly; empty if they may lack changes of the previous owner.
         is_handing_over: Whether it is being handed over.
-        is_acting: Whether this host is the standby, in place of the owner.
+        is_acting: Whether this host is the standby acting for the owner.
         isolation: Set while there is neither a standby nor a store.
-        won_arbitration: Whether the arbiter lets this host, and so no other,
-            go on.
+        won_arbitration: Whether the arbiter has decided for this host.
     """
 
     def __init__(
@@ -69,17 +69,17 @@
         copier: Copier | None,
         predecessor: str = "",
     ) -> None:
-        """Begins to own a shard.
+        """Creates the state of an owned shard.
 
         Args:
             number: Its number.
-            view: The record by which it is owned.
-            accounts: What is known of its programs.
-            incomplete_for_s: Until then a program that is not known may be
-                one of before; 0 if it surely is a new one.
-            lease: The clock of that.
-            copier: Keeps the standby up to date.
-            predecessor: The process whose accounts these exactly are.
+            view: Its record in the store, by which it is owned.
+            accounts: The accounts known of its programs.
+            incomplete_for_s: Seconds for which an unknown program may have
+                had turns under an earlier owner; 0 if it is certainly new.
+            lease: Lease of this host, whose clock measures that time.
+            copier: Replicates accounts to the standby.
+            predecessor: See the attribute.
         """
         self.number = number
         self.view = view
@@ -94,7 +94,7 @@
         self._lease = lease
 
     def is_blocked_by_isolation(self, claim: TurnClaim) -> bool:
-        """Returns whether a turn has to wait until the shard isn't alone."""
+        """Returns whether an isolated shard must refuse a turn for now."""
         if self.isolation is None:
             return False
         share = self.isolation.share_by_id.get(claim.program_id)
@@ -110,11 +110,11 @@
 
     @property
     def incomplete_for_s(self) -> float:
-        """How long programs of before may yet be missing."""
+        """Seconds for which earlier programs may be missing."""
         return max(0.0, self._complete_from - self._lease.now())
 
     def get_or_create(self, claim: TurnClaim) -> Account:
-        """Returns the account of a claim's program."""
+        """Returns the account of a claim's program; creates it if missing."""
         is_known = self.accounts.get(claim.program_id) is not None
         account = self.accounts.get_or_create(
             claim,
@@ -135,7 +135,7 @@
 
     @property
     def needs_replication(self) -> bool:
-        """Whether the standby has to be told something."""
+        """Whether the standby lacks changes or the state of the store."""
         has_store = not self._lease.is_store_lost
         return self.copier is not None and self.copier.is_due(
             owner_has_store=has_store
@@ -143,7 +143,7 @@
 
     @property
     def standby_may_admit_new(self) -> bool:
-        """Whether the standby may have taken programs not known here."""
+        """Whether the standby may have admitted programs unknown here."""
         if self.copier is None or not self.copier.may_be_held:
             return False
         has_arbiter = bool(self.view.record.arbiter_address)
@@ -155,33 +155,33 @@
 
     @property
     def standby_may_act(self) -> bool:
-        """Whether the standby may go on without this host."""
+        """Whether the standby may act without this host."""
         return self.copier is not None and self.copier.may_be_held
 
     @property
     def is_standby_leaving(self) -> bool:
-        """Whether the standby is about to end."""
+        """Whether the standby has said that it is stopping."""
         return self.copier is not None and self.copier.is_leaving
 
     def unacknowledged_program_ids(self) -> set[str]:
-        """Returns the programs that no standby has agreed to yet."""
+        """Returns the programs that no standby has acknowledged."""
         return {
             a.program_id for a in self.accounts.all() if a.awaits_standby_ack
         }
 
     def states_with_peer_spending(self) -> tuple[AccountState, ...]:
-        """Returns all accounts, with what another host may have given."""
+        """Returns all accounts, with what the other host may have granted."""
         shares = self.isolation.share_by_id if self.isolation else {}
         return acted_states(self.states(None), shares)
 
     async def replicate(self) -> Result[None, Failure]:
-        """Returns once the standby holds every account as it is now."""
+        """Replicates all changes, unless isolated or without a standby."""
         if self.copier is None or self.isolation is not None:
             return Success(None)
         return await self.replicate_now()
 
     async def replicate_now(self) -> Result[None, Failure]:
-        """Does the same also while the shard is alone."""
+        """Replicates all changes, also while the shard is isolated."""
         if self.copier is None:
             return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, "no standby"))
         state = CopyState(
@@ -195,17 +195,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _OverBudget:
-    """A turn that the budget does not hold now."""
+    """A turn that does not fit the budget at present."""
 
     account: Account
     verdict: BudgetExceeded
 
 
 class ShardOwner:
-    """The shards of this host.
+    """Admits and settles turns of the shards that this host owns.
 
     Attributes:
-        replication_failure_by_shard: Why a shard needs another standby.
+        replication_failure_by_shard: Why a shard's standby needs replacing.
     """
 
     def __init__(
@@ -222,23 +222,23 @@
         )
 
     def owned(self) -> dict[int, OwnedShard]:
-        """Returns the shards owned, by number."""
+        """Returns the owned shards by number."""
         return dict(self._shard_by_number)
 
     def take(self, shard: OwnedShard) -> None:
-        """Begins to own a shard."""
+        """Starts to own a shard."""
         self._shard_by_number[shard.number] = shard
         self.replication_failure_by_shard.pop(shard.number, None)
 
     def drop(self, number: int) -> None:
-        """Stops to own a shard."""
+        """Stops owning a shard."""
         self._shard_by_number.pop(number, None)
         self.replication_failure_by_shard.pop(number, None)
 
     async def admit(
         self, number: int, claim: TurnClaim
     ) -> Result[None, Failure]:
-        """Reserves what a turn may use; see ``BudgetLedger.admit``."""
+        """Reserves the maximum of a turn; see ``BudgetLedger.admit``."""
         wait_until = time.monotonic() + _RESERVATION_WAIT_S
         while True:
             outcome = await self._decide(number, claim)
@@ -267,16 +267,18 @@
             if isinstance(verdict, BudgetExceeded):
                 return _OverBudget(account, verdict)
             if shard.isolation is not None:
-                # A higher bound would count what the other may have handed
-                # out as unspent.
+                # Raising the bound would make tokens that the other host may
+                # have granted count as unspent.
                 return _isolated_failure(number)
             written = await self._write_record(shard, claim, account)
             if isinstance(written, Failed):
                 return written
-        return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, "contended"))
+        return Failed(
+            Failure(ErrorKind.LEDGER_UNAVAILABLE, "too many record conflicts")
+        )
 
     def settle(self, settlement: Settlement) -> bool:
-        """Notes what a turn used; False where another host owns the shard."""
+        """Settles a turn; returns False if another host owns the shard."""
         shard = self._shard_by_number.get(settlement.shard)
         if shard is None or shard.is_handing_over:
             return False
@@ -290,10 +292,10 @@
         return True
 
     async def replicate_changes(self) -> None:
-        """Brings the standbys up to date with settled turns.
+        """Replicates settled turns to the standbys.
 
-        A turn whose end the standby does not know counts at its most after a
-        takeover, and its program would reach its budget too early.
+        A turn whose settlement the standby lacks counts at its maximum after a
+        takeover, which exhausts the budget of its program too early.
         """
         for shard in list(self._shard_by_number.values()):
             if not shard.needs_replication:
@@ -305,7 +307,7 @@
                 )
 
     async def evict_idle_programs(self) -> None:
-        """Drops programs that will not come back, and their records."""
+        """Evicts idle programs and deletes their records and orphaned ones."""
         for shard in list(self._shard_by_number.values()):
             for account in shard.accounts.evict_idle(time.monotonic()):
                 self._write_lock_by_program.pop(account.program_id, None)
@@ -367,8 +369,8 @@
         written = found.unwrap()
         account.bound = written.bound if written else None
         account.counts_from_start = False
-        # A write of the last owner may have been under way when it gave its
-        # accounts away. It then never spent up to that bound.
+        # A write of the predecessor may have been in flight when it handed its
+        # accounts over. It then admitted no turn under that bound.
         is_known = written is not None and written.writer == shard.predecessor
         if written is not None and not is_known:
             account.spent_tokens = max(
