--- a/libs/ledger/src/masticdale_ledger/__init__.py
+++ b/libs/ledger/src/masticdale_ledger/__init__.py
@@ -1,4 +1,7 @@
-"""Program budgets that hold over hosts, restarts and outages of the store."""
+"""Replicated ledger of program budgets.
+
+Budgets hold across hosts, restarts and outages of the store.
+"""
 
 from masticdale_ledger.acting import ActingStandby
 from masticdale_ledger.claims import ShardClaims
--- a/libs/ledger/src/masticdale_ledger/records.py
+++ b/libs/ledger/src/masticdale_ledger/records.py
@@ -1,4 +1,4 @@
-"""Records in the store: bounds of what programs may have spent."""
+"""Records in the store that bound what programs may have spent."""
 
 import dataclasses
 import time
@@ -12,9 +12,9 @@
 from masticdale_platform import ObjectStore, StoredObject
 
 RECORD_PREFIX = "ledger-programs/"
-# Records whose owner died before it forgot their programs are deleted once
-# they are this old, in milliseconds: a day. A program that still ran then, and
-# lost its record and all memory of it, would get its budget again.
+# Age in milliseconds at which orphaned records are deleted: one day. A record
+# is orphaned if its owner dies before evicting the program. A program that
+# still runs then, and whose accounts are lost too, gets its budget again.
 _RETENTION_MS = 86_400_000
 
 
@@ -22,9 +22,9 @@
     """The JSON of a record.
 
     Attributes:
-        bound_tokens: The program may have spent up to this.
-        writer: Who wrote it, to know a write whose answer was lost.
-        at_ms: Wall milliseconds of the write.
+        bound_tokens: Most tokens that the program may have spent.
+        writer: The writing process; identifies a write whose answer was lost.
+        at_ms: Wall-clock milliseconds of the write.
     """
 
     bound_tokens: int
@@ -33,16 +33,16 @@
 
 
 def record_name(program_id: str) -> str:
-    """Returns the name of a program's record.
+    """Returns the name of a program's record, a digest of its id.
 
-    Program ids are the callers' text, names of objects are not free text.
+    Program ids are arbitrary text, which object names can't hold.
     """
     return hashing.digest(program_id)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredBound:
-    """A bound as it stands in the store.
+    """A bound as read from the store.
 
     Attributes:
         bound: The bound.
@@ -54,20 +54,20 @@
 
 
 class ProgramRecords:
-    """Reads and writes the records."""
+    """Reads, raises and deletes the bounds in the store."""
 
     def __init__(self, store: ObjectStore, writer: str) -> None:
-        """Prepares to write.
+        """Creates access to the records.
 
         Args:
             store: The platform's store.
-            writer: This process; no two processes have the same.
+            writer: Identity of this process, unique among all processes.
         """
         self._store = store
         self._writer = writer
 
     async def load(self) -> Result[dict[str, Bound], Failure]:
-        """Returns every bound by the name of its record."""
+        """Returns every bound by record name."""
         outcome = await self._store.list(RECORD_PREFIX)
         return outcome.map(
             lambda items: {
@@ -85,11 +85,11 @@
         Args:
             program_id: The program.
             tokens: The new bound.
-            version: Version of the record now; 0 where there is none.
+            version: Current version of the record; 0 if there is none.
 
         Returns:
-            What was written; CONFLICT where another owner has written since;
-            or the store's failure.
+            The written bound; CONFLICT if another owner has written since; or
+            the store's failure.
         """
         key = RECORD_PREFIX + record_name(program_id)
         record = _Record(
@@ -101,12 +101,12 @@
         outcome = await self._store.write(key, value, version)
         if not isinstance(outcome, Failed):
             return Success(Bound(tokens, outcome.unwrap()))
-        unclear = (ErrorKind.WRITE_UNKNOWN, ErrorKind.CONFLICT)
-        if outcome.failure().kind not in unclear:
+        ambiguous = (ErrorKind.WRITE_UNKNOWN, ErrorKind.CONFLICT)
+        if outcome.failure().kind not in ambiguous:
             return outcome
-        # The answer was lost, of this write or of one before, and not
-        # necessarily the write. Its own bound taken for another owner's would
-        # count as spent, and the program be told that its budget is.
+        # This write, or an earlier one whose answer was lost, may have
+        # succeeded. Taken for another owner's bound it would count as spent,
+        # and the program would get 402 with tokens left.
         found = await self._store.read(key)
         if isinstance(found, Failed):
             return found
@@ -121,7 +121,7 @@
     async def read(
         self, program_id: str
     ) -> Result[StoredBound | None, Failure]:
-        """Returns a program's bound as it stands in the store."""
+        """Returns a program's bound, or None without a readable record."""
         key = RECORD_PREFIX + record_name(program_id)
         outcome = await self._store.read(key)
         return outcome.map(
@@ -129,7 +129,7 @@
         )
 
     async def delete(self, program_id: str, version: int) -> None:
-        """Deletes the record of a program that will not come back."""
+        """Deletes the record of an evicted program, unless it has changed."""
         await self._delete(RECORD_PREFIX + record_name(program_id), version)
 
     async def _delete(self, key: str, version: int) -> None:
@@ -140,13 +140,10 @@
             )
 
     async def delete_expired(self, now_ms: int) -> None:
-        """Deletes the records that no owner will delete any more.
-
-        Without it each loss of owners leaves some behind for good, and every
-        takeover reads all of them.
+        """Deletes orphaned records, which every takeover would have to read.
 
         Args:
-            now_ms: Wall milliseconds.
+            now_ms: Current wall-clock milliseconds.
         """
         found = await self._store.list(RECORD_PREFIX)
         if isinstance(found, Failed):
--- a/libs/ledger/src/masticdale_ledger/service.py
+++ b/libs/ledger/src/masticdale_ledger/service.py
@@ -1,4 +1,4 @@
-"""Serves the ledger's calls of other hosts."""
+"""Serves the ledger calls of other hosts."""
 
 from returns.result import Failure as Failed
 
@@ -34,7 +34,7 @@
 
 
 class LedgerService:
-    """One method for each call of the contract ``LEDGER``."""
+    """Handlers of the contract ``LEDGER``, one method for each call."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._shared_watches = shared_watches
 
     async def admit(self, request: AdmitRequest) -> AdmitReply:
-        """Admits a turn of an own shard."""
+        """Admits a turn of a shard that this host owns or acts for."""
         if request.asker_stops:
             self._seen_hosts.forget(request.asker)
         else:
@@ -74,7 +74,7 @@
         return AdmitReply()
 
     async def settle(self, request: SettleRequest) -> SettleReply:
-        """Notes what turns have used."""
+        """Settles turns; returns the shards that another host owns."""
         others = {
             settlement.shard
             for settlement in request.settlements
@@ -83,27 +83,27 @@
         return SettleReply(tuple(sorted(others)))
 
     async def hand_over(self, request: HandOver) -> HandOverReply:
-        """Takes over a shard."""
+        """Takes over a shard from its stopping owner."""
         return await self._reconciler.accept(request)
 
     async def copy(self, request: CopyRequest) -> CopyReply:
-        """Holds accounts of another host's shard."""
+        """Stores accounts of a shard for which this host is standby."""
         return self._copies.put(request)
 
     async def seal(self, request: SealRequest) -> SealReply:
-        """Stops the owner of a shard that is being taken over."""
+        """Seals the copy of a shard, which stops its owner."""
         return self._acting.seal(request)
 
     async def appoint(self, request: AppointRequest) -> AppointReply:
-        """Begins to decide between an owner and its standby."""
+        """Appoints this host the arbiter of an owner and its standby."""
         return self._arbiter.appoint(request)
 
     async def decide(self, request: DecideRequest) -> DecideReply:
-        """Lets one of the two go on."""
+        """Decides which side may go on."""
         return self._arbiter.decide(request)
 
     async def store(self, request: StoreRequest) -> StoreReply:
-        """Makes a store call for a host that can't."""
+        """Makes a store call for a host that can't reach the store."""
         return await serve_store(
             self._direct_store, request, self._shared_watches
         )
--- a/libs/ledger/src/masticdale_ledger/shards.py
+++ b/libs/ledger/src/masticdale_ledger/shards.py
@@ -1,4 +1,4 @@
-"""Who owns which shard of the ledger, as the store says."""
+"""Shard ownership as recorded in the store."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,13 @@
 
 
 class PreviousOwner(enum.StrEnum):
-    """What is known of the owner before."""
+    """State of a shard's previous owner when the shard is claimed.
+
+    Attributes:
+        NONE: The shard had no owner.
+        ENDED: The owner has stopped.
+        LOST: The owner does not answer and may act until its lease expires.
+    """
 
     NONE = "none"
     ENDED = "ended"
@@ -22,21 +28,22 @@
 
 
 class ShardRecord(pydantic.BaseModel):
-    """The store's object of one shard.
+    """The JSON of a shard's object in the store.
 
     Attributes:
         owner: Name of the owning host.
-        incarnation: Its process; another one has none of its memory.
-        address: Where it listens for other hosts: an IP number.
-        port: And the port.
-        epoch: One more than the last owner's.
-        previous: Whether the last owner surely acts no more.
-        standby_address: Host without whose consent the owner admits nothing;
+        incarnation: Process of that host which owns the shard. Accounts in
+            memory don't outlive it.
+        address: IP address on which it listens for other hosts.
+        port: Port of the address.
+        epoch: One more than in the previous record.
+        previous: Whether the previous owner has certainly stopped.
+        standby_address: Host that has to acknowledge each admitted turn;
             empty for none.
-        standby_port: And its port.
-        arbiter_address: Host that lets one of the two go on where both may
-            not; empty for none.
-        arbiter_port: And its port.
+        standby_port: Port of that address.
+        arbiter_address: Host that decides whether owner or standby goes on
+            when they lose each other; empty for none.
+        arbiter_port: Port of that address.
     """
 
     model_config = pydantic.ConfigDict(frozen=True)
@@ -62,12 +69,12 @@
 
 
 def shard_key(shard: int) -> str:
-    """Returns the key of a shard's object."""
+    """Returns the key of a shard's record in the store."""
     return f"{SHARD_PREFIX}shard-{shard}"
 
 
 def parse_shard(stored: StoredObject) -> ShardView | None:
-    """Returns a shard's record; None where the object is none."""
+    """Parses a shard's record; returns None if it is invalid."""
     try:
         record = ShardRecord.model_validate_json(stored.value)
     except pydantic.ValidationError as error:
@@ -79,10 +86,10 @@
 
 
 class ShardMap:
-    """The newest known owner of each shard.
+    """The latest known record of each shard.
 
     Attributes:
-        is_loaded: Whether the store has been read.
+        is_loaded: Whether a snapshot of the store has been applied.
     """
 
     def __init__(self) -> None:
@@ -91,7 +98,7 @@
         self._changed = asyncio.Event()
 
     def get(self, shard: int) -> ShardView | None:
-        """Returns what is known of a shard."""
+        """Returns the latest known record of a shard, or None."""
         return self._view_by_shard.get(shard)
 
     def views(self) -> dict[int, ShardView]:
@@ -99,7 +106,7 @@
         return dict(self._view_by_shard)
 
     def apply(self, batch: WatchBatch) -> None:
-        """Takes what a watch returned; older versions change nothing."""
+        """Applies a batch of a watch; ignores outdated versions."""
         for stored in batch.changed:
             self.put(stored)
         if batch.is_snapshot:
@@ -107,7 +114,7 @@
         self._notify_waiters()
 
     def put(self, stored: StoredObject) -> None:
-        """Takes one object of the store."""
+        """Applies one object of the store unless it is outdated."""
         shard = _shard_number(stored.key)
         if shard is None:
             return
@@ -131,7 +138,7 @@
         self._notify_waiters()
 
     async def wait_for_change(self, timeout_s: float) -> None:
-        """Waits for any change, at most so long."""
+        """Waits for the next change of any shard, or the timeout."""
         changed = self._changed
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
--- a/libs/ledger/src/masticdale_ledger/states.py
+++ b/libs/ledger/src/masticdale_ledger/states.py
@@ -1,4 +1,4 @@
-"""Accounts as other hosts hold them."""
+"""Conversion between accounts and their message form."""
 
 import time
 
@@ -7,7 +7,7 @@
 
 
 def account_to_state(account: Account) -> AccountState:
-    """Returns an account for another host."""
+    """Returns the message form of an account."""
     bound = account.bound or Bound(0, 0)
     reserved = account.reserved_by_request_id
     return AccountState(
@@ -24,7 +24,7 @@
 
 
 def account_from_state(state: AccountState) -> Account:
-    """Returns the account that another host has held."""
+    """Returns the account of a message received from another host."""
     bound = None
     if state.bound_version:
         bound = Bound(state.bound_tokens, state.bound_version)
