--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -1,7 +1,7 @@
-"""Hosts of the ledger with their real parts, joined without a network.
+"""Simulated ledger hosts, made of production parts without a network.
 
-Links, the store and processes fail as a plan says. What callers are given is
-counted outside of the hosts, so that no part vouches for itself.
+Links, the store and processes fail according to a plan. Granted tokens are
+counted outside the hosts, independently of the code under test.
 """
 
 import asyncio
@@ -38,13 +38,13 @@
 
 SHARD = 0
 MAX_TURN_TOKENS = 100
-# An event takes this long on the hosts' clock, in seconds: more than a
-# standby waits between two questions to its owner.
+# Seconds by which an event advances the clock: more than a standby waits
+# between two calls to its owner.
 EVENT_DURATION_S = 0.31
 
 
 class Clock:
-    """Seconds of all hosts."""
+    """Clock shared by all hosts, in seconds."""
 
     def __init__(self):
         self.now_s = 1000.0
@@ -54,7 +54,7 @@
 
 
 class HostStore:
-    """The store as one host reaches it."""
+    """One host's access to the store, with its own faults."""
 
     def __init__(self, store):
         self._store = store
@@ -81,7 +81,7 @@
         outcome = await self._store.write(key, value, expected_version)
         if not self.loses_answers:
             return outcome
-        # The call is done, and the host can't read back what became of it.
+        # The write is done, and the host can't read its result back.
         self.is_cut = True
         return Failed(Failure(ErrorKind.WRITE_UNKNOWN, "no answer"))
 
@@ -91,11 +91,13 @@
         return await self._store.delete(key, expected_version)
 
     def _unavailable(self):
-        return Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE, "away"))
+        return Failed(
+            Failure(ErrorKind.PLATFORM_UNAVAILABLE, "store unavailable")
+        )
 
 
 class Link:
-    """The way from one host to another one's address."""
+    """A network link from one host to another."""
 
     def __init__(self, world, source, target):
         self._world = world
@@ -117,7 +119,7 @@
 
 
 class Links(Hosts):
-    """All ways from one host."""
+    """All links from one host."""
 
     def __init__(self, world, source):
         self._world = world
@@ -135,7 +137,7 @@
 
 
 class Process:
-    """One process of a host, from its start to its end."""
+    """One process of a host, from start to exit."""
 
     def __init__(self, world, name, number):
         port = next(p for p, n in world.names.items() if n == name)
@@ -190,7 +192,7 @@
         )
 
     async def read_map(self):
-        """Learns what the store holds, as a watch would."""
+        """Updates the shard map from the store, as a watch does."""
         found = await self.store.read(shard_key(SHARD))
         if isinstance(found, Failed):
             return
@@ -199,14 +201,14 @@
             self.map.put(found.unwrap())
 
     def stop(self):
-        """Begins a planned stop."""
+        """Starts a planned stop."""
         self.is_stopping = True
         self.copies.is_stopping = True
 
 
 @dataclasses.dataclass(slots=True)
 class Turn:
-    """One turn that a caller was given."""
+    """A turn that a caller was granted."""
 
     program: str
     request_id: str
@@ -214,7 +216,7 @@
 
 
 class World:
-    """Hosts, the store, and what callers were given of each budget."""
+    """Hosts, the store, and the tokens granted of each budget."""
 
     def __init__(self, budget, names="abcd"):
         self.budget = budget
@@ -234,7 +236,7 @@
         self._programs = 0
 
     async def begin(self):
-        """Starts every host, and waits until the shard is owned."""
+        """Starts every host and has the first one claim the shard."""
         for name in self.names.values():
             await self.start(name)
         for process in self.process_by_name.values():
@@ -260,7 +262,7 @@
         self.process_by_name.pop(name, None)
 
     async def turn(self, name, program):
-        """A caller asks one host for a turn; returns whether it is given."""
+        """Asks one host for a turn; returns whether it is granted."""
         process = self.process_by_name.get(name)
         view = process.map.get(SHARD) if process else None
         if view is None:
@@ -314,7 +316,7 @@
         self.open_turns.append(Turn(program, request_id, asked))
 
     async def end_turn(self, used):
-        """The oldest turn ends; its host reports what it has used."""
+        """Ends the oldest turn and sends its settlement."""
         if not self.open_turns:
             return
         turn = self.open_turns.pop(0)
@@ -331,7 +333,7 @@
     async def _settle(self, turn, used):
         process = turn.asked
         if self.process_by_name.get(process.name) is not process:
-            # What it would have reported has ended with it.
+            # The settlement was lost with its process.
             return True
         settlement = Settlement(SHARD, turn.program, turn.request_id, used)
         if process.owner.settle(settlement):
@@ -349,12 +351,12 @@
         return False
 
     async def step(self, kind, first, second):
-        """Plays one event.
+        """Runs one event.
 
         Args:
-            kind: Its name.
-            first: A number that chooses a host, or an amount.
-            second: A number that chooses another host, or a program.
+            kind: Kind of the event.
+            first: Selects a host or an amount.
+            second: Selects another host or a program.
         """
         names = list(self.names.values())
         name = names[first % len(names)]
@@ -416,7 +418,7 @@
         await self.send_settlements()
 
     def overspent(self):
-        """Returns the programs that got more than they may."""
+        """Returns granted tokens by program, of those beyond the guarantee."""
         total_by_program = {
             program: sum(given.values())
             for program, given in self.granted_by_program.items()
@@ -430,7 +432,7 @@
 
 @contextlib.contextmanager
 def simulated(world):
-    """Has the hosts decide at once, on the world's clock and into its log."""
+    """Removes the hosts' waits and captures their clock and log."""
 
     def write(message_type, **fields):
         world.log_lines.append((message_type, fields))
@@ -446,8 +448,8 @@
         yield
 
 
-# How often each event comes among a hundred and some. To change it changes what
-# every seed plays, also those that are kept for a fault they showed.
+# Weight of each kind of event. Any change alters the plan of every seed,
+# including the seeds kept as regression tests.
 WEIGHT_BY_KIND = {
     "turns": 34,
     "programs": 3,
@@ -472,7 +474,7 @@
 
 
 def random_steps(seed, count):
-    """Returns a plan: events with two numbers each."""
+    """Returns a plan of events, each with its two selectors."""
     chooser = random.Random(seed)
     kinds = chooser.choices(
         list(WEIGHT_BY_KIND), list(WEIGHT_BY_KIND.values()), k=count
--- a/libs/ledger/tests/test_accounts.py
+++ b/libs/ledger/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""Tests of budgets over losses of memory."""
+"""Tests of budgets when accounts in memory are lost."""
 
 import unittest
 
@@ -17,16 +17,16 @@
 RECORD = "record"
 
 
-def claim(request_id, budget, most):
-    return TurnClaim("program", request_id, budget, most)
+def claim(request_id, budget, max_turn_tokens):
+    return TurnClaim("program", request_id, budget, max_turn_tokens)
 
 
 class Ledger:
-    """One program's ledger: accounts in memory, one record in a store."""
+    """The ledger of one program: an account, and a record in a store."""
 
-    def __init__(self, budget, most):
+    def __init__(self, budget, max_turn_tokens):
         self.budget = budget
-        self.most = most
+        self.max_turn_tokens = max_turn_tokens
         self.bound = None
         self.writes = 0
         self.accounts = Accounts()
@@ -38,7 +38,7 @@
         self.is_complete = False
 
     def admit(self, request_id):
-        turn = claim(request_id, self.budget, self.most)
+        turn = claim(request_id, self.budget, self.max_turn_tokens)
         while True:
             account = self.accounts.get_or_create(
                 turn, RECORD, self.is_complete, 0.0
@@ -58,7 +58,7 @@
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=500)
     @hypothesis.given(
         turns=st.integers(1, 12),
-        most=st.integers(1, 1000),
+        max_turn_tokens=st.integers(1, 1000),
         steps=st.lists(
             st.one_of(
                 st.tuples(st.just("admit"), st.integers(0, 1000)),
@@ -69,17 +69,16 @@
         ),
     )
     def test_no_losses_hand_out_more_than_the_budget_and_one_turn(
-        self, turns, most, steps
+        self, turns, max_turn_tokens, steps
     ):
-        """A program that loops would get its budget again after each loss.
+        """A looping program would get its budget again after each loss.
 
-        Turns are admitted and settled with any part of their most; at any
-        moment all memory is lost, and turns under way use all they may. Only
-        the record in the store remains. The tokens of all turns together must
-        stay within the budget and the most of one turn.
+        Turns settle with any part of their maximum, and all accounts may be
+        lost at any time; only the record remains. The total must stay within
+        the budget plus one turn.
         """
-        budget = int(1.5 * turns * most)
-        ledger = Ledger(budget, most)
+        budget = int(1.5 * turns * max_turn_tokens)
+        ledger = Ledger(budget, max_turn_tokens)
         used = {}
         open_ids = []
         for number, (kind, amount) in enumerate(steps):
@@ -88,28 +87,27 @@
                 open_ids.clear()
             elif kind == "admit":
                 if ledger.admit(str(number)):
-                    used[str(number)] = most
+                    used[str(number)] = max_turn_tokens
                     open_ids.append(str(number))
             elif open_ids:
                 request_id = open_ids.pop(0)
-                used[request_id] = min(amount, most)
+                used[request_id] = min(amount, max_turn_tokens)
                 ledger.accounts.settle("program", request_id, used[request_id])
-        self.assertLessEqual(sum(used.values()), budget + most)
+        self.assertLessEqual(sum(used.values()), budget + max_turn_tokens)
 
     def test_programs_that_use_little_of_their_budget_are_never_written(self):
-        ledger = Ledger(budget=3 * 150, most=100)
+        ledger = Ledger(budget=3 * 150, max_turn_tokens=100)
         for number in range(3):
             self.assertTrue(ledger.admit(str(number)))
             ledger.accounts.settle("program", str(number), 20)
         self.assertEqual(ledger.writes, 0)
 
     def test_a_spent_budget_stays_spent_after_a_loss(self):
-        """A looping program is told 402, all processes die, it comes back.
+        """A looping program would get its budget again from a new owner.
 
-        Before the loss it had used its budget up, and a record said so. The
-        new owner reads the record and grants one turn at most.
+        The new owner reads the record and grants one turn at most.
         """
-        ledger = Ledger(budget=1600, most=100)
+        ledger = Ledger(budget=1600, max_turn_tokens=100)
         number = 0
         while ledger.admit(str(number)):
             ledger.accounts.settle("program", str(number), 100)
@@ -119,13 +117,12 @@
         self.assertLessEqual(admitted, 1)
 
     def test_a_program_outlives_losses_while_it_uses_little(self):
-        """All hosts are killed again and again while a long program runs.
+        """A program with most of its budget left would get 402.
 
-        Each turn uses a fifth of its most. A record that reached far beyond
-        what was needed would count as spent after the next loss, and a program
-        with most of its budget left would be told that it has none.
+        A record written too far ahead counts as spent after each loss of all
+        hosts.
         """
-        ledger = Ledger(budget=1600, most=100)
+        ledger = Ledger(budget=1600, max_turn_tokens=100)
         for loss in range(4):
             for turn in range(2):
                 request_id = f"{loss}-{turn}"
@@ -135,7 +132,7 @@
         self.assertTrue(ledger.admit("last"))
 
     def test_a_record_lasts_for_some_turns(self):
-        ledger = Ledger(budget=1600, most=100)
+        ledger = Ledger(budget=1600, max_turn_tokens=100)
         ledger.lose_memory()
         for number in range(5):
             self.assertTrue(ledger.admit(str(number)))
@@ -143,7 +140,7 @@
         self.assertEqual(ledger.writes, 1)
 
     def test_a_program_of_one_turn_goes_on_after_a_loss(self):
-        ledger = Ledger(budget=150, most=100)
+        ledger = Ledger(budget=150, max_turn_tokens=100)
         self.assertTrue(ledger.admit("first"))
         ledger.lose_memory()
         self.assertTrue(ledger.admit("again"))
@@ -151,10 +148,10 @@
     def test_turns_under_way_are_no_reason_to_tell_that_a_budget_is_spent(self):
         """A program would end because its sub-agents started together.
 
-        Two turns under way reserve their most, which leaves no room for a
-        third. Once they have ended, with a fifth of it, there is room again.
+        Two turns in flight reserve their maximum and leave no room for a third
+        until one of them settles.
         """
-        ledger = Ledger(budget=250, most=100)
+        ledger = Ledger(budget=250, max_turn_tokens=100)
         self.assertTrue(ledger.admit("a"))
         self.assertTrue(ledger.admit("b"))
         account = ledger.accounts.get("program")
@@ -167,12 +164,12 @@
         self.assertTrue(account.evaluate(claim("d", 250, 100)).is_final)
 
     def test_asking_again_for_one_turn_reserves_once(self):
-        ledger = Ledger(budget=300, most=100)
+        ledger = Ledger(budget=300, max_turn_tokens=100)
         for _ in range(10):
             self.assertTrue(ledger.admit("same"))
 
     def test_unknown_programs_need_a_record_after_a_loss(self):
-        ledger = Ledger(budget=1600, most=100)
+        ledger = Ledger(budget=1600, max_turn_tokens=100)
         ledger.lose_memory()
         turn = claim("a", 1600, 100)
         account = ledger.accounts.get_or_create(turn, RECORD, False, 0.0)
--- a/libs/ledger/tests/test_admissions.py
+++ b/libs/ledger/tests/test_admissions.py
@@ -1,4 +1,4 @@
-"""Tests of answers that come in time while a decision waits for others."""
+"""Tests of admission replies while a decision waits for other parts."""
 
 import asyncio
 import unittest
@@ -29,7 +29,7 @@
 
 
 class SilentPeer:
-    """A standby that answers nothing, after the caller's timeout."""
+    """A standby that never answers; its calls time out."""
 
     def __init__(self):
         self.calls = 0
@@ -41,7 +41,7 @@
 
 
 class SlowPeer:
-    """A standby that holds everything, and takes a while to say so."""
+    """A standby that acknowledges every copy after a delay."""
 
     def __init__(self):
         self.calls = 0
@@ -53,7 +53,7 @@
 
 
 class Acting:
-    """A host that never acts for an owner."""
+    """A host that is standby of no shard."""
 
     async def act(self, number):
         return None
@@ -63,7 +63,7 @@
     def setUp(self):
         self.store = MemoryStore()
 
-    def own(self, peer=None, predecessor=""):
+    def create_owner(self, peer=None, predecessor=""):
         lease = Lease()
         lease.renew(lease.now())
         records = ProgramRecords(self.store, "writer")
@@ -90,7 +90,7 @@
         self.admissions = Admissions(self.owner, Acting())
 
     async def ask(self, *claims):
-        """Asks for turns at once; returns outcomes and the longest wait."""
+        """Asks for turns concurrently; returns outcomes and the total wait."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         outcomes = await asyncio.gather(
@@ -101,21 +101,20 @@
 
 class AnswerInTimeTest(AdmissionsCase):
     async def test_a_slow_store_does_not_make_the_owner_look_dead(self):
-        """Programs that need no record would fail with those that do.
+        """The owner would be replaced, and programs without record fail too.
 
-        The store takes longer for a record than a host waits for the owner.
-        That host hears in time that the turn is not decided, and the owner
-        still counts as alive.
+        The store is slower than the asking host's timeout. That host gets a
+        reply in time, so that the owner counts as alive.
         """
-        self.own()
+        self.create_owner()
         self.store.faults.delay_s = 0.6
         (outcome,), waited_s = await self.ask(claim("r", 600))
         self.assertEqual(outcome.failure().kind, ErrorKind.LEDGER_UNAVAILABLE)
         self.assertLess(waited_s, CALL_TIMEOUT_S)
 
     async def test_a_host_that_asks_again_joins_its_decision(self):
-        """Each question would start a write of its own, and none would end."""
-        self.own()
+        """Each retry would start another write, and none would complete."""
+        self.create_owner()
         self.store.faults.delay_s = 0.6
         for _ in range(4):
             (outcome,), _ = await self.ask(claim("r", 600))
@@ -125,13 +124,13 @@
         self.assertEqual(self.store.write_count, 1)
 
     async def test_a_silent_standby_costs_all_turns_one_timeout(self):
-        """Ten turns would wait one after the other for a dead standby.
+        """Each of ten turns would wait for a timeout of the dead standby.
 
-        Each is refused after the owner has found that the standby does not
-        answer, and none of them tells the asking host that the owner is lost.
+        They share the timeout and are refused before the asking host would
+        take the owner for dead.
         """
         peer = SilentPeer()
-        self.own(peer)
+        self.create_owner(peer)
         turns = [claim(f"r{n}", 10, f"p{n}") for n in range(10)]
         outcomes, waited_s = await self.ask(*turns)
         self.assertEqual(
@@ -144,12 +143,12 @@
 
     @mock.patch("masticdale_ledger.admissions.REPLY_TIMEOUT_S", 2.0)
     async def test_turns_that_arrive_together_share_copies(self):
-        """Turns of a busy shard would queue up behind each other's copies.
+        """Turns of a busy shard would queue behind one copy each.
 
-        One copy for each would take 2.5 s, longer than an answer may here.
+        One copy per turn would take longer than the reply timeout.
         """
         peer = SlowPeer()
-        self.own(peer)
+        self.create_owner(peer)
         turns = [claim(f"r{n}", 10, f"p{n}") for n in range(50)]
         outcomes, _ = await self.ask(*turns)
         self.assertTrue(all(isinstance(o, Success) for o in outcomes))
@@ -157,22 +156,22 @@
 
 
 class PredecessorTest(AdmissionsCase):
-    """A program would be told 402 after a planned stop of its owner.
+    """A program would get 402 after a planned stop of its owner.
 
-    The owner writes a record at a store that is slow, and meanwhile hands its
-    shards over. The next owner has its exact accounts, and meets the record.
+    The owner hands its shards over while its write of a record is in flight.
+    The next owner has its exact accounts and conflicts with the record.
     """
 
-    async def meet(self, predecessor):
+    async def admit_after_record(self, predecessor):
         before = ProgramRecords(self.store, "before")
         await before.raise_bound("p", BUDGET, 0)
-        self.own(predecessor=predecessor)
-        # One turn may go beyond a budget whose count isn't exact.
+        self.create_owner(predecessor=predecessor)
+        # An inexact count may exceed the budget by one turn.
         await self.ask(claim("r1", 600))
-        return await self.decided(claim("r2", 300))
+        return await self.ask_until_decided(claim("r2", 300))
 
-    async def decided(self, turn):
-        """Asks until there is a decision; turns under way may delay it."""
+    async def ask_until_decided(self, turn):
+        """Asks until the turn is decided."""
         for _ in range(20):
             (outcome,), _ = await self.ask(turn)
             undecided = isinstance(outcome, Failed) and (
@@ -180,13 +179,13 @@
             )
             if not undecided:
                 return outcome
-        raise AssertionError("never decided")
+        raise AssertionError("no decision after 20 requests")
 
     async def test_its_record_is_no_more_than_its_accounts_say(self):
-        self.assertIsInstance(await self.meet("before"), Success)
+        self.assertIsInstance(await self.admit_after_record("before"), Success)
 
     async def test_any_other_record_counts_as_spent(self):
-        outcome = await self.meet("another")
+        outcome = await self.admit_after_record("another")
         self.assertIs(outcome.failure().kind, ErrorKind.BUDGET_EXCEEDED)
 
 
--- a/libs/ledger/tests/test_reconciler.py
+++ b/libs/ledger/tests/test_reconciler.py
@@ -1,4 +1,4 @@
-"""Tests of shards that are given away at a planned stop."""
+"""Tests of handing shards over at a planned stop."""
 
 import unittest
 
@@ -35,7 +35,7 @@
 
 
 class Peer:
-    """Another host, with one answer to every call."""
+    """Another host that gives the same answer to every call."""
 
     def __init__(self, answer):
         self.answer = answer
@@ -72,8 +72,8 @@
     )
 
 
-def heard_of(*hosts):
-    """Returns the hosts that have asked for something just now."""
+def create_seen_hosts(*hosts):
+    """Returns a record of hosts that have just sent a request."""
     seen = SeenHosts(OWN)
     for host in hosts:
         seen.note(host)
@@ -82,7 +82,7 @@
 
 class HandOverTest(unittest.IsolatedAsyncioTestCase):
     async def hand_over(self, hosts, seen, other_owner="b"):
-        """Gives shard 0 away; returns how a turn is judged here after it."""
+        """Hands shard 0 over; returns the outcome of a later turn here."""
         store = MemoryStore()
         lease = Lease()
         lease.renew(lease.now())
@@ -111,42 +111,41 @@
     async def test_a_shard_of_unknown_outcome_admits_nothing_here(self):
         """A budget would be spent at two hosts at once.
 
-        The other host took the shard over with its accounts, and its answer
-        was lost. This one must not go on as if it had been refused.
+        The other host may have taken the shard over before its answer was
+        lost.
         """
         for answer in (TIMED_OUT, TAKEN):
-            outcome = await self.hand_over(Peers(answer), heard_of())
+            outcome = await self.hand_over(Peers(answer), create_seen_hosts())
             self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
     async def test_a_shard_that_was_surely_not_taken_is_served_on(self):
         for answer in (NOT_CONNECTED, REFUSED):
-            outcome = await self.hand_over(Peers(answer), heard_of())
+            outcome = await self.hand_over(Peers(answer), create_seen_hosts())
             self.assertIsInstance(outcome, Success)
 
     async def test_the_last_owner_gives_its_shards_to_any_host_that_lives(self):
-        """Programs would be told 402 after a rolling restart.
+        """Programs would get 402 after a rolling restart.
 
-        Each host gives its shards to another owner, until one host has all of
-        them. There is no other owner left when that one stops, and with it
-        the accounts of all programs would be gone.
+        The host that stops last owns all shards. If only owners were offered
+        them, all accounts would be lost.
         """
         hosts = Peers(TAKEN)
-        seen = heard_of(HostAddress("127.0.0.1", 2, "b"))
+        seen = create_seen_hosts(HostAddress("127.0.0.1", 2, "b"))
         outcome = await self.hand_over(hosts, seen, other_owner="a")
         self.assertEqual(hosts.peer_by_port[2].calls, 1)
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
     async def test_a_host_that_stops_too_is_not_the_last_one_asked(self):
-        """Two hosts that stop at once would keep their shards to the end."""
+        """Two hosts that stop at once would both keep their shards."""
         hosts = Peers(REFUSED, TAKEN)
-        seen = heard_of(HostAddress("127.0.0.1", 3, "b"))
+        seen = create_seen_hosts(HostAddress("127.0.0.1", 3, "b"))
         outcome = await self.hand_over(hosts, seen)
         self.assertEqual(hosts.peer_by_port[3].calls, 1)
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
     async def test_after_an_unknown_outcome_no_other_host_is_asked(self):
         hosts = Peers(TIMED_OUT, TIMED_OUT)
-        seen = heard_of(HostAddress("127.0.0.1", 3, "b"))
+        seen = create_seen_hosts(HostAddress("127.0.0.1", 3, "b"))
         await self.hand_over(hosts, seen)
         calls = [peer.calls for peer in hosts.peer_by_port.values()]
         self.assertEqual(sum(calls), 1)
@@ -154,11 +153,11 @@
 
 class SeenHostsTest(unittest.TestCase):
     def test_a_host_is_never_its_own_candidate(self):
-        self.assertEqual(heard_of(OWN).fresh(), [])
+        self.assertEqual(create_seen_hosts(OWN).fresh(), [])
 
     def test_a_host_that_stops_is_no_candidate(self):
         other = HostAddress("127.0.0.1", 2, "b")
-        seen = heard_of(other)
+        seen = create_seen_hosts(other)
         seen.forget(other)
         self.assertEqual(seen.fresh(), [])
 
--- a/libs/ledger/tests/test_records.py
+++ b/libs/ledger/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of the records that bound what programs may have spent."""
+"""Tests of the records that bound the spending of programs."""
 
 import json
 import unittest
@@ -19,8 +19,8 @@
     async def test_records_that_nobody_deletes_are_deleted_after_a_day(self):
         """Takeovers would take longer with each loss of an owner.
 
-        Owners delete the records of programs that they forget. Those of an
-        owner that died stay, and whoever takes a shard over reads them all.
+        A dead owner leaves its records behind, and every takeover reads all
+        records.
         """
         store = MemoryStore()
         program_records = ProgramRecords(store, "writer")
@@ -46,11 +46,10 @@
 
 
 class LostAnswerTest(unittest.IsolatedAsyncioTestCase):
-    """A program would be told 402 with a fifth of its budget used.
+    """A program would get 402 with most of its budget left.
 
-    The store does a write and its answer is lost, and so is the question
-    whether it was done. The owner writes again, meets its own record, and
-    takes it for what another owner may have spent.
+    A write succeeds, but its answer and the read that checks it are lost. When
+    the owner writes again, its own record must not count as another owner's.
     """
 
     def setUp(self):
@@ -58,7 +57,7 @@
         self.records = ProgramRecords(self.store, "writer")
 
     async def lose(self, program, tokens):
-        """Raises a bound; neither the answer nor the read back arrives."""
+        """Raises a bound; loses the answer and the read that checks it."""
         self.store.faults.lose_write_answers = 1
         read = mock.AsyncMock(return_value=Failed(Failure(UNAVAILABLE)))
         with mock.patch.object(self.store, "read", read):
--- a/libs/ledger/tests/test_seals.py
+++ b/libs/ledger/tests/test_seals.py
@@ -1,4 +1,4 @@
-"""Tests of what a seal returns of a shard that its standby acted for."""
+"""Tests of sealing a shard for which its standby has acted."""
 
 import asyncio
 import unittest
@@ -12,18 +12,10 @@
 
 
 class SealsOfAnActedShardTest(ActingCase):
-    """A program that loops got its budget nearly twice: 2296 of 1176 tokens.
-
-    Its owner is killed and the store is away. The standby acts, also for
-    programs that begin there, and gives one of them 588 tokens. The store is
-    back. A first host seals the acting standby, gets its accounts and loses the
-    race for the shard, or dies. A second host seals it, is given the copy as it
-    was before the standby acted, and owns the shard with that.
-
-    Lines: ``copy_sealed`` twice for shard 2, epoch 1, 0.2 s apart;
-    ``shard_taken`` with the accounts of the copy (10) and incomplete_for_s 0.0;
-    ``budget_spent`` a second later with spent_tokens 0 for the program, and
-    counted_from_start true, although ``request`` shows 42 events before.
+    """A looping program would get nearly twice its budget.
+
+    A standby acts while the store is down. The first host that seals it loses
+    the race for the shard, and the second must not get the copy from before.
     """
 
     async def asyncSetUp(self):
@@ -35,7 +27,7 @@
         self.assertIsNone(await self.admit(claim("r2", "new")))
 
     def seal(self):
-        """Returns the accounts that a host gets that takes the shard over."""
+        """Seals the shard; returns the accounts that the sealing host gets."""
         reply = self.acting.seal(SealRequest(SHARD, EPOCH))
         self.assertTrue(reply.held)
         return {state.program_id: state for state in reply.accounts}
@@ -56,16 +48,16 @@
         self.assertIs(refused, ErrorKind.NOT_OWNER)
 
     async def test_turns_that_end_after_a_seal_change_no_later_one(self):
-        """They are settled with the next owner, which has their reservation."""
+        """The next owner settles them, as it holds their reservations."""
         first = self.seal()
         self.owner.drop(SHARD)
         self.assertEqual(self.seal(), first)
 
     async def test_its_own_claim_after_a_seal_keeps_what_it_gave(self):
-        """Programs would count as half spent, and some be told 402.
+        """Programs would count as half spent, and some get 402.
 
-        A host seals the acting standby and loses the race to the standby's own
-        claim, which was under way.
+        A host seals the acting standby while the standby's own claim is in
+        flight, and the standby's claim wins.
         """
         shard = self.owner.owned()[SHARD]
         given = self.seal()
