--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -37,8 +37,8 @@
 _MAX_ATTEMPTS = 4
 # A turn that is over budget only because of reserved tokens waits this long for
 # them, in seconds: about three usual turns. Turns reserve their maximum and use
-# a fraction, and a 402 ends the program, so that sub-agents started together
-# would exhaust their program's budget.
+# a fraction of it. Without the wait, sub-agents that start together would get a
+# 402, which ends their program.
 _RESERVATION_WAIT_S = 1.0
 _RETRY_INTERVAL_S = 0.03
 
--- a/libs/ledger/tests/test_accounts.py
+++ b/libs/ledger/tests/test_accounts.py
@@ -68,7 +68,7 @@
             max_size=80,
         ),
     )
-    def test_no_losses_hand_out_more_than_the_budget_and_one_turn(
+    def test_losses_grant_at_most_the_budget_and_one_turn(
         self, turns, max_turn_tokens, steps
     ):
         """A looping program would get its budget again after each loss.
@@ -95,7 +95,7 @@
                 ledger.accounts.settle("program", request_id, used[request_id])
         self.assertLessEqual(sum(used.values()), budget + max_turn_tokens)
 
-    def test_programs_that_use_little_of_their_budget_are_never_written(self):
+    def test_programs_below_the_unrecorded_limit_write_no_record(self):
         ledger = Ledger(budget=3 * 150, max_turn_tokens=100)
         for number in range(3):
             self.assertTrue(ledger.admit(str(number)))
@@ -116,7 +116,7 @@
         admitted = sum(ledger.admit(f"after-{n}") for n in range(50))
         self.assertLessEqual(admitted, 1)
 
-    def test_a_program_outlives_losses_while_it_uses_little(self):
+    def test_a_program_with_budget_left_continues_after_losses(self):
         """A program with most of its budget left would get 402.
 
         A record written too far ahead counts as spent after each loss of all
@@ -131,7 +131,7 @@
             ledger.lose_memory()
         self.assertTrue(ledger.admit("last"))
 
-    def test_a_record_lasts_for_some_turns(self):
+    def test_one_record_serves_several_turns(self):
         ledger = Ledger(budget=1600, max_turn_tokens=100)
         ledger.lose_memory()
         for number in range(5):
@@ -139,13 +139,13 @@
             ledger.accounts.settle("program", str(number), 20)
         self.assertEqual(ledger.writes, 1)
 
-    def test_a_program_of_one_turn_goes_on_after_a_loss(self):
+    def test_a_budget_of_one_turn_admits_a_turn_after_a_loss(self):
         ledger = Ledger(budget=150, max_turn_tokens=100)
         self.assertTrue(ledger.admit("first"))
         ledger.lose_memory()
         self.assertTrue(ledger.admit("again"))
 
-    def test_turns_under_way_are_no_reason_to_tell_that_a_budget_is_spent(self):
+    def test_reservations_in_flight_are_no_final_refusal(self):
         """A program would end because its sub-agents started together.
 
         Two turns in flight reserve their maximum and leave no room for a third
@@ -163,7 +163,7 @@
         ledger.accounts.settle("program", "c", 100)
         self.assertTrue(account.evaluate(claim("d", 250, 100)).is_final)
 
-    def test_asking_again_for_one_turn_reserves_once(self):
+    def test_repeated_requests_for_one_turn_reserve_once(self):
         ledger = Ledger(budget=300, max_turn_tokens=100)
         for _ in range(10):
             self.assertTrue(ledger.admit("same"))
--- a/libs/ledger/tests/test_admissions.py
+++ b/libs/ledger/tests/test_admissions.py
@@ -99,7 +99,7 @@
         return outcomes, loop.time() - began
 
 
-class AnswerInTimeTest(AdmissionsCase):
+class ReplyTimeoutTest(AdmissionsCase):
     async def test_a_slow_store_does_not_make_the_owner_look_dead(self):
         """The owner would be replaced, and programs without record fail too.
 
@@ -112,7 +112,7 @@
         self.assertEqual(outcome.failure().kind, ErrorKind.LEDGER_UNAVAILABLE)
         self.assertLess(waited_s, CALL_TIMEOUT_S)
 
-    async def test_a_host_that_asks_again_joins_its_decision(self):
+    async def test_a_repeated_request_joins_its_pending_decision(self):
         """Each retry would start another write, and none would complete."""
         self.create_owner()
         self.store.faults.delay_s = 0.6
@@ -181,7 +181,7 @@
                 return outcome
         raise AssertionError("no decision after 20 requests")
 
-    async def test_its_record_is_no_more_than_its_accounts_say(self):
+    async def test_the_predecessors_record_does_not_count_as_spent(self):
         self.assertIsInstance(await self.admit_after_record("before"), Success)
 
     async def test_any_other_record_counts_as_spent(self):
--- a/libs/ledger/tests/test_reconciler.py
+++ b/libs/ledger/tests/test_reconciler.py
@@ -108,7 +108,7 @@
         await reconciler.hand_over_all()
         return await owner.admit(0, TurnClaim("p", "r", 1000, 10))
 
-    async def test_a_shard_of_unknown_outcome_admits_nothing_here(self):
+    async def test_after_an_unknown_outcome_no_turn_is_admitted(self):
         """A budget would be spent at two hosts at once.
 
         The other host may have taken the shard over before its answer was
@@ -118,12 +118,14 @@
             outcome = await self.hand_over(Peers(answer), create_seen_hosts())
             self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
-    async def test_a_shard_that_was_surely_not_taken_is_served_on(self):
+    async def test_a_shard_that_was_certainly_not_taken_is_still_served(self):
         for answer in (NOT_CONNECTED, REFUSED):
             outcome = await self.hand_over(Peers(answer), create_seen_hosts())
             self.assertIsInstance(outcome, Success)
 
-    async def test_the_last_owner_gives_its_shards_to_any_host_that_lives(self):
+    async def test_the_last_owner_offers_its_shards_to_hosts_without_shards(
+        self,
+    ):
         """Programs would get 402 after a rolling restart.
 
         The host that stops last owns all shards. If only owners were offered
@@ -135,7 +137,7 @@
         self.assertEqual(hosts.peer_by_port[2].calls, 1)
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
-    async def test_a_host_that_stops_too_is_not_the_last_one_asked(self):
+    async def test_a_shard_refused_by_a_stopping_host_is_offered_again(self):
         """Two hosts that stop at once would both keep their shards."""
         hosts = Peers(REFUSED, TAKEN)
         seen = create_seen_hosts(HostAddress("127.0.0.1", 3, "b"))
@@ -143,7 +145,7 @@
         self.assertEqual(hosts.peer_by_port[3].calls, 1)
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
-    async def test_after_an_unknown_outcome_no_other_host_is_asked(self):
+    async def test_an_unknown_outcome_ends_the_offers(self):
         hosts = Peers(TIMED_OUT, TIMED_OUT)
         seen = create_seen_hosts(HostAddress("127.0.0.1", 3, "b"))
         await self.hand_over(hosts, seen)
@@ -155,7 +157,7 @@
     def test_a_host_is_never_its_own_candidate(self):
         self.assertEqual(create_seen_hosts(OWN).fresh(), [])
 
-    def test_a_host_that_stops_is_no_candidate(self):
+    def test_a_stopping_host_is_no_candidate(self):
         other = HostAddress("127.0.0.1", 2, "b")
         seen = create_seen_hosts(other)
         seen.forget(other)
--- a/libs/ledger/tests/test_records.py
+++ b/libs/ledger/tests/test_records.py
@@ -15,8 +15,8 @@
 UNAVAILABLE = ErrorKind.PLATFORM_UNAVAILABLE
 
 
-class CleaningTest(unittest.IsolatedAsyncioTestCase):
-    async def test_records_that_nobody_deletes_are_deleted_after_a_day(self):
+class RecordCleanupTest(unittest.IsolatedAsyncioTestCase):
+    async def test_orphaned_records_are_deleted_after_a_day(self):
         """Takeovers would take longer with each loss of an owner.
 
         A dead owner leaves its records behind, and every takeover reads all
@@ -34,7 +34,7 @@
         left = (await store.list(RECORD_PREFIX)).unwrap()
         self.assertEqual([json.loads(i.value)["at_ms"] for i in left], [DAY_MS])
 
-    async def test_a_record_that_was_raised_meanwhile_stays(self):
+    async def test_a_record_raised_since_is_not_deleted(self):
         store = MemoryStore()
         program_records = ProgramRecords(store, "writer")
         with mock.patch.object(records.time, "time_ns", return_value=0):
@@ -64,7 +64,7 @@
             outcome = await self.records.raise_bound(program, tokens, 0)
         self.assertIsInstance(outcome, Failed)
 
-    async def test_its_own_record_is_its_bound(self):
+    async def test_its_own_record_is_not_a_conflict(self):
         await self.lose("p", 300)
         bound = (await self.records.raise_bound("p", 300, 0)).unwrap()
         self.assertEqual(bound.tokens, 300)
--- a/libs/ledger/tests/test_seals.py
+++ b/libs/ledger/tests/test_seals.py
@@ -11,7 +11,7 @@
 EPOCH = 1
 
 
-class SealsOfAnActedShardTest(ActingCase):
+class SealAfterActingTest(ActingCase):
     """A looping program would get nearly twice its budget.
 
     A standby acts while the store is down. The first host that seals it loses
@@ -32,14 +32,14 @@
         self.assertTrue(reply.held)
         return {state.program_id: state for state in reply.accounts}
 
-    async def test_every_seal_returns_what_was_given_while_acting(self):
+    async def test_every_seal_returns_the_accounts_of_the_acting_standby(self):
         first = self.seal()
         self.assertEqual(set(first), {"known", "new"})
         self.assertEqual(first["new"].reserved_tokens, (100,))
         self.assertEqual(self.seal(), first)
         self.assertEqual(self.seal(), first)
 
-    async def test_after_a_seal_nothing_more_is_given(self):
+    async def test_after_a_seal_no_turn_is_admitted(self):
         self.seal()
         refused = await self.admit(claim("r3", "new"))
         self.assertIs(refused, ErrorKind.NOT_OWNER)
@@ -47,7 +47,7 @@
         refused = await self.admit(claim("r3", "new"))
         self.assertIs(refused, ErrorKind.NOT_OWNER)
 
-    async def test_turns_that_end_after_a_seal_change_no_later_one(self):
+    async def test_turns_settled_after_a_seal_do_not_change_later_seals(self):
         """The next owner settles them, as it holds their reservations."""
         first = self.seal()
         self.owner.drop(SHARD)
