--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -366,20 +366,20 @@
         self.trace.append((kind, name, other, program))
         self.clock.now_s += EVENT_DURATION_S
         match kind:
-            case "turns":
+            case "ask-turns":
                 for _ in range(1 + first % 4):
                     await self.turn(name, program)
-            case "programs":
+            case "next-program":
                 self._programs += 1
-            case "end":
+            case "end-turn":
                 await self.end_turn(first % (MAX_TURN_TOKENS + 1))
-            case "look" if process:
+            case "reconcile" if process:
                 await process.reconciler.reconcile()
-            case "learn" if process:
+            case "refresh-map" if process:
                 await process.read_map()
-            case "copy" if process:
+            case "replicate" if process:
                 await process.owner.replicate_changes()
-            case "cut":
+            case "partition":
                 self.partitions.add(frozenset((name, other)))
             case "isolate":
                 self.partitions |= {
@@ -411,7 +411,7 @@
             case "kill-all":
                 for each in names:
                     self.kill(each)
-            case "later":
+            case "advance-clock":
                 self.clock.now_s += 11.0
         for _ in range(20):
             await asyncio.sleep(0)
@@ -451,13 +451,13 @@
 # Weight of each kind of event. Any change alters the plan of every seed,
 # including the seeds kept as regression tests.
 WEIGHT_BY_KIND = {
-    "turns": 34,
-    "programs": 3,
-    "end": 12,
-    "look": 14,
-    "learn": 6,
-    "copy": 4,
-    "cut": 3,
+    "ask-turns": 34,
+    "next-program": 3,
+    "end-turn": 12,
+    "reconcile": 14,
+    "refresh-map": 6,
+    "replicate": 4,
+    "partition": 3,
     "isolate": 2,
     "lose-answers": 2,
     "heal": 3,
@@ -469,7 +469,7 @@
     "start": 4,
     "stop": 1,
     "kill-all": 1,
-    "later": 1,
+    "advance-clock": 1,
 }
 
 
--- a/libs/ledger/tests/test_any_order.py
+++ b/libs/ledger/tests/test_any_order.py
@@ -74,7 +74,7 @@
         for _ in range(count):
             self.world.clock.now_s += 0.31
             given += await self.world.turn(process.name, program)
-            await self.world.step("programs", 0, 0)
+            await self.world.step("next-program", 0, 0)
         return given
 
     def assert_within_budget(self, program):
