--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -159,8 +159,8 @@
         view = ShardView(record, written.unwrap())
         started = await self._start_owning(number, view, takeover)
         if isinstance(started, Failed):
-            # The claim is written although the shard isn't owned yet. A host
-            # that offered the shard must not keep serving it.
+            # The claim is written although the shard isn't owned yet. The
+            # failure keeps a host that offered the shard from serving it on.
             self._unconfirmed_by_shard[number] = unconfirmed
             detail = str(started.failure())
             return Failed(Failure(ErrorKind.WRITE_UNKNOWN, detail))
@@ -310,8 +310,8 @@
     def _try_lock(self, number: int) -> Iterator[bool]:
         """Yields whether this task alone may write a shard's record.
 
-        Of two concurrent writes one conflicts, and would be taken for the
-        write of another host.
+        Concurrent writes of this host would conflict, and each would take the
+        other for that of another host.
         """
         if number in self._locked_shards:
             yield False
@@ -323,7 +323,7 @@
             self._locked_shards.discard(number)
 
     async def ask_arbiter(self, shard: OwnedShard) -> None:
-        """Asks the arbiter unless the standby can't have admitted programs."""
+        """Asks the arbiter if the standby may have admitted new programs."""
         if shard.won_arbitration or not shard.standby_may_admit_new:
             return
         side = await self.arbitration.decide(
@@ -332,7 +332,7 @@
         shard.won_arbitration = side is Side.OWNER
 
     async def allowance_holder(self, number: int, record: ShardRecord) -> Side:
-        """Returns the side that may have used the indivisible allowance.
+        """Returns the side that may have used an allowance of a single turn.
 
         Serves the takeover of a shard whose standby has not acted. Afterwards
         the arbiter decides for neither the owner nor the standby.
