--- a/libs/ledger/tests/test_any_order.py
+++ b/libs/ledger/tests/test_any_order.py
@@ -3,7 +3,14 @@
 import asyncio
 import unittest
 
-from hosts_case import MOST, SHARD, World, play, random_steps, simulated
+from hosts_case import (
+    MAX_TURN_TOKENS,
+    SHARD,
+    World,
+    random_steps,
+    run_plan,
+    simulated,
+)
 
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import SealRequest
@@ -59,7 +66,7 @@
         await self.owner.owner.replicate_changes()
 
     def partition(self, *names):
-        self.world.cuts.add(frozenset(names))
+        self.world.partitions.add(frozenset(names))
 
     async def admit_turns(self, process, program, count):
         """Returns how many of a program's turns are admitted at a host."""
@@ -67,12 +74,14 @@
         for _ in range(count):
             self.world.clock.now_s += 0.31
             admitted += await self.world.turn(process.name, program)
-            await self.world.step("programs", 0, 0)
+            await self.world.step("next-program", 0, 0)
         return admitted
 
     def assert_within_budget(self, program):
-        admitted = self.world.given_by_program.get(program, {})
-        self.assertLessEqual(sum(admitted.values()), self.world.budget + MOST)
+        admitted = self.world.granted_by_program.get(program, {})
+        self.assertLessEqual(
+            sum(admitted.values()), self.world.budget + MAX_TURN_TOKENS
+        )
 
 
 class PartitionedStandbyTest(HostsCase):
@@ -272,10 +281,10 @@
         )
         for _ in range(5):
             if await self.admit_turns(self.standby, "old", 1):
-                await self.world.end_turn(MOST)
+                await self.world.end_turn(MAX_TURN_TOKENS)
         for _ in range(16):
             if await self.admit_turns(successor, "old", 1):
-                await self.world.end_turn(MOST)
+                await self.world.end_turn(MAX_TURN_TOKENS)
         self.assert_within_budget("old")
 
     async def test_a_former_owner_uses_the_offered_accounts(
@@ -286,11 +295,11 @@
         The shard is offered to its former owner, which was partitioned and does
         not know yet that it was replaced.
         """
-        self.world.cuts |= {frozenset(("a", n)) for n in "bcd"}
+        self.world.partitions |= {frozenset(("a", n)) for n in "bcd"}
         for _ in range(2):
             await self.admit_turns(self.standby, "new", 2)
         self.assertFalse(self.standby.owner.owned()[SHARD].is_acting)
-        self.world.cuts.clear()
+        self.world.partitions.clear()
         for process in self.world.process_by_name.values():
             process.reconciler.is_stopping = process is not self.owner
         epoch = self.standby.owner.owned()[SHARD].view.record.epoch
@@ -300,7 +309,7 @@
         self.assertGreater(shard.view.record.epoch, epoch)
         account = shard.accounts.get("new")
         self.assertIsNotNone(account)
-        admitted = self.world.given_by_program["new"]
+        admitted = self.world.granted_by_program["new"]
         self.assertEqual(account.committed_tokens, sum(admitted.values()))
 
 
@@ -342,13 +351,13 @@
     def check(self, seed, budget):
         # The event loop of IsolatedAsyncioTestCase runs in debug mode, which
         # is much slower.
-        world = asyncio.run(play(budget, random_steps(seed, _EVENTS_PER_PLAN)))
+        world = asyncio.run(run_plan(budget, random_steps(seed, _EVENTS_PER_PLAN)))
         self.assertEqual(world.overspent(), {}, f"seed {seed}")
 
     def test_regression_plans(self):
         for seed, turns in _REGRESSION_SEEDS:
             with self.subTest(seed=seed):
-                self.check(seed, int(turns * MOST))
+                self.check(seed, int(turns * MAX_TURN_TOKENS))
 
     def test_random_plans_exceed_no_budget_by_more_than_one_turn(self):
         """Guards against programs that exceed their budget under any faults.
@@ -358,7 +367,7 @@
         """
         for seed in _SEEDS:
             with self.subTest(seed=seed):
-                self.check(seed, int(1.5 * (1 + seed % 8) * MOST))
+                self.check(seed, int(1.5 * (1 + seed % 8) * MAX_TURN_TOKENS))
 
 
 if __name__ == "__main__":
--- a/libs/ledger/tests/test_records.py
+++ b/libs/ledger/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of the records that bound what programs may have spent."""
+"""Tests of the records that bound the spending of programs."""
 
 import json
 import unittest
@@ -15,12 +15,12 @@
 UNAVAILABLE = ErrorKind.PLATFORM_UNAVAILABLE
 
 
-class CleaningTest(unittest.IsolatedAsyncioTestCase):
-    async def test_records_that_nobody_deletes_are_deleted_after_a_day(self):
+class RecordCleanupTest(unittest.IsolatedAsyncioTestCase):
+    async def test_orphaned_records_are_deleted_after_a_day(self):
         """Takeovers would take longer with each loss of an owner.
 
-        Owners delete the records of programs that they forget. Those of an
-        owner that died stay, and whoever takes a shard over reads them all.
+        A dead owner leaves its records behind, and every takeover reads all
+        records.
         """
         store = MemoryStore()
         program_records = ProgramRecords(store, "writer")
@@ -30,11 +30,11 @@
                 records.time, "time_ns", return_value=now_ns
             ):
                 await program_records.raise_bound(program, 100, 0)
-        await program_records.delete_old(DAY_MS + 1)
+        await program_records.delete_expired(DAY_MS + 1)
         left = (await store.list(RECORD_PREFIX)).unwrap()
         self.assertEqual([json.loads(i.value)["at_ms"] for i in left], [DAY_MS])
 
-    async def test_a_record_that_was_raised_meanwhile_stays(self):
+    async def test_a_record_raised_since_is_not_deleted(self):
         store = MemoryStore()
         program_records = ProgramRecords(store, "writer")
         with mock.patch.object(records.time, "time_ns", return_value=0):
@@ -46,11 +46,10 @@
 
 
 class LostAnswerTest(unittest.IsolatedAsyncioTestCase):
-    """A program would be told 402 with a fifth of its budget used.
+    """A program would get 402 with most of its budget left.
 
-    The store does a write and its answer is lost, and so is the question
-    whether it was done. The owner writes again, meets its own record, and
-    takes it for what another owner may have spent.
+    A write succeeds, but its answer and the read that checks it are lost. When
+    the owner writes again, its own record must not count as another owner's.
     """
 
     def setUp(self):
@@ -58,14 +57,14 @@
         self.records = ProgramRecords(self.store, "writer")
 
     async def lose(self, program, tokens):
-        """Raises a bound; neither the answer nor the read back arrives."""
+        """Raises a bound; loses the answer and the read that checks it."""
         self.store.faults.lose_write_answers = 1
         read = mock.AsyncMock(return_value=Failed(Failure(UNAVAILABLE)))
         with mock.patch.object(self.store, "read", read):
             outcome = await self.records.raise_bound(program, tokens, 0)
         self.assertIsInstance(outcome, Failed)
 
-    async def test_its_own_record_is_its_bound(self):
+    async def test_its_own_record_is_not_a_conflict(self):
         await self.lose("p", 300)
         bound = (await self.records.raise_bound("p", 300, 0)).unwrap()
         self.assertEqual(bound.tokens, 300)
--- a/libs/ledger/tests/try_plans.py
+++ b/libs/ledger/tests/try_plans.py
@@ -10,18 +10,18 @@
 import argparse
 import asyncio
 
-from hosts_case import MOST, World, play, random_steps
+from hosts_case import MAX_TURN_TOKENS, World, random_steps, run_plan
 
 _EVENTS_PER_PLAN = 250
 
 
 def budget_of(seed):
     """Returns a budget of 1.5 to 12 turns of maximum size."""
-    return int(1.5 * (1 + seed % 8) * MOST)
+    return int(1.5 * (1 + seed % 8) * MAX_TURN_TOKENS)
 
 
 def overspent(budget, steps):
-    return asyncio.run(play(budget, steps)).overspent()
+    return asyncio.run(run_plan(budget, steps)).overspent()
 
 
 def shrink(budget, steps):
@@ -41,10 +41,10 @@
 
 def show(budget, steps):
     """Shrinks a plan and prints its events and log lines."""
-    world: World = asyncio.run(play(budget, shrink(budget, steps)))
+    world: World = asyncio.run(run_plan(budget, shrink(budget, steps)))
     for event in world.trace:
         print(event)
-    for message_type, fields in world.lines:
+    for message_type, fields in world.log_lines:
         print("   ", message_type, fields)
 
 
