--- a/libs/ledger/tests/test_any_order.py
+++ b/libs/ledger/tests/test_any_order.py
@@ -351,7 +351,9 @@
     def check(self, seed, budget):
         # The event loop of IsolatedAsyncioTestCase runs in debug mode, which
         # is much slower.
-        world = asyncio.run(run_plan(budget, random_steps(seed, _EVENTS_PER_PLAN)))
+        world = asyncio.run(
+            run_plan(budget, random_steps(seed, _EVENTS_PER_PLAN))
+        )
         self.assertEqual(world.overspent(), {}, f"seed {seed}")
 
     def test_regression_plans(self):
