--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -37,7 +37,7 @@
 from masticdaled.callers.listener import CallersContext, create_callers_app
 from masticdaled.cluster import Cluster
 from masticdaled.execution.executor import UpstreamExecutor
-from masticdaled.execution.tickets import TicketDesk
+from masticdaled.execution.tickets import TicketClient
 from masticdaled.execution.tool_pauses import CacheKeeper
 from masticdaled.following import ConfigFollower
 from masticdaled.handler import Handler, Parts
@@ -94,7 +94,7 @@
         )
         self.cluster = Cluster(settings.host, self.membership, self.peers)
         self.clients = UpstreamClients(self.metrics)
-        self.desk = TicketDesk(self.cluster)
+        self.desk = TicketClient(self.cluster)
         self.homes = Homes(
             self.cluster,
             self.in_force,
--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -35,7 +35,7 @@
 from masticdaled.execution.placement import Placer
 from masticdaled.execution.runs import Run, prefix_note
 from masticdaled.execution.service_calls import ServiceCaller
-from masticdaled.execution.tickets import TicketDesk
+from masticdaled.execution.tickets import TicketClient
 from masticdaled.execution.tool_pauses import CacheKeeper, Residence
 from masticdaled.replicas.homes import Homes
 from masticdaled.upstream_clients import UpstreamClients
@@ -51,7 +51,7 @@
         cluster: Cluster,
         in_force: ConfigInForce,
         clients: UpstreamClients,
-        desk: TicketDesk,
+        desk: TicketClient,
         homes: Homes,
         keeper: CacheKeeper,
         metrics: Metrics,
--- a/apps/masticdaled/src/masticdaled/execution/tickets.py
+++ b/apps/masticdaled/src/masticdaled/execution/tickets.py
@@ -30,7 +30,7 @@
     news: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
 
-class TicketDesk:
+class TicketClient:
     """The tickets that this host's owners wait for."""
 
     def __init__(self, cluster: Cluster) -> None:
@@ -38,7 +38,7 @@
         self._background = Background()
         self._wait_by_ticket_id: dict[str, _Wait] = {}
 
-    def granted(self, notice: GrantNotice) -> None:
+    def handle_grant(self, notice: GrantNotice) -> None:
         """Takes a home's notice; one without tickets says: offer again."""
         for ticket_id in notice.ticket_ids:
             wait = self._wait_by_ticket_id.get(ticket_id)
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -42,7 +42,7 @@
     encode_outcome,
     encode_result,
 )
-from masticdaled.execution.tickets import TicketDesk
+from masticdaled.execution.tickets import TicketClient
 from masticdaled.operators.programs import ProgramsDesk
 from masticdaled.replicas.crash_suspects import SuspectHome
 from masticdaled.replicas.homes import Homes
@@ -57,7 +57,7 @@
     membership: Membership
     owners: Owners
     homes: Homes
-    desk: TicketDesk
+    desk: TicketClient
     suspects: SuspectHome
     programs: ProgramsDesk
     copies: CopyDesk
@@ -123,7 +123,7 @@
 
     async def grant(self, notice: GrantNotice) -> Empty:
         """See ``PeerHandler.grant``."""
-        self._parts().desk.granted(notice)
+        self._parts().desk.handle_grant(notice)
         return Empty()
 
     async def probe(self, request: ProbeRequest) -> ProbeReply:
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -12,7 +12,7 @@
 from masticdaled.callers.limits import WorkspaceLimiter
 from masticdaled.callers.listener import CallersContext
 from masticdaled.cluster import Cluster
-from masticdaled.execution.tickets import TicketDesk
+from masticdaled.execution.tickets import TicketClient
 from masticdaled.handler import Handler, Parts
 from masticdaled.operators.programs import ProgramsDesk
 from masticdaled.replicas.crash_suspects import SuspectHome
@@ -118,7 +118,7 @@
         membership,
         owners,
         homes,
-        TicketDesk(cluster),
+        TicketClient(cluster),
         SuspectHome(store),
         ProgramsDesk(name, owners),
         CopyDesk(CopyStore()),
