--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -38,7 +38,7 @@
 from masticdaled.cluster import Cluster
 from masticdaled.execution.executor import UpstreamExecutor
 from masticdaled.execution.tickets import TicketClient
-from masticdaled.execution.tool_pauses import CacheKeeper
+from masticdaled.execution.tool_pauses import PrefixOffloader
 from masticdaled.following import ConfigFollower
 from masticdaled.handler import Handler, Parts
 from masticdaled.operators.access import create_access
@@ -108,7 +108,7 @@
             self.clients,
             self.desk,
             self.homes,
-            CacheKeeper(self.metrics),
+            PrefixOffloader(self.metrics),
             self.metrics,
         )
         self.owners = Owners(
--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -36,7 +36,7 @@
 from masticdaled.execution.runs import Run, prefix_note
 from masticdaled.execution.service_calls import ServiceCaller
 from masticdaled.execution.tickets import TicketClient
-from masticdaled.execution.tool_pauses import CacheKeeper, Residence
+from masticdaled.execution.tool_pauses import PrefixOffloader, Residence
 from masticdaled.replicas.homes import Homes
 from masticdaled.upstream_clients import UpstreamClients
 
@@ -53,7 +53,7 @@
         clients: UpstreamClients,
         desk: TicketClient,
         homes: Homes,
-        keeper: CacheKeeper,
+        keeper: PrefixOffloader,
         metrics: Metrics,
     ) -> None:
         self._keeper = keeper
@@ -80,7 +80,7 @@
             call.model, RetryBudget(RetrySettings())
         )
         budget.record_first_attempt()
-        self._keeper.returned(call)
+        self._keeper.record_return(call)
         while True:
             outcome = await self._try_once(run, sink)
             if isinstance(outcome, Success):
@@ -133,7 +133,7 @@
         outcome = await self._clients.engine(engine).release(program_id)
         if isinstance(outcome, Success):
             self._homes.released(replica, program_id)
-        self._keeper.forget(program_id)
+        self._keeper.remove_program(program_id)
         return outcome
 
     async def _try_once(
@@ -205,7 +205,9 @@
         reply = run.reply_by_replica.get(engine.name, ProbeReply())
         release = TicketRelease(ticket.ticket_id, engine.name)
         try:
-            await self._keeper.bring(run.call, client, reply.cached_tokens)
+            await self._keeper.import_prefix(
+                run.call, client, reply.cached_tokens
+            )
             outcome = await client.generate(
                 _generate_request(run.call, ticket), attempt.on_chunk
             )
@@ -219,7 +221,9 @@
             release = attempt.release(outcome.unwrap())
             result = attempt.result(outcome.unwrap())
             residence = Residence(reply.residence_ms / 1000)
-            self._keeper.finished(run.call, engine, client, result, residence)
+            self._keeper.record_finished(
+                run.call, engine, client, result, residence
+            )
             return Success(result)
         finally:
             await self._give_back(release)
--- a/apps/masticdaled/src/masticdaled/execution/placement.py
+++ b/apps/masticdaled/src/masticdaled/execution/placement.py
@@ -20,7 +20,7 @@
 from masticdaled.cluster import MOVING_KINDS, Cluster
 from masticdaled.directory import UpstreamDirectory
 from masticdaled.execution.runs import Run, prefix_note
-from masticdaled.execution.tool_pauses import CacheKeeper
+from masticdaled.execution.tool_pauses import PrefixOffloader
 
 _PROBE_TIMEOUT_S = 0.5
 _PROBES = 3
@@ -36,7 +36,7 @@
         cluster: Cluster,
         in_force: ConfigInForce,
         directory: UpstreamDirectory,
-        keeper: CacheKeeper,
+        keeper: PrefixOffloader,
     ) -> None:
         self._cluster = cluster
         self._in_force = in_force
@@ -69,7 +69,7 @@
             *(self._probe(run, name) for name in names)
         )
         run.reply_by_replica.update(zip(names, replies, strict=True))
-        importable = self._keeper.importable_tokens(run.call)
+        importable = self._keeper.exported_tokens(run.call)
         fastest = max(reply.decode_tokens_per_s for reply in replies)
         candidates = [
             _candidate(engine_by_name[name], reply, fastest, importable)
--- a/apps/masticdaled/src/masticdaled/execution/tool_pauses.py
+++ b/apps/masticdaled/src/masticdaled/execution/tool_pauses.py
@@ -54,7 +54,7 @@
     seconds: float = 0.0
 
 
-class CacheKeeper:
+class PrefixOffloader:
     """Decides for the branches whose turns run from this host."""
 
     def __init__(self, metrics: Metrics) -> None:
@@ -65,19 +65,19 @@
         )
         self._background = Background()
 
-    def returned(self, call: ModelCall) -> None:
+    def record_return(self, call: ModelCall) -> None:
         """Learns how long a branch's pause was."""
         paused = self._paused_by_branch.get(_branch(call))
         if paused is not None:
             pause_s = time.monotonic() - paused.finished_at
             self._model.observe(PauseKey(call.kind, _ANY_TOOL), pause_s)
 
-    def importable_tokens(self, call: ModelCall) -> int:
+    def exported_tokens(self, call: ModelCall) -> int:
         """Returns the tokens of a branch's export, 0 for none."""
         paused = self._paused_by_branch.get(_branch(call))
         return paused.tokens if paused is not None else 0
 
-    async def bring(
+    async def import_prefix(
         self, call: ModelCall, engine: ModelEngine, cached_tokens: int
     ) -> None:
         """Imports a branch's prefix where the replica has less of it.
@@ -98,7 +98,7 @@
         self._metrics.count("cache_imports_total")
         self._metrics.count("cache_imported_tokens_total", outcome.unwrap())
 
-    def finished(
+    def record_finished(
         self,
         call: ModelCall,
         engine: RenderedEngine,
@@ -130,7 +130,7 @@
             return
         self._background.spawn(self._export(branch, paused, client, tokens))
 
-    def forget(self, program_id: str) -> None:
+    def remove_program(self, program_id: str) -> None:
         """Forgets an ended program."""
         ended = [
             b for b in self._paused_by_branch if b.program_id == program_id
--- a/apps/masticdaled/tests/test_tool_pauses.py
+++ b/apps/masticdaled/tests/test_tool_pauses.py
@@ -8,7 +8,7 @@
 from masticdale_config import RenderedEngine
 from masticdale_programs import ModelCall, ModelResult
 from masticdale_upstreams.testing import FakeEngine
-from masticdaled.execution.tool_pauses import CacheKeeper, Residence
+from masticdaled.execution.tool_pauses import PrefixOffloader, Residence
 
 TOKENS = 50_000
 CALL = ModelCall(
@@ -47,39 +47,41 @@
 class CacheKeeperTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.metrics = Metrics()
-        self.keeper = CacheKeeper(self.metrics)
+        self.keeper = PrefixOffloader(self.metrics)
         self.engine = FakeEngine()
         self.engine.tokens_by_program["p1"] = TOKENS
 
     async def finish(self, residence_s, engine=ENGINE):
         residence = Residence(residence_s)
-        self.keeper.finished(CALL, engine, self.engine, RESULT, residence)
+        self.keeper.record_finished(
+            CALL, engine, self.engine, RESULT, residence
+        )
         await asyncio.sleep(0.01)
 
     async def test_without_pressure_nothing_is_copied(self):
         await self.finish(0.0)
-        self.assertEqual(self.keeper.importable_tokens(CALL), 0)
+        self.assertEqual(self.keeper.exported_tokens(CALL), 0)
 
     async def test_engine_that_cannot_transfer_is_left_alone(self):
         cannot = dataclasses.replace(ENGINE, transfer_tokens_per_s=0.0)
         await self.finish(1.0, cannot)
-        self.assertEqual(self.keeper.importable_tokens(CALL), 0)
+        self.assertEqual(self.keeper.exported_tokens(CALL), 0)
 
     async def test_prefix_soon_evicted_is_copied_out_and_brought_back(self):
         await self.finish(1.0)
-        self.assertEqual(self.keeper.importable_tokens(CALL), TOKENS)
-        await self.keeper.bring(CALL, self.engine, cached_tokens=0)
+        self.assertEqual(self.keeper.exported_tokens(CALL), TOKENS)
+        await self.keeper.import_prefix(CALL, self.engine, cached_tokens=0)
         count = self.metrics.counter_value("cache_imports_total")
         self.assertEqual(count, 1)
-        await self.keeper.bring(CALL, self.engine, cached_tokens=TOKENS)
+        await self.keeper.import_prefix(CALL, self.engine, cached_tokens=TOKENS)
         count = self.metrics.counter_value("cache_imports_total")
         self.assertEqual(count, 1)
 
     async def test_lost_export_is_forgotten_and_computed_again(self):
         # The caller's turn goes on: the engine no longer knows the export.
         await self.finish(1.0)
-        await self.keeper.bring(CALL, FakeEngine(), cached_tokens=0)
-        self.assertEqual(self.keeper.importable_tokens(CALL), 0)
+        await self.keeper.import_prefix(CALL, FakeEngine(), cached_tokens=0)
+        self.assertEqual(self.keeper.exported_tokens(CALL), 0)
 
 
 if __name__ == "__main__":
