--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -47,7 +47,7 @@
 from masticdaled.operators.programs import ProgramsDesk
 from masticdaled.replicas.crash_suspects import SuspectHome
 from masticdaled.replicas.homes import Homes
-from masticdaled.replicas.orders import OrderGiver
+from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.settings import DaemonSettings
 from masticdaled.shards.copies import CopyDesk, PeerCopyHolders
 from masticdaled.shards.orphans import OrphanSweeper
@@ -99,7 +99,7 @@
             self.cluster,
             self.in_force,
             self.clients,
-            OrderGiver(self.store, self.incarnation, self.metrics),
+            OrderDispatcher(self.store, self.incarnation, self.metrics),
             self.metrics,
         )
         self.executor = UpstreamExecutor(
--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -46,7 +46,7 @@
     ticket_of,
 )
 from masticdaled.replicas.observation import observe, read_health
-from masticdaled.replicas.orders import OrderGiver
+from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.upstream_clients import UpstreamClients
 
 _LOAD_EVERY = 2
@@ -61,7 +61,7 @@
         cluster: Cluster,
         in_force: ConfigInForce,
         clients: UpstreamClients,
-        orders: OrderGiver,
+        orders: OrderDispatcher,
         metrics: Metrics,
     ) -> None:
         self._orders = orders
--- a/apps/masticdaled/src/masticdaled/replicas/orders.py
+++ b/apps/masticdaled/src/masticdaled/replicas/orders.py
@@ -64,7 +64,7 @@
     until: float
 
 
-class OrderGiver:
+class OrderDispatcher:
     """Gives each replica the orders its declaration wants."""
 
     def __init__(
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -17,7 +17,7 @@
 from masticdaled.operators.programs import ProgramsDesk
 from masticdaled.replicas.crash_suspects import SuspectHome
 from masticdaled.replicas.homes import Homes
-from masticdaled.replicas.orders import OrderGiver
+from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.settings import RequestSettings
 from masticdaled.shards.copies import CopyDesk, PeerCopyHolders
 from masticdaled.shards.owners import Owners
@@ -101,7 +101,7 @@
         cluster,
         in_force,
         UpstreamClients(metrics),
-        OrderGiver(store, name, metrics),
+        OrderDispatcher(store, name, metrics),
         metrics,
     )
     owners = Owners(
--- a/apps/masticdaled/tests/test_orders.py
+++ b/apps/masticdaled/tests/test_orders.py
@@ -7,7 +7,7 @@
 from masticdale_config import RenderedEngine, RenderedOrder
 from masticdale_platform.testing import MemoryStore
 from masticdale_upstreams.testing import FakeEngine
-from masticdaled.replicas.orders import LEASE_S, OrderGiver
+from masticdaled.replicas.orders import LEASE_S, OrderDispatcher
 
 ENGINE = RenderedEngine(
     name="permit-1",
@@ -37,7 +37,7 @@
         self.now = 100.0
 
     def giver(self, holder):
-        return OrderGiver(self.store, holder, Metrics(), lambda: self.now)
+        return OrderDispatcher(self.store, holder, Metrics(), lambda: self.now)
 
     def given(self):
         return [(o.kind.value, o.fencing) for o in self.engine.orders]
