--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -46,7 +46,7 @@
 from masticdaled.operators.listener import create_operator_app
 from masticdaled.operators.programs import ProgramsDesk
 from masticdaled.replicas.crash_suspects import SuspectHome
-from masticdaled.replicas.homes import Homes
+from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.settings import DaemonSettings
 from masticdaled.shards.copies import CopyDesk, PeerCopyHolders
@@ -95,7 +95,7 @@
         self.cluster = Cluster(settings.host, self.membership, self.peers)
         self.clients = UpstreamClients(self.metrics)
         self.desk = TicketClient(self.cluster)
-        self.homes = Homes(
+        self.homes = ReplicaHomes(
             self.cluster,
             self.in_force,
             self.clients,
--- a/apps/masticdaled/src/masticdaled/directory.py
+++ b/apps/masticdaled/src/masticdaled/directory.py
@@ -5,13 +5,13 @@
     RenderedService,
     RenderedUpstream,
 )
-from masticdaled.replicas.homes import Homes
+from masticdaled.replicas.homes import ReplicaHomes
 
 
 class UpstreamDirectory:
     """The declared upstreams and the platform's list of leaving ones."""
 
-    def __init__(self, in_force: ConfigInForce, homes: Homes) -> None:
+    def __init__(self, in_force: ConfigInForce, homes: ReplicaHomes) -> None:
         self._in_force = in_force
         self._homes = homes
 
--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -37,7 +37,7 @@
 from masticdaled.execution.service_calls import ServiceCaller
 from masticdaled.execution.tickets import TicketClient
 from masticdaled.execution.tool_pauses import PrefixOffloader, Residence
-from masticdaled.replicas.homes import Homes
+from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.upstream_clients import UpstreamClients
 
 _MOVING_WAIT_S = 0.1
@@ -52,7 +52,7 @@
         in_force: ConfigInForce,
         clients: UpstreamClients,
         desk: TicketClient,
-        homes: Homes,
+        homes: ReplicaHomes,
         keeper: PrefixOffloader,
         metrics: Metrics,
     ) -> None:
@@ -132,7 +132,7 @@
             return Success(None)
         outcome = await self._clients.engine(engine).release(program_id)
         if isinstance(outcome, Success):
-            self._homes.released(replica, program_id)
+            self._homes.record_released(replica, program_id)
         self._keeper.remove_program(program_id)
         return outcome
 
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -45,7 +45,7 @@
 from masticdaled.execution.tickets import TicketClient
 from masticdaled.operators.programs import ProgramsDesk
 from masticdaled.replicas.crash_suspects import SuspectHome
-from masticdaled.replicas.homes import Homes
+from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.shards.copies import CopyDesk
 from masticdaled.shards.owners import Owners
 
@@ -56,7 +56,7 @@
 
     membership: Membership
     owners: Owners
-    homes: Homes
+    homes: ReplicaHomes
     desk: TicketClient
     suspects: SuspectHome
     programs: ProgramsDesk
--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -53,7 +53,7 @@
 _PROBE_ID = "probe"
 
 
-class Homes:
+class ReplicaHomes:
     """The replicas whose home this host is."""
 
     def __init__(
@@ -182,7 +182,7 @@
             residence_ms=home.residence_ms(now),
         )
 
-    def released(self, replica: str, program_id: str) -> None:
+    def record_released(self, replica: str, program_id: str) -> None:
         """Notes that a replica holds nothing more for a program."""
         home = self._home_by_replica.get(replica)
         if home is not None:
--- a/apps/masticdaled/src/masticdaled/shards/orphans.py
+++ b/apps/masticdaled/src/masticdaled/shards/orphans.py
@@ -8,7 +8,7 @@
 from masticdale_peers import StatesRequest
 from masticdaled.cluster import Cluster
 from masticdaled.replicas.home import ReplicaHome
-from masticdaled.replicas.homes import Homes
+from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.upstream_clients import UpstreamClients
 
 _CONFIRM_S = 5.0
@@ -25,7 +25,7 @@
     def __init__(
         self,
         cluster: Cluster,
-        homes: Homes,
+        homes: ReplicaHomes,
         clients: UpstreamClients,
         metrics: Metrics,
     ) -> None:
@@ -63,7 +63,7 @@
             if isinstance(released, Failed):
                 continue
             del self._gone_since_by_key[key]
-            self._homes.released(home.engine.name, program_id)
+            self._homes.record_released(home.engine.name, program_id)
             self._metrics.count("orphans_released_total")
             logs.write(
                 "orphan_released", replica=home.engine.name, program=program_id
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -16,7 +16,7 @@
 from masticdaled.handler import Handler, Parts
 from masticdaled.operators.programs import ProgramsDesk
 from masticdaled.replicas.crash_suspects import SuspectHome
-from masticdaled.replicas.homes import Homes
+from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.settings import RequestSettings
 from masticdaled.shards.copies import CopyDesk, PeerCopyHolders
@@ -53,7 +53,7 @@
     membership: Membership
     cluster: Cluster
     owners: Owners
-    homes: Homes
+    homes: ReplicaHomes
     entry: Entry
     callers: CallersContext
     timers: TimerService
@@ -97,7 +97,7 @@
         timers,
     )
     cluster = Cluster(name, membership, network.peers(name))
-    homes = Homes(
+    homes = ReplicaHomes(
         cluster,
         in_force,
         UpstreamClients(metrics),
--- a/apps/masticdaled/tests/test_homes.py
+++ b/apps/masticdaled/tests/test_homes.py
@@ -10,7 +10,7 @@
 from masticdale_platform.testing import MemoryStore
 from masticdale_programs.testing import FakeExecutor
 from masticdale_upstreams.testing import FakeEngine
-from masticdaled.replicas.homes import Homes
+from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.testing import create_memory_host
 from masticdaled.upstream_clients import UpstreamClients
@@ -61,7 +61,7 @@
         self.clients = FakeClients()
         metrics = Metrics()
         orders = OrderDispatcher(store, "host-1", metrics)
-        self.homes = Homes(
+        self.homes = ReplicaHomes(
             self.host.cluster, in_force, self.clients, orders, metrics
         )
 
