--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -45,7 +45,7 @@
 from masticdaled.operators.desk import OperatorDesk
 from masticdaled.operators.listener import create_operator_app
 from masticdaled.operators.programs import ProgramsDesk
-from masticdaled.replicas.crash_suspects import SuspectHome
+from masticdaled.replicas.crash_suspects import DigestHome
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.settings import DaemonSettings
@@ -121,7 +121,7 @@
             self.metrics,
             PeerCopyHolders(self.cluster),
         )
-        self.suspects = SuspectHome(self.store)
+        self.suspects = DigestHome(self.store)
         self.copy_desk = CopyDesk(CopyStore())
         self.programs_desk = ProgramsDesk(settings.host, self.owners)
         self.follower = ConfigFollower(
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -44,7 +44,7 @@
 )
 from masticdaled.execution.tickets import TicketClient
 from masticdaled.operators.programs import ProgramsDesk
-from masticdaled.replicas.crash_suspects import SuspectHome
+from masticdaled.replicas.crash_suspects import DigestHome
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.shards.copies import CopyDesk
 from masticdaled.shards.owners import Owners
@@ -58,7 +58,7 @@
     owners: Owners
     homes: ReplicaHomes
     desk: TicketClient
-    suspects: SuspectHome
+    suspects: DigestHome
     programs: ProgramsDesk
     copies: CopyDesk
     in_force: ConfigInForce
--- a/apps/masticdaled/src/masticdaled/operators/desk.py
+++ b/apps/masticdaled/src/masticdaled/operators/desk.py
@@ -29,7 +29,7 @@
 from masticdale_peers import ProbeRequest, ProgramsRequest
 from masticdaled.cluster import Cluster
 from masticdaled.operators.programs import decode_detail
-from masticdaled.replicas.crash_suspects import SuspectHome
+from masticdaled.replicas.crash_suspects import DigestHome
 from masticdaled.shards.owners import Owners
 from masticdaled.upstream_clients import UpstreamClients
 
@@ -59,7 +59,7 @@
     cluster: Cluster
     owners: Owners
     clients: UpstreamClients
-    suspects: SuspectHome
+    suspects: DigestHome
     find_readiness: Callable[[], Readiness]
 
     def hosts(self) -> tuple[HostStatus, ...]:
--- a/apps/masticdaled/src/masticdaled/replicas/crash_suspects.py
+++ b/apps/masticdaled/src/masticdaled/replicas/crash_suspects.py
@@ -31,7 +31,7 @@
     origin: str
 
 
-class SuspectHome:
+class DigestHome:
     """The registry of the digests whose home, or stand-by, this host is.
 
     Each crash is counted at both hosts and written to the platform, so that
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -15,7 +15,7 @@
 from masticdaled.execution.tickets import TicketClient
 from masticdaled.handler import Handler, Parts
 from masticdaled.operators.programs import ProgramsDesk
-from masticdaled.replicas.crash_suspects import SuspectHome
+from masticdaled.replicas.crash_suspects import DigestHome
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.settings import RequestSettings
@@ -119,7 +119,7 @@
         owners,
         homes,
         TicketClient(cluster),
-        SuspectHome(store),
+        DigestHome(store),
         ProgramsDesk(name, owners),
         CopyDesk(CopyStore()),
         in_force,
