--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -49,7 +49,7 @@
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.settings import DaemonSettings
-from masticdaled.shards.copies import CopyDesk, PeerCopyHolders
+from masticdaled.shards.copies import CopyService, PeerCopyHolders
 from masticdaled.shards.orphans import OrphanSweeper
 from masticdaled.shards.owners import Owners
 from masticdaled.upstream_clients import UpstreamClients
@@ -122,7 +122,7 @@
             PeerCopyHolders(self.cluster),
         )
         self.suspects = DigestHome(self.store)
-        self.copy_desk = CopyDesk(CopyStore())
+        self.copy_desk = CopyService(CopyStore())
         self.programs_desk = ProgramsDesk(settings.host, self.owners)
         self.follower = ConfigFollower(
             self.cluster, self.store, self.in_force, self.metrics
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -46,7 +46,7 @@
 from masticdaled.operators.programs import ProgramsDesk
 from masticdaled.replicas.crash_suspects import DigestHome
 from masticdaled.replicas.homes import ReplicaHomes
-from masticdaled.shards.copies import CopyDesk
+from masticdaled.shards.copies import CopyService
 from masticdaled.shards.owners import Owners
 
 
@@ -60,7 +60,7 @@
     desk: TicketClient
     suspects: DigestHome
     programs: ProgramsDesk
-    copies: CopyDesk
+    copies: CopyService
     in_force: ConfigInForce
 
 
--- a/apps/masticdaled/src/masticdaled/shards/copies.py
+++ b/apps/masticdaled/src/masticdaled/shards/copies.py
@@ -73,7 +73,7 @@
         return Success(decode_batch(reply.batches[0]))
 
 
-class CopyDesk:
+class CopyService:
     """Holds other hosts' copies here."""
 
     def __init__(self, store: CopyStore) -> None:
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -19,7 +19,7 @@
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.settings import RequestSettings
-from masticdaled.shards.copies import CopyDesk, PeerCopyHolders
+from masticdaled.shards.copies import CopyService, PeerCopyHolders
 from masticdaled.shards.owners import Owners
 from masticdaled.upstream_clients import UpstreamClients
 
@@ -121,7 +121,7 @@
         TicketClient(cluster),
         DigestHome(store),
         ProgramsDesk(name, owners),
-        CopyDesk(CopyStore()),
+        CopyService(CopyStore()),
         in_force,
     )
     handler = Handler(lambda: parts)
