--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -51,7 +51,7 @@
 from masticdaled.settings import DaemonSettings
 from masticdaled.shards.copies import CopyService, PeerCopyHolders
 from masticdaled.shards.orphans import OrphanSweeper
-from masticdaled.shards.owners import Owners
+from masticdaled.shards.owners import OwnedShards
 from masticdaled.upstream_clients import UpstreamClients
 
 _PEER_CONNECTIONS = 256
@@ -111,7 +111,7 @@
             PrefixOffloader(self.metrics),
             self.metrics,
         )
-        self.owners = Owners(
+        self.owners = OwnedShards(
             self.cluster,
             self.store,
             self.executor,
@@ -256,7 +256,7 @@
     def _subscribe_timers(self) -> None:
         rows = (
             ("owners", _OWNERS_PERIOD_S, self.owners.tick),
-            ("takeovers", _OWNERS_PERIOD_S, self.owners.take_misplaced),
+            ("takeovers", _OWNERS_PERIOD_S, self.owners.open_assigned),
             ("homes", _HOMES_PERIOD_S, self.homes.tick),
             ("config", _CONFIG_PERIOD_S, self.follower.tick),
             ("list", _LIST_PERIOD_S, self._read_list),
@@ -304,7 +304,7 @@
     async def _host_paused(self, seconds: float) -> None:
         self.metrics.count("host_pauses_total")
         logs.write("checking_shards_after_pause", seconds=round(seconds, 3))
-        await self.owners.check_heads()
+        await self.owners.check_ownership()
 
     async def _serve_http(
         self, address: Address, app: litestar.Litestar
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -47,7 +47,7 @@
 from masticdaled.replicas.crash_suspects import DigestHome
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.shards.copies import CopyService
-from masticdaled.shards.owners import Owners
+from masticdaled.shards.owners import OwnedShards
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     """The parts of the daemon that serve peers."""
 
     membership: Membership
-    owners: Owners
+    owners: OwnedShards
     homes: ReplicaHomes
     desk: TicketClient
     suspects: DigestHome
--- a/apps/masticdaled/src/masticdaled/operators/desk.py
+++ b/apps/masticdaled/src/masticdaled/operators/desk.py
@@ -30,7 +30,7 @@
 from masticdaled.cluster import Cluster
 from masticdaled.operators.programs import decode_detail
 from masticdaled.replicas.crash_suspects import DigestHome
-from masticdaled.shards.owners import Owners
+from masticdaled.shards.owners import OwnedShards
 from masticdaled.upstream_clients import UpstreamClients
 
 
@@ -57,7 +57,7 @@
     metrics: Metrics
     state_dump: StateDump
     cluster: Cluster
-    owners: Owners
+    owners: OwnedShards
     clients: UpstreamClients
     suspects: DigestHome
     find_readiness: Callable[[], Readiness]
@@ -151,7 +151,7 @@
         if not 0 <= shard < hashing.SHARD_COUNT:
             detail = f"shard {shard}; there are {hashing.SHARD_COUNT}"
             return Failed(Failure(ErrorKind.NOT_FOUND, detail))
-        forced = await self.owners.force(shard)
+        forced = await self.owners.force_takeover(shard)
         if isinstance(forced, Failed):
             return Failed(forced.failure())
         epoch = forced.unwrap().epoch
--- a/apps/masticdaled/src/masticdaled/operators/programs.py
+++ b/apps/masticdaled/src/masticdaled/operators/programs.py
@@ -8,7 +8,7 @@
 from masticdale_config.messages import ProgramDetail, ProgramSummary
 from masticdale_peers import ProgramsReply, ProgramsRequest
 from masticdale_programs import EndReason
-from masticdaled.shards.owners import OwnedProgram, Owners
+from masticdaled.shards.owners import OwnedProgram, OwnedShards
 
 _DETAIL: pydantic.TypeAdapter[ProgramDetail] = pydantic.TypeAdapter(
     ProgramDetail
@@ -19,7 +19,7 @@
 class ProgramsDesk:
     """Lists, shows and ends the programs owned here."""
 
-    def __init__(self, host: str, owners: Owners) -> None:
+    def __init__(self, host: str, owners: OwnedShards) -> None:
         self._host = host
         self._owners = owners
 
--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -91,7 +91,7 @@
     return outcome.failure().kind is ErrorKind.NOT_FOUND
 
 
-class Owners:
+class OwnedShards:
     """Opens shards on demand and hands them over when they belong elsewhere."""
 
     def __init__(
@@ -199,7 +199,7 @@
             return Failed(Failure(ErrorKind.NOT_FOUND, program_id))
         return Success(OwnedProgram(number, shard, program))
 
-    async def check_heads(self) -> None:
+    async def check_ownership(self) -> None:
         """Gives up shards that were taken over while this host stood still.
 
         Until its next commit fails, a host that was paused past its lease
@@ -233,7 +233,7 @@
             )
         )
 
-    async def force(self, number: int) -> Result[Shard, Failure]:
+    async def force_takeover(self, number: int) -> Result[Shard, Failure]:
         """Takes a shard over, whoever holds it."""
         lock = self._opening_by_number.setdefault(number, asyncio.Lock())
         async with lock:
@@ -369,7 +369,7 @@
         self._misplaced_since.pop(number, None)
         await shard.close()
 
-    async def take_misplaced(self) -> None:
+    async def open_assigned(self) -> None:
         """Opens shards that belong here, so that nothing waits for a caller.
 
         Programs of a dead owner expire, and owe releases of engine memory,
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -20,7 +20,7 @@
 from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.settings import RequestSettings
 from masticdaled.shards.copies import CopyService, PeerCopyHolders
-from masticdaled.shards.owners import Owners
+from masticdaled.shards.owners import OwnedShards
 from masticdaled.upstream_clients import UpstreamClients
 
 DOMAIN = "domain-1"
@@ -52,7 +52,7 @@
     name: str
     membership: Membership
     cluster: Cluster
-    owners: Owners
+    owners: OwnedShards
     homes: ReplicaHomes
     entry: Entry
     callers: CallersContext
@@ -104,7 +104,7 @@
         OrderDispatcher(store, name, metrics),
         metrics,
     )
-    owners = Owners(
+    owners = OwnedShards(
         cluster,
         store,
         executor,
