--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -31,7 +31,7 @@
 from masticdaled.background import Background
 from masticdaled.cluster import MOVING_KINDS, Cluster
 from masticdaled.directory import UpstreamDirectory
-from masticdaled.execution.crash_checks import DigestDesk
+from masticdaled.execution.crash_checks import DigestHomeClient
 from masticdaled.execution.placement import Placer
 from masticdaled.execution.runs import Run, prefix_note
 from masticdaled.execution.service_calls import ServiceCaller
@@ -40,7 +40,7 @@
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.upstream_clients import UpstreamClients
 
-_MOVING_WAIT_S = 0.1
+_MOVE_RETRY_S = 0.1
 
 
 class UpstreamExecutor:
@@ -51,23 +51,23 @@
         cluster: Cluster,
         in_force: ConfigInForce,
         clients: UpstreamClients,
-        desk: TicketClient,
+        tickets: TicketClient,
         homes: ReplicaHomes,
-        keeper: PrefixOffloader,
+        offloader: PrefixOffloader,
         metrics: Metrics,
     ) -> None:
-        self._keeper = keeper
+        self._offloader = offloader
         self._cluster = cluster
         self._in_force = in_force
         self._clients = clients
-        self._desk = desk
+        self._tickets = tickets
         self._homes = homes
         self._metrics = metrics
         self._retry_budget_by_model: dict[str, RetryBudget] = {}
         self._background = Background()
         directory = UpstreamDirectory(in_force, homes)
-        self._placer = Placer(cluster, in_force, directory, keeper)
-        self._digests = DigestDesk(cluster, self._background)
+        self._placer = Placer(cluster, in_force, directory, offloader)
+        self._digest_homes = DigestHomeClient(cluster, self._background)
         self._services = ServiceCaller(directory, clients, metrics)
 
     async def run_model(
@@ -80,9 +80,9 @@
             call.model, RetryBudget(RetrySettings())
         )
         budget.record_first_attempt()
-        self._keeper.record_return(call)
+        self._offloader.record_return(call)
         while True:
-            outcome = await self._try_once(run, sink)
+            outcome = await self._run_attempt(run, sink)
             if isinstance(outcome, Success):
                 return outcome
             failure = outcome.failure()
@@ -92,7 +92,7 @@
                 # as one, a planned stop would use the retry budget up and
                 # callers would be refused.
                 sink.set_wait_reason("a home that moves")
-                await asyncio.sleep(_MOVING_WAIT_S)
+                await asyncio.sleep(_MOVE_RETRY_S)
                 continue
             decision = decide_retry(
                 FailedAttempt(failure, max(1, run.attempts), call.deadline),
@@ -100,7 +100,7 @@
                 now,
             )
             if isinstance(decision, GiveUp):
-                return Failed(_final(decision.failure, run))
+                return Failed(_failure_for_caller(decision.failure, run))
             self._metrics.count("retries_total", model=call.model)
             sink.set_wait_reason(f"retry after {failure.kind.value}")
             await asyncio.sleep(decision.delay_s)
@@ -133,10 +133,10 @@
         outcome = await self._clients.engine(engine).release(program_id)
         if isinstance(outcome, Success):
             self._homes.record_released(replica, program_id)
-        self._keeper.remove_program(program_id)
+        self._offloader.remove_program(program_id)
         return outcome
 
-    async def _try_once(
+    async def _run_attempt(
         self, run: Run, sink: TextSink
     ) -> Result[ModelResult, Failure]:
         # A new id each time: the last try's end is told off the path and
@@ -150,7 +150,7 @@
                 action = "succeeded"
             return outcome
         finally:
-            self._digests.tell(run, action)
+            self._digest_homes.report_end(run, action)
 
     async def _admit_and_send(
         self, run: Run, sink: TextSink
@@ -158,11 +158,11 @@
         sink.set_wait_reason("placement")
         started = time.monotonic()
         admission, placed = await asyncio.gather(
-            self._digests.ask(run), self._placer.place(run)
+            self._digest_homes.request_admission(run), self._placer.place(run)
         )
-        self._observe("placement", started)
+        self._observe_stage("placement", started)
         if admission is Admission.WAIT:
-            admission = await self._digests.wait(run, sink)
+            admission = await self._digest_homes.wait_until_admitted(run, sink)
             placed = await self._placer.place(run)
         if admission is Admission.REFUSED:
             return Failed(Failure(ErrorKind.QUARANTINED))
@@ -182,8 +182,8 @@
         ticket = _ticket_request(run, placement, self._cluster.host)
         sink.set_wait_reason(f"queue of {engine.name}")
         started = time.monotonic()
-        acquired = await self._desk.acquire(ticket, run.call.deadline)
-        self._observe("queue", started)
+        acquired = await self._tickets.acquire(ticket, run.call.deadline)
+        self._observe_stage("queue", started)
         if isinstance(acquired, Failed):
             if acquired.failure().kind is ErrorKind.NO_UPSTREAM:
                 run.failed_replicas.add(engine.name)
@@ -205,41 +205,41 @@
         reply = run.reply_by_replica.get(engine.name, ProbeReply())
         release = TicketRelease(ticket.ticket_id, engine.name)
         try:
-            await self._keeper.import_prefix(
+            await self._offloader.import_prefix(
                 run.call, client, reply.cached_tokens
             )
             outcome = await client.generate(
                 _generate_request(run.call, ticket), attempt.on_chunk
             )
-            self._observe("engine", attempt.started)
+            self._observe_stage("engine", attempt.started)
             if isinstance(outcome, Failed):
                 failure = outcome.failure()
                 release = dataclasses.replace(
-                    release, crashed=_note_failure(run, engine, failure)
+                    release, crashed=_record_failure(run, engine, failure)
                 )
                 return Failed(failure)
             release = attempt.release(outcome.unwrap())
             result = attempt.result(outcome.unwrap())
             residence = Residence(reply.residence_ms / 1000)
-            self._keeper.record_finished(
+            self._offloader.record_finished(
                 run.call, engine, client, result, residence
             )
             return Success(result)
         finally:
-            await self._give_back(release)
+            await self._release_ticket(release)
 
-    async def _give_back(self, release: TicketRelease) -> None:
+    async def _release_ticket(self, release: TicketRelease) -> None:
         """Gives a ticket back; waits only where a crash must be known first.
 
         The retry after a crash asks the suspects' home, which the replica's
         home tells before it answers.
         """
         if release.crashed:
-            await asyncio.shield(self._desk.release(release))
+            await asyncio.shield(self._tickets.release(release))
             return
-        self._background.spawn(self._desk.release(release))
+        self._background.spawn(self._tickets.release(release))
 
-    def _observe(self, stage: str, started: float) -> None:
+    def _observe_stage(self, stage: str, started: float) -> None:
         seconds = time.monotonic() - started
         self._metrics.observe("turn_stage_seconds", seconds, stage=stage)
 
@@ -303,7 +303,7 @@
     )
 
 
-def _note_failure(run: Run, engine: RenderedEngine, failure: Failure) -> bool:
+def _record_failure(run: Run, engine: RenderedEngine, failure: Failure) -> bool:
     """Notes a failed send; returns whether the replica may have crashed."""
     if failure.kind is ErrorKind.NO_UPSTREAM:
         run.attempts -= 1
@@ -311,7 +311,7 @@
     return failure.kind is ErrorKind.UPSTREAM_FAILED
 
 
-def _final(failure: Failure, run: Run) -> Failure:
+def _failure_for_caller(failure: Failure, run: Run) -> Failure:
     """Returns the failure the caller is told.
 
     The last try may have been refused before it was sent, while an earlier
--- a/apps/masticdaled/src/masticdaled/execution/placement.py
+++ b/apps/masticdaled/src/masticdaled/execution/placement.py
@@ -23,9 +23,11 @@
 from masticdaled.execution.tool_pauses import PrefixOffloader
 
 _PROBE_TIMEOUT_S = 0.5
-_PROBES = 3
-_PROBES_OF_NEW_BRANCH = 9
-_GUESS = 50.0  # Tokens a second, where no probed replica has served yet.
+_PROBE_COUNT = 3
+_NEW_BRANCH_PROBE_COUNT = 9
+_DEFAULT_DECODE_TOKENS_PER_S = (
+    50.0  # Tokens a second, where no probed replica has served yet.
+)
 
 
 class Placer:
@@ -36,12 +38,12 @@
         cluster: Cluster,
         in_force: ConfigInForce,
         directory: UpstreamDirectory,
-        keeper: PrefixOffloader,
+        offloader: PrefixOffloader,
     ) -> None:
         self._cluster = cluster
         self._in_force = in_force
         self._directory = directory
-        self._keeper = keeper
+        self._offloader = offloader
         self._policy = LeastCost()
 
     async def place(self, run: Run) -> Result[Placement, Failure]:
@@ -58,28 +60,39 @@
             return Failed(Failure(ErrorKind.NO_UPSTREAM, run.call.model))
         engine_by_name = {engine.name: engine for engine in engines}
         locations = [Location(e.name, e.failure_domain) for e in engines]
-        last = run.call.replica
+        last_replica = run.call.replica
         # A new branch stays where it begins, so many are asked
         # (docs/POLICY.md).
-        count = _PROBES if last in engine_by_name else _PROBES_OF_NEW_BRANCH
+        count = (
+            _PROBE_COUNT
+            if last_replica in engine_by_name
+            else _NEW_BRANCH_PROBE_COUNT
+        )
         names = choose_probes(run.run_id, locations, count)
-        if last in engine_by_name and last not in names:
-            names = [last, *names]
+        if last_replica in engine_by_name and last_replica not in names:
+            names = [last_replica, *names]
         replies = await asyncio.gather(
             *(self._probe(run, name) for name in names)
         )
         run.reply_by_replica.update(zip(names, replies, strict=True))
-        importable = self._keeper.exported_tokens(run.call)
-        fastest = max(reply.decode_tokens_per_s for reply in replies)
+        exported_tokens = self._offloader.exported_tokens(run.call)
+        max_decode_tokens_per_s = max(
+            reply.decode_tokens_per_s for reply in replies
+        )
         candidates = [
-            _candidate(engine_by_name[name], reply, fastest, importable)
+            _candidate(
+                engine_by_name[name],
+                reply,
+                max_decode_tokens_per_s,
+                exported_tokens,
+            )
             for name, reply in zip(names, replies, strict=True)
         ]
         request = PlacementRequest(
             run.call.program_id,
             run.prompt_tokens,
             run.call.max_tokens,
-            last if last in engine_by_name else "",
+            last_replica if last_replica in engine_by_name else "",
         )
         placed = place(request, candidates, self._policy)
         if isinstance(placed, Success):
@@ -118,12 +131,12 @@
             call.workspace,
             call.attained_s,
         )
-        reply = await self._ask(self._cluster.home_of(replica), request)
+        reply = await self._send_probe(self._cluster.home_of(replica), request)
         if reply.failure is None or not reply.failure.host:
             return reply
-        return await self._ask(reply.failure.host, request)
+        return await self._send_probe(reply.failure.host, request)
 
-    async def _ask(self, home: str, request: ProbeRequest) -> ProbeReply:
+    async def _send_probe(self, home: str, request: ProbeRequest) -> ProbeReply:
         outcome = await self._cluster.calls(home).probe(
             request, _PROBE_TIMEOUT_S
         )
@@ -137,7 +150,10 @@
 
 
 def _candidate(
-    engine: RenderedEngine, reply: ProbeReply, fastest: float, importable: int
+    engine: RenderedEngine,
+    reply: ProbeReply,
+    max_decode_tokens_per_s: float,
+    exported_tokens: int,
 ) -> Candidate:
     """Returns a probed replica as placement sees it.
 
@@ -151,19 +167,22 @@
         engine.failure_domain,
         expected_wait_s=reply.expected_wait_ms / 1000,
         cached_tokens=max(
-            reply.cached_tokens, _import_worth(engine, reply, importable)
+            reply.cached_tokens,
+            _tokens_saved_by_import(engine, reply, exported_tokens),
         ),
         prefill_tokens_per_s=reply.prefill_tokens_per_s,
-        decode_tokens_per_s=reply.decode_tokens_per_s or fastest or _GUESS,
+        decode_tokens_per_s=reply.decode_tokens_per_s
+        or max_decode_tokens_per_s
+        or _DEFAULT_DECODE_TOKENS_PER_S,
         in_flight=reply.in_flight,
     )
 
 
-def _import_worth(
-    engine: RenderedEngine, reply: ProbeReply, importable: int
+def _tokens_saved_by_import(
+    engine: RenderedEngine, reply: ProbeReply, exported_tokens: int
 ) -> int:
     """Returns what an import saves, in tokens that need not be computed."""
     if engine.transfer_tokens_per_s <= 0:
         return 0
-    spent = reply.prefill_tokens_per_s / engine.transfer_tokens_per_s
-    return int(importable * max(0.0, 1 - spent))
+    transfer_share = reply.prefill_tokens_per_s / engine.transfer_tokens_per_s
+    return int(exported_tokens * max(0.0, 1 - transfer_share))
--- a/apps/masticdaled/src/masticdaled/execution/service_calls.py
+++ b/apps/masticdaled/src/masticdaled/execution/service_calls.py
@@ -34,7 +34,7 @@
         self._retry_budget_by_operation: dict[str, RetryBudget] = {}
         self._directory = directory
         self._clients = clients
-        self._turn = 0
+        self._rotation = 0
 
     def is_repeatable(self, workspace: str, operation: str) -> bool:
         """See ``Executor.is_repeatable``; an unknown operation is not."""
@@ -61,7 +61,7 @@
             outcome = await self._call_once(call)
             if isinstance(outcome, Success):
                 return outcome
-            failure = _repeatable(outcome.failure())
+            failure = _as_retryable(outcome.failure())
             attempt = FailedAttempt(failure, attempts, call.deadline)
             decision = decide_retry(attempt, budget, time.monotonic())
             if isinstance(decision, GiveUp):
@@ -75,7 +75,7 @@
         After anything else the call is not sent again.
         """
         failure = Failure(ErrorKind.NO_UPSTREAM, call.operation)
-        for service in self._in_turn(call):
+        for service in self._round_robin(call):
             outcome = await self._send(call, service)
             if isinstance(outcome, Success):
                 return outcome
@@ -110,7 +110,7 @@
         outcome = await self._clients.service(service).call(request)
         return outcome.map(lambda reply: reply.result)
 
-    def _in_turn(self, call: ServiceCall) -> list[RenderedService]:
+    def _round_robin(self, call: ServiceCall) -> list[RenderedService]:
         services = [
             service
             for service in self._directory.services(
@@ -118,12 +118,12 @@
             )
             if self._directory.may_get_work(service)
         ]
-        self._turn += 1
-        first = self._turn % max(1, len(services))
+        self._rotation += 1
+        first = self._rotation % max(1, len(services))
         return [*services[first:], *services[:first]]
 
 
-def _repeatable(failure: Failure) -> Failure:
+def _as_retryable(failure: Failure) -> Failure:
     """Returns the failure of a call that may be sent again.
 
     "Outcome unknown" tells a caller that it must decide what to do; here the
--- a/apps/masticdaled/src/masticdaled/execution/tickets.py
+++ b/apps/masticdaled/src/masticdaled/execution/tickets.py
@@ -17,17 +17,17 @@
 from masticdaled.background import Background
 from masticdaled.cluster import MOVING_KINDS, Cluster
 
-_OFFER_AGAIN_S = 1.0
-_MOVING_S = 0.1
+_OFFER_INTERVAL_S = 1.0
+_MOVE_RETRY_S = 0.1
 _OFFER_TIMEOUT_S = 1.0
-_RELEASE_TRIES = 3
+_RELEASE_ATTEMPTS = 3
 
 
 @dataclasses.dataclass(slots=True)
-class _Wait:
+class _Waiter:
     replica: str
     granted: bool = False
-    news: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
 
 class TicketClient:
@@ -36,20 +36,20 @@
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
         self._background = Background()
-        self._wait_by_ticket_id: dict[str, _Wait] = {}
+        self._waiter_by_ticket_id: dict[str, _Waiter] = {}
 
     def handle_grant(self, notice: GrantNotice) -> None:
         """Takes a home's notice; one without tickets says: offer again."""
         for ticket_id in notice.ticket_ids:
-            wait = self._wait_by_ticket_id.get(ticket_id)
-            if wait is not None:
-                wait.granted = True
-                wait.news.set()
+            waiter = self._waiter_by_ticket_id.get(ticket_id)
+            if waiter is not None:
+                waiter.granted = True
+                waiter.changed.set()
         if notice.ticket_ids:
             return
-        for wait in self._wait_by_ticket_id.values():
-            if wait.replica == notice.replica:
-                wait.news.set()
+        for waiter in self._waiter_by_ticket_id.values():
+            if waiter.replica == notice.replica:
+                waiter.changed.set()
 
     async def acquire(
         self, request: TicketRequest, deadline: float
@@ -64,54 +64,56 @@
             The home's refusal, NO_UPSTREAM where it is not to be had, or
             DEADLINE_EXCEEDED. After any failure the ticket is withdrawn.
         """
-        wait = _Wait(request.replica)
-        self._wait_by_ticket_id[request.ticket_id] = wait
+        waiter = _Waiter(request.replica)
+        self._waiter_by_ticket_id[request.ticket_id] = waiter
         acquired = False
         try:
-            outcome = await self._offer_until(request, wait, deadline)
+            outcome = await self._offer_until_granted(request, waiter, deadline)
             acquired = isinstance(outcome, Success)
             return outcome
         finally:
-            del self._wait_by_ticket_id[request.ticket_id]
+            del self._waiter_by_ticket_id[request.ticket_id]
             if not acquired:
                 self._withdraw(request)
 
     async def release(self, release: TicketRelease) -> None:
         """Gives a ticket back to the replica's home."""
-        for _ in range(_RELEASE_TRIES):
+        for _ in range(_RELEASE_ATTEMPTS):
             home = self._cluster.home_of(release.replica)
             outcome = await self._cluster.calls(home).release(release)
             if isinstance(outcome, Success):
                 return
 
-    async def _offer_until(
-        self, request: TicketRequest, wait: _Wait, deadline: float
+    async def _offer_until_granted(
+        self, request: TicketRequest, waiter: _Waiter, deadline: float
     ) -> Result[None, Failure]:
         started = time.monotonic()
         while True:
             now = time.monotonic()
             if now >= deadline:
                 return Failed(Failure(ErrorKind.DEADLINE_EXCEEDED))
-            wait.news.clear()
+            waiter.changed.clear()
             offer = dataclasses.replace(
                 request,
                 waited_ms=int((now - started) * 1000) + request.waited_ms,
                 deadline_ms=int((deadline - now) * 1000),
             )
             reply = await self._offer(offer)
-            if reply.granted or wait.granted:
+            if reply.granted or waiter.granted:
                 return Success(None)
             failure = reply.failure
             if failure is not None and failure.kind not in MOVING_KINDS:
                 return Failed(failure)
-            pause_s = _OFFER_AGAIN_S if reply.failure is None else _MOVING_S
+            pause_s = (
+                _OFFER_INTERVAL_S if reply.failure is None else _MOVE_RETRY_S
+            )
             wait_s = min(pause_s, max(0.0, deadline - now))
             try:
                 async with asyncio.timeout(wait_s):
-                    await wait.news.wait()
+                    await waiter.changed.wait()
             except TimeoutError:
                 pass
-            if wait.granted:
+            if waiter.granted:
                 return Success(None)
 
     async def _offer(self, offer: TicketRequest) -> TicketReply:
--- a/apps/masticdaled/src/masticdaled/execution/tool_pauses.py
+++ b/apps/masticdaled/src/masticdaled/execution/tool_pauses.py
@@ -25,7 +25,7 @@
 from masticdale_upstreams import ModelEngine
 from masticdaled.background import Background
 
-_MOST_BRANCHES = 20_000
+_MAX_BRANCHES = 20_000
 _ANY_TOOL = ""
 # What a kept prefix displaces of others is left out: counting it, prefixes were
 # given up that came back (docs/POLICY.md).
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Paused:
+class _PausedBranch:
     """What is known of a branch between two turns.
 
     Attributes:
@@ -59,22 +59,22 @@
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        self._model = PauseModel()
-        self._paused_by_branch: collections.OrderedDict[BranchKey, _Paused] = (
-            collections.OrderedDict()
-        )
+        self._pause_model = PauseModel()
+        self._paused_by_branch: collections.OrderedDict[
+            BranchKey, _PausedBranch
+        ] = collections.OrderedDict()
         self._background = Background()
 
     def record_return(self, call: ModelCall) -> None:
         """Learns how long a branch's pause was."""
-        paused = self._paused_by_branch.get(_branch(call))
+        paused = self._paused_by_branch.get(_branch_key(call))
         if paused is not None:
             pause_s = time.monotonic() - paused.finished_at
-            self._model.observe(PauseKey(call.kind, _ANY_TOOL), pause_s)
+            self._pause_model.observe(PauseKey(call.kind, _ANY_TOOL), pause_s)
 
     def exported_tokens(self, call: ModelCall) -> int:
         """Returns the tokens of a branch's export, 0 for none."""
-        paused = self._paused_by_branch.get(_branch(call))
+        paused = self._paused_by_branch.get(_branch_key(call))
         return paused.tokens if paused is not None else 0
 
     async def import_prefix(
@@ -87,7 +87,7 @@
             engine: Where it goes.
             cached_tokens: Tokens the replica is believed to hold.
         """
-        paused = self._paused_by_branch.get(_branch(call))
+        paused = self._paused_by_branch.get(_branch_key(call))
         if paused is None or paused.tokens <= cached_tokens:
             return
         outcome = await engine.import_cache(paused.handle)
@@ -107,12 +107,12 @@
         residence: Residence,
     ) -> None:
         """Begins a branch's pause and copies its prefix out if that pays."""
-        branch = _branch(call)
+        branch = _branch_key(call)
         earlier = self._paused_by_branch.pop(branch, None)
-        paused = earlier or _Paused(0.0)
+        paused = earlier or _PausedBranch(0.0)
         paused.finished_at = time.monotonic()
         self._paused_by_branch[branch] = paused
-        while len(self._paused_by_branch) > _MOST_BRANCHES:
+        while len(self._paused_by_branch) > _MAX_BRANCHES:
             self._paused_by_branch.popitem(last=False)
         if engine.transfer_tokens_per_s <= 0 or residence.seconds <= 0:
             return
@@ -123,7 +123,7 @@
             _REUSE_SHARE,
         )
         tokens = result.prompt_tokens + result.generated_tokens
-        decision = self._model.decide(
+        decision = self._pause_model.decide(
             PauseKey(call.kind, _ANY_TOOL), tokens, 0.0, pressure, paused.tokens
         )
         if decision.action not in (PauseAction.COPY, PauseAction.EXPORT):
@@ -141,7 +141,7 @@
     async def _export(
         self,
         branch: BranchKey,
-        paused: _Paused,
+        paused: _PausedBranch,
         client: ModelEngine,
         tokens: int,
     ) -> None:
@@ -156,5 +156,5 @@
         self._metrics.count("cache_exported_tokens_total", tokens)
 
 
-def _branch(call: ModelCall) -> BranchKey:
+def _branch_key(call: ModelCall) -> BranchKey:
     return BranchKey(call.program_id, call.branch_id)
