--- a/apps/masticdaled/src/masticdaled/replicas/crash_reports.py
+++ b/apps/masticdaled/src/masticdaled/replicas/crash_reports.py
@@ -10,14 +10,16 @@
 CRASHED_ACTION = "crashed"
 
 
-class CrashReports:
+class CrashReporter:
     """Reports each crash of a replica once."""
 
     def __init__(self, cluster: Cluster, metrics: Metrics) -> None:
         self._cluster = cluster
         self._metrics = metrics
 
-    async def note(self, home: ReplicaHome, present: str) -> None:
+    async def report_crash(
+        self, home: ReplicaHome, current_incarnation: str
+    ) -> None:
         """Makes every call in flight at a crash a suspect, once.
 
         One crash breaks all streams of the replica and each owner reports
@@ -27,14 +29,18 @@
 
         Args:
             home: The replica's home.
-            present: The engine's process now; empty where none answers.
+            current_incarnation: The process that answers now; empty for none.
         """
         granted_at = home.incarnation_by_ticket
-        lost = {i for i, process in granted_at.items() if process != present}
-        if not lost:
+        lost_ids = {
+            i
+            for i, process in granted_at.items()
+            if process != current_incarnation
+        }
+        if not lost_ids:
             return
-        running = [t for t in home.queue.running() if t.ticket_id in lost]
-        for ticket_id in lost:
+        running = [t for t in home.queue.running() if t.ticket_id in lost_ids]
+        for ticket_id in lost_ids:
             del granted_at[ticket_id]
         digests = tuple({t.content_digest for t in running})
         if not digests:
--- a/apps/masticdaled/src/masticdaled/replicas/crash_suspects.py
+++ b/apps/masticdaled/src/masticdaled/replicas/crash_suspects.py
@@ -21,8 +21,8 @@
 )
 
 PREFIX = "quarantine/"
-_REFRESH_S = 5.0
-_REFRESH_AGAIN_S = 1.0
+_REFRESH_INTERVAL_S = 5.0
+_REFRESH_RETRY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
         self._registry = SuspectRegistry()
         self._version_by_digest: dict[str, int] = {}
         self._run_by_id: dict[str, _Run] = {}
-        self._refreshed_at = -_REFRESH_AGAIN_S
+        self._refreshed_at = -_REFRESH_RETRY_S
         self._is_stale = True
 
     def members_changed(self, change: MembershipChange) -> None:
@@ -95,7 +95,7 @@
 
     async def tick(self) -> None:
         """Refreshes now and then; run each second."""
-        if time.monotonic() - self._refreshed_at > _REFRESH_S:
+        if time.monotonic() - self._refreshed_at > _REFRESH_INTERVAL_S:
             await self.refresh()
 
     def quarantined(self) -> tuple[SuspectRecord, ...]:
@@ -127,7 +127,7 @@
         since_s = time.monotonic() - self._refreshed_at
         # With the platform down each read takes its whole timeout, and every
         # turn would wait for one; what is known must do until it answers.
-        if self._is_stale and since_s > _REFRESH_AGAIN_S:
+        if self._is_stale and since_s > _REFRESH_RETRY_S:
             self._refreshed_at = time.monotonic()
             await self.refresh()
         digest = request.digests[0]
--- a/apps/masticdaled/src/masticdaled/replicas/home.py
+++ b/apps/masticdaled/src/masticdaled/replicas/home.py
@@ -17,7 +17,7 @@
 
 # Health checks without an answer, one after the other, after which a replica
 # gets no new work.
-HEALTH_MISSES_TO_CLOSE = 2
+MAX_MISSED_HEALTH_CHECKS = 2
 
 
 @dataclasses.dataclass(slots=True)
@@ -46,12 +46,12 @@
     prefixes: PrefixIndex
     request_by_ticket: dict[str, TicketRequest]
     incarnation: str = ""
-    misses: int = 0
+    missed_checks: int = 0
     is_tripped: bool = False
-    says_leaving: bool = False
+    reported_leaving: bool = False
     is_leaving: bool = False
     events_position: int = 0
-    ticks: int = 0
+    check_count: int = 0
     circuit: CircuitBreaker = dataclasses.field(default_factory=CircuitBreaker)
     evictions: EvictionRate = dataclasses.field(default_factory=EvictionRate)
     incarnation_by_ticket: dict[str, str] = dataclasses.field(
@@ -68,7 +68,10 @@
     @property
     def is_usable(self) -> bool:
         """True while it may get new work."""
-        return not self.is_leaving and self.misses < HEALTH_MISSES_TO_CLOSE
+        return (
+            not self.is_leaving
+            and self.missed_checks < MAX_MISSED_HEALTH_CHECKS
+        )
 
 
 def ticket_of(request: TicketRequest, now: float) -> Ticket:
--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -37,9 +37,9 @@
 )
 from masticdaled.background import Background
 from masticdaled.cluster import Cluster
-from masticdaled.replicas.crash_reports import CrashReports
+from masticdaled.replicas.crash_reports import CrashReporter
 from masticdaled.replicas.home import (
-    HEALTH_MISSES_TO_CLOSE,
+    MAX_MISSED_HEALTH_CHECKS,
     ReplicaHome,
     prefix_request_of,
     result_of,
@@ -49,7 +49,7 @@
 from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.upstream_clients import UpstreamClients
 
-_LOAD_EVERY = 2
+_CHECKS_PER_LOAD_READ = 2
 _PROBE_ID = "probe"
 
 
@@ -64,13 +64,13 @@
         orders: OrderDispatcher,
         metrics: Metrics,
     ) -> None:
-        self._orders = orders
-        self._ordering: dict[str, asyncio.Task[None]] = {}
-        self._checking: dict[str, asyncio.Task[None]] = {}
+        self._dispatcher = orders
+        self._order_task_by_replica: dict[str, asyncio.Task[None]] = {}
+        self._check_task_by_replica: dict[str, asyncio.Task[None]] = {}
         self._cluster = cluster
         self._in_force = in_force
         self._clients = clients
-        self._crashes = CrashReports(cluster, metrics)
+        self._crash_reporter = CrashReporter(cluster, metrics)
         self._home_by_replica: dict[str, ReplicaHome] = {}
         self._leaving_names: frozenset[str] = frozenset()
         self._background = Background()
@@ -87,15 +87,15 @@
 
     def enqueue(self, request: TicketRequest) -> TicketReply:
         """Queues a call before its replica; idempotent by ticket id."""
-        home = self._find(request.replica)
+        home = self._find_home(request.replica)
         if isinstance(home, Failure):
             return TicketReply(failure=home)
         now = time.monotonic()
         home.request_by_ticket[request.ticket_id] = request
         offer = home.queue.offer(ticket_of(request, now), now)
-        self._flush(home)
+        self._notify_granted(home)
         if isinstance(offer, Granted):
-            self._note_granted(home, request, now)
+            self._record_granted(home, request, now)
             return TicketReply(granted=True)
         if isinstance(offer, Queued):
             return TicketReply(
@@ -117,7 +117,7 @@
         if release.crashed:
             health = await self._clients.engine(home.engine).health()
             process = health.map(lambda h: h.incarnation).value_or("")
-            await self._crashes.note(home, process)
+            await self._crash_reporter.report_crash(home, process)
         now = time.monotonic()
         if release.crashed:
             home.circuit.record_failure(now)
@@ -135,7 +135,7 @@
             tokens = release.prompt_tokens + release.generated_tokens
             branch = BranchKey(request.program_id, request.prefix.branch_id)
             home.prefixes.record_finished(branch, tokens, now)
-        self._flush(home)
+        self._notify_granted(home)
 
     def withdraw(self, release: TicketRelease) -> None:
         """Forgets a ticket whose caller left."""
@@ -145,11 +145,11 @@
         home.request_by_ticket.pop(release.ticket_id, None)
         home.incarnation_by_ticket.pop(release.ticket_id, None)
         home.queue.withdraw(release.ticket_id, time.monotonic())
-        self._flush(home)
+        self._notify_granted(home)
 
     def probe(self, request: ProbeRequest) -> ProbeReply:
         """Returns the wait to expect and what of the prompt is cached."""
-        home = self._find(request.replica)
+        home = self._find_home(request.replica)
         if isinstance(home, Failure):
             return ProbeReply(failure=home)
         now = time.monotonic()
@@ -206,17 +206,19 @@
                 self._drop_origin(home, origin, now)
             for origin in change.restarted:
                 self._drop_origin(home, origin, now)
-            self._flush(home)
+            self._notify_granted(home)
 
     async def tick(self) -> None:
         """Checks the health of every replica; run twice a second."""
         self._open_homes()
         for replica, home in self._home_by_replica.items():
-            running = self._checking.get(replica)
+            running = self._check_task_by_replica.get(replica)
             # One engine that does not answer must not hold up the checks of
             # the others: a leaving one would go on getting work meanwhile.
             if running is None or running.done():
-                self._checking[replica] = asyncio.create_task(self._check(home))
+                self._check_task_by_replica[replica] = asyncio.create_task(
+                    self._check(home)
+                )
 
     def dump(self) -> JsonValue:
         """Returns every queue's state."""
@@ -235,7 +237,10 @@
     async def close(self) -> None:
         """Stops telling grants."""
         await self._background.close()
-        tasks = [*self._ordering.values(), *self._checking.values()]
+        tasks = [
+            *self._order_task_by_replica.values(),
+            *self._check_task_by_replica.values(),
+        ]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -247,12 +252,12 @@
         }
         for name, engine in engines.items():
             if self._cluster.home_of(name) == self._cluster.host:
-                self._open(engine)
+                self._open_home(engine)
         for name in list(self._home_by_replica):
             if name not in engines:
                 del self._home_by_replica[name]
 
-    def _find(self, replica: str) -> ReplicaHome | Failure:
+    def _find_home(self, replica: str) -> ReplicaHome | Failure:
         holder = self._cluster.home_of(replica)
         if holder != self._cluster.host:
             return Failure(ErrorKind.NOT_OWNER, replica, host=holder)
@@ -262,15 +267,15 @@
         engine = self._in_force.current.upstreams.by_name.get(replica)
         if not isinstance(engine, RenderedEngine):
             return Failure(ErrorKind.NO_UPSTREAM, replica)
-        return self._open(engine)
-
-    def _open(self, engine: RenderedEngine) -> ReplicaHome:
-        known = self._home_by_replica.get(engine.name)
-        if known is not None:
-            if known.engine != engine:
-                known.engine = engine
-                self._refresh_leaving(known)
-            return known
+        return self._open_home(engine)
+
+    def _open_home(self, engine: RenderedEngine) -> ReplicaHome:
+        existing = self._home_by_replica.get(engine.name)
+        if existing is not None:
+            if existing.engine != engine:
+                existing.engine = engine
+                self._refresh_leaving(existing)
+            return existing
         settings = QueueSettings(
             in_flight=InFlightSettings(initial=engine.slots),
             weight_by_workspace={
@@ -294,15 +299,15 @@
     async def _check(self, home: ReplicaHome) -> None:
         client = self._clients.engine(home.engine)
         health = await read_health(client)
-        home.ticks += 1
+        home.check_count += 1
         if isinstance(health, Failed):
-            home.misses += 1
-            if home.misses == HEALTH_MISSES_TO_CLOSE:
+            home.missed_checks += 1
+            if home.missed_checks == MAX_MISSED_HEALTH_CHECKS:
                 self._close(home, "does not answer")
             return
         report = health.unwrap()
-        was_unusable = home.misses >= HEALTH_MISSES_TO_CLOSE
-        home.misses = 0
+        was_unusable = home.missed_checks >= MAX_MISSED_HEALTH_CHECKS
+        home.missed_checks = 0
         if home.incarnation and home.incarnation != report.incarnation:
             home.prefixes.clear()
         if not home.incarnation:
@@ -310,33 +315,33 @@
             for ticket_id in home.incarnation_by_ticket:
                 home.incarnation_by_ticket[ticket_id] = report.incarnation
         home.incarnation = report.incarnation
-        await self._crashes.note(home, report.incarnation)
-        home.says_leaving = report.leaving
+        await self._crash_reporter.report_crash(home, report.incarnation)
+        home.reported_leaving = report.leaving
         self._refresh_leaving(home)
         if was_unusable and not home.is_leaving and not home.is_tripped:
             home.queue.reopen()
         if home.is_tripped and home.circuit.allows(time.monotonic()):
             home.is_tripped = False
             home.queue.reopen()
-        self._flush(home)
-        self._give_orders(home)
-        if home.ticks % _LOAD_EVERY == 0:
+        self._notify_granted(home)
+        self._start_order_task(home)
+        if home.check_count % _CHECKS_PER_LOAD_READ == 0:
             await observe(home, client)
 
-    def _give_orders(self, home: ReplicaHome) -> None:
+    def _start_order_task(self, home: ReplicaHome) -> None:
         """Gives orders beside the health checks, which must not wait."""
-        running = self._ordering.get(home.engine.name)
+        running = self._order_task_by_replica.get(home.engine.name)
         if running is not None and not running.done():
             return
         client = self._clients.engine(home.engine)
-        self._ordering[home.engine.name] = asyncio.create_task(
-            self._orders.reconcile(home.engine, client, home.incarnation)
+        self._order_task_by_replica[home.engine.name] = asyncio.create_task(
+            self._dispatcher.reconcile(home.engine, client, home.incarnation)
         )
 
     def _refresh_leaving(self, home: ReplicaHome) -> None:
         was_leaving = home.is_leaving
         home.is_leaving = (
-            home.says_leaving
+            home.reported_leaving
             or home.engine.draining
             or home.engine.replica in self._leaving_names
         )
@@ -354,7 +359,7 @@
             home.request_by_ticket.pop(ticket.ticket_id, None)
         # Owners offer waiting tickets again within a second and are refused
         # with NO_UPSTREAM, upon which they place the call elsewhere.
-        self._tell(home, [t.origin for t in dropped.waiting], [])
+        self._notify(home, [t.origin for t in dropped.waiting], [])
 
     def _drop_origin(self, home: ReplicaHome, origin: str, now: float) -> None:
         dropped = home.queue.drop_origin(origin, now)
@@ -362,20 +367,20 @@
             home.request_by_ticket.pop(ticket.ticket_id, None)
             home.incarnation_by_ticket.pop(ticket.ticket_id, None)
 
-    def _flush(self, home: ReplicaHome) -> None:
+    def _notify_granted(self, home: ReplicaHome) -> None:
         granted = home.queue.take_granted(time.monotonic())
         now = time.monotonic()
         for ticket in granted:
             request = home.request_by_ticket.get(ticket.ticket_id)
             if request is not None:
-                self._note_granted(home, request, now)
+                self._record_granted(home, request, now)
         ids_by_origin: dict[str, list[str]] = {}
         for ticket in granted:
             ids_by_origin.setdefault(ticket.origin, []).append(ticket.ticket_id)
         for origin, ids in ids_by_origin.items():
-            self._tell(home, [origin], ids)
+            self._notify(home, [origin], ids)
 
-    def _note_granted(
+    def _record_granted(
         self, home: ReplicaHome, request: TicketRequest, now: float
     ) -> None:
         home.prefixes.record_sent(prefix_request_of(request), now)
@@ -383,14 +388,14 @@
             request.ticket_id, home.incarnation
         )
 
-    def _tell(
+    def _notify(
         self, home: ReplicaHome, origins: list[str], ticket_ids: list[str]
     ) -> None:
         notice = GrantNotice(tuple(ticket_ids), home.engine.name, 0)
         for origin in set(origins):
-            self._background.spawn(self._send(origin, notice))
+            self._background.spawn(self._send_notice(origin, notice))
 
-    async def _send(self, origin: str, notice: GrantNotice) -> None:
+    async def _send_notice(self, origin: str, notice: GrantNotice) -> None:
         # A lost notice is made good by the owner, which offers its ticket
         # again each second and is then told that it was granted.
         await self._cluster.calls(origin).grant(notice)
--- a/apps/masticdaled/src/masticdaled/replicas/orders.py
+++ b/apps/masticdaled/src/masticdaled/replicas/orders.py
@@ -22,8 +22,8 @@
 LEASE_S = 15.0
 # Clocks of two hosts may run at slightly different speeds, and an order that
 # was sent at the lease's end may take as long as a call to be obeyed.
-_LAPSE_MARGIN_S = 6.0
-_LONGEST_ORDER_S = 5.0
+_EXPIRY_MARGIN_S = 6.0
+_MAX_ORDER_S = 5.0
 _PREFIX = "orders/"
 
 
@@ -48,20 +48,20 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Seen:
+class _ObservedRecord:
     """A record as it was first seen here, on this host's clock."""
 
     version: int
-    at: float
+    first_seen_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Held:
+class _HeldLease:
     """A lease that this process holds."""
 
     record: OrderRecord
     version: int
-    until: float
+    expires_at: float
 
 
 class OrderDispatcher:
@@ -78,8 +78,8 @@
         self._holder = holder
         self._metrics = metrics
         self._clock = clock
-        self._seen_by_replica: dict[str, _Seen] = {}
-        self._done_by_replica: dict[str, str] = {}
+        self._observed_by_replica: dict[str, _ObservedRecord] = {}
+        self._applied_by_replica: dict[str, str] = {}
 
     async def reconcile(
         self, engine: RenderedEngine, client: ModelEngine, incarnation: str
@@ -93,20 +93,22 @@
         """
         if not engine.orders:
             return
-        wanted = _digest(engine)
-        mark = f"{wanted}/{incarnation}"
-        if self._done_by_replica.get(engine.name) == mark:
+        desired_digest = _digest(engine)
+        applied = f"{desired_digest}/{incarnation}"
+        if self._applied_by_replica.get(engine.name) == applied:
             return
-        held = await self._acquire(engine, wanted, incarnation)
-        if held is None:
+        lease = await self._acquire_lease(engine, desired_digest, incarnation)
+        if lease is None:
             return
-        if await self._give(engine, client, held):
-            await self._finish(engine, held, wanted, incarnation)
-            self._done_by_replica[engine.name] = mark
+        if await self._send_orders(engine, client, lease):
+            await self._release_lease(
+                engine, lease, desired_digest, incarnation
+            )
+            self._applied_by_replica[engine.name] = applied
 
-    async def _acquire(
-        self, engine: RenderedEngine, wanted: str, incarnation: str
-    ) -> _Held | None:
+    async def _acquire_lease(
+        self, engine: RenderedEngine, desired_digest: str, incarnation: str
+    ) -> _HeldLease | None:
         key = _PREFIX + engine.name
         read = await self._store.read(key)
         if isinstance(read, Failed):
@@ -118,16 +120,18 @@
             if stored
             else OrderRecord()
         )
-        is_done = (record.done_digest, record.done_incarnation) == (
-            wanted,
+        is_applied = (record.done_digest, record.done_incarnation) == (
+            desired_digest,
             incarnation,
         )
-        if is_done and record.released:
-            self._done_by_replica[engine.name] = f"{wanted}/{incarnation}"
+        if is_applied and record.released:
+            self._applied_by_replica[engine.name] = (
+                f"{desired_digest}/{incarnation}"
+            )
             return None
-        if not self._may_take(engine, record, version):
+        if not self._may_acquire(engine, record, version):
             return None
-        taken = record.model_copy(
+        acquired = record.model_copy(
             update={
                 "number": record.number + 1,
                 "holder": self._holder,
@@ -137,35 +141,35 @@
         )
         # Counted from before the write: the others count from when they see
         # it, which is later, so this lease always ends first.
-        until = self._clock() + LEASE_S
+        expires_at = self._clock() + LEASE_S
         written = await self._store.write(
-            key, taken.model_dump_json().encode(), version
+            key, acquired.model_dump_json().encode(), version
         )
         if isinstance(written, Failed):
             return None
-        return _Held(taken, written.unwrap(), until)
+        return _HeldLease(acquired, written.unwrap(), expires_at)
 
-    def _may_take(
+    def _may_acquire(
         self, engine: RenderedEngine, record: OrderRecord, version: int
     ) -> bool:
         is_free = record.released or record.holder == self._holder
         if is_free or engine.obeys_fencing:
             return True
-        seen = self._seen_by_replica.get(engine.name)
-        if seen is None or seen.version != version:
-            seen = _Seen(version, self._clock())
-            self._seen_by_replica[engine.name] = seen
-        lapses_at = seen.at + record.lease_s + _LAPSE_MARGIN_S
-        return self._clock() >= lapses_at
-
-    async def _give(
-        self, engine: RenderedEngine, client: ModelEngine, held: _Held
+        observed = self._observed_by_replica.get(engine.name)
+        if observed is None or observed.version != version:
+            observed = _ObservedRecord(version, self._clock())
+            self._observed_by_replica[engine.name] = observed
+        expires_at = observed.first_seen_at + record.lease_s + _EXPIRY_MARGIN_S
+        return self._clock() >= expires_at
+
+    async def _send_orders(
+        self, engine: RenderedEngine, client: ModelEngine, lease: _HeldLease
     ) -> bool:
-        for wanted in engine.orders:
-            if self._clock() + _LONGEST_ORDER_S > held.until:
+        for desired in engine.orders:
+            if self._clock() + _MAX_ORDER_S > lease.expires_at:
                 return False
             order = Order(
-                OrderKind(wanted.kind), wanted.argument, held.record.number
+                OrderKind(desired.kind), desired.argument, lease.record.number
             )
             outcome = await client.order(order)
             if isinstance(outcome, Success):
@@ -178,26 +182,26 @@
             return False
         return True
 
-    async def _finish(
+    async def _release_lease(
         self,
         engine: RenderedEngine,
-        held: _Held,
-        wanted: str,
+        lease: _HeldLease,
+        desired_digest: str,
         incarnation: str,
     ) -> None:
         # Where this write fails, the next home waits for the lease and gives
         # the same orders again, which loads nothing new.
-        record = held.record.model_copy(
+        record = lease.record.model_copy(
             update={
                 "released": True,
-                "done_digest": wanted,
+                "done_digest": desired_digest,
                 "done_incarnation": incarnation,
             }
         )
         await self._store.write(
             _PREFIX + engine.name,
             record.model_dump_json().encode(),
-            held.version,
+            lease.version,
         )
 
 
