--- a/apps/masticdaled/src/masticdaled/shards/orphans.py
+++ b/apps/masticdaled/src/masticdaled/shards/orphans.py
@@ -11,8 +11,8 @@
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.upstream_clients import UpstreamClients
 
-_CONFIRM_S = 5.0
-_BATCH = 200
+_CONFIRMATION_S = 5.0
+_BATCH_SIZE = 200
 
 
 class OrphanSweeper:
@@ -46,18 +46,21 @@
         if isinstance(held, Failed):
             return
         ids = [program.program_id for program in held.unwrap()]
-        gone = await self._find_gone(ids)
+        gone_ids = await self._find_gone(ids)
         prefix = f"{home.engine.name}/"
         for key in list(self._gone_since_by_key):
-            if key.startswith(prefix) and key.removeprefix(prefix) not in gone:
+            if (
+                key.startswith(prefix)
+                and key.removeprefix(prefix) not in gone_ids
+            ):
                 del self._gone_since_by_key[key]
         now = time.monotonic()
-        for program_id in gone:
+        for program_id in gone_ids:
             key = prefix + program_id
             since = self._gone_since_by_key.setdefault(key, now)
             # Seen gone twice: a program just being created at an owner that
             # another host still believed to be elsewhere is not an orphan.
-            if now - since < _CONFIRM_S:
+            if now - since < _CONFIRMATION_S:
                 continue
             released = await client.release(program_id)
             if isinstance(released, Failed):
@@ -75,14 +78,14 @@
             shard = hashing.shard_of(program_id)
             host = self._cluster.owner_of_shard(shard)
             ids_by_host.setdefault(host, []).append(program_id)
-        gone: set[str] = set()
+        gone_ids: set[str] = set()
         for host, ids in ids_by_host.items():
-            for start in range(0, len(ids), _BATCH):
-                request = StatesRequest(tuple(ids[start : start + _BATCH]))
+            for start in range(0, len(ids), _BATCH_SIZE):
+                request = StatesRequest(tuple(ids[start : start + _BATCH_SIZE]))
                 outcome = await self._cluster.calls(host).states(request)
                 if isinstance(outcome, Failed):
                     continue
                 reply = outcome.unwrap()
                 if reply.failure is None:
-                    gone.update(reply.gone_ids)
-        return gone
+                    gone_ids.update(reply.gone_ids)
+        return gone_ids
--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -38,8 +38,8 @@
 from masticdaled.cluster import Cluster
 from masticdaled.shards.ownership_checks import Ownership, OwnershipChecks
 
-_PATIENCE_S = 3.0
-_OPEN_AT_ONCE = 8
+_HANDOFF_GRACE_S = 3.0
+_MAX_CONCURRENT_OPENS = 8
 _OUTAGE_KINDS = frozenset(
     {ErrorKind.PLATFORM_UNAVAILABLE, ErrorKind.WRITE_UNKNOWN}
 )
@@ -114,7 +114,7 @@
         self._writer = writer
         self._metrics = metrics
         self._shard_by_number: dict[int, Shard] = {}
-        self._opening_by_number: dict[int, asyncio.Lock] = {}
+        self._open_lock_by_number: dict[int, asyncio.Lock] = {}
         self._misplaced_since: dict[int, float] = {}
         self._stopping = False
         self._created_at = time.monotonic()
@@ -129,17 +129,17 @@
             NOT_OWNER, with the host to ask instead, where this is not it.
         """
         number = hashing.shard_of(operation.program_id)
-        if self._is_handing_over(number):
-            return Failed(self._not_owner(number))
-        found = await self._find(number)
+        if self._is_handing_off(number):
+            return Failed(self._not_owner_failure(number))
+        found = await self._find_or_open(number)
         if isinstance(found, Failed):
             return Failed(found.failure())
         shard = found.unwrap()
         ownership = await self._ownership.check(shard)
         if ownership is Ownership.LOST:
-            return Failed(self._not_owner(number))
+            return Failed(self._not_owner_failure(number))
         outcome = await shard.submit(operation, caller)
-        if ownership is Ownership.UNSURE and _is_not_found(outcome):
+        if ownership is Ownership.UNKNOWN and _is_not_found(outcome):
             detail = f"shard {number} cannot be checked"
             return Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail))
         return outcome
@@ -156,7 +156,7 @@
         number = hashing.shard_of(key.program_id)
         shard = self._shard_by_number.get(number)
         if shard is None or not shard.is_owned:
-            return Failed(self._not_owner(number))
+            return Failed(self._not_owner_failure(number))
         return await shard.read(key, workspace, attempt, offset, wait_s)
 
     async def gone_ids(self, program_ids: tuple[str, ...]) -> tuple[str, ...]:
@@ -166,7 +166,7 @@
         """
         gone: list[str] = []
         for program_id in program_ids:
-            found = await self._find(hashing.shard_of(program_id))
+            found = await self._find_or_open(hashing.shard_of(program_id))
             if isinstance(found, Failed):
                 continue
             ownership = await self._ownership.check(found.unwrap())
@@ -190,7 +190,7 @@
     ) -> Result[OwnedProgram, Failure]:
         """Returns one program; NOT_FOUND, or NOT_OWNER with its host."""
         number = hashing.shard_of(program_id)
-        found = await self._find(number)
+        found = await self._find_or_open(number)
         if isinstance(found, Failed):
             return Failed(found.failure())
         shard = found.unwrap()
@@ -216,11 +216,11 @@
         """Sweeps shards and hands over those that belong elsewhere."""
         for number, shard in list(self._shard_by_number.items()):
             if not shard.is_owned:
-                await self._drop(number, shard)
+                await self._close_shard(number, shard)
                 continue
             await shard.sweep()
             await self._rebalance(number, shard)
-        self._ownership.renew(self.held_shards())
+        self._ownership.renew_aging(self.held_shards())
         self._metrics.gauge("shards_held", len(self._shard_by_number))
 
     async def stop(self, finish_s: float) -> None:
@@ -228,16 +228,16 @@
         self._stopping = True
         await asyncio.gather(
             *(
-                self._finish_and_hand_over(number, shard, finish_s)
+                self._finish_and_hand_off(number, shard, finish_s)
                 for number, shard in list(self._shard_by_number.items())
             )
         )
 
     async def force_takeover(self, number: int) -> Result[Shard, Failure]:
         """Takes a shard over, whoever holds it."""
-        lock = self._opening_by_number.setdefault(number, asyncio.Lock())
+        lock = self._open_lock_by_number.setdefault(number, asyncio.Lock())
         async with lock:
-            return await self._take(number, forced=True)
+            return await self._take_over(number, forced=True)
 
     def dump(self) -> JsonValue:
         """Returns the shards' states."""
@@ -246,29 +246,29 @@
             for number, shard in sorted(self._shard_by_number.items())
         }
 
-    async def _find(self, number: int) -> Result[Shard, Failure]:
+    async def _find_or_open(self, number: int) -> Result[Shard, Failure]:
         shard = self._shard_by_number.get(number)
         if shard is not None and shard.is_owned:
             return Success(shard)
-        lock = self._opening_by_number.setdefault(number, asyncio.Lock())
+        lock = self._open_lock_by_number.setdefault(number, asyncio.Lock())
         async with lock:
             shard = self._shard_by_number.get(number)
             if shard is not None and shard.is_owned:
                 return Success(shard)
-            return await self._open(number)
+            return await self._open_if_allowed(number)
 
-    async def _open(self, number: int) -> Result[Shard, Failure]:
-        refused = await self._refuse_to_open(number)
-        if refused is not None:
-            return Failed(refused)
-        return await self._take(number)
+    async def _open_if_allowed(self, number: int) -> Result[Shard, Failure]:
+        refusal = await self._reason_not_to_open(number)
+        if refusal is not None:
+            return Failed(refusal)
+        return await self._take_over(number)
 
-    async def _take(
+    async def _take_over(
         self, number: int, forced: bool = False
     ) -> Result[Shard, Failure]:
-        earlier = self._shard_by_number.get(number)
-        if earlier is not None:
-            await self._drop(number, earlier)
+        previous = self._shard_by_number.get(number)
+        if previous is not None:
+            await self._close_shard(number, previous)
         started = time.monotonic()
         opened = await open_shard(
             self._store,
@@ -287,7 +287,7 @@
             return opened
         shard = opened.unwrap()
         self._shard_by_number[number] = shard
-        self._ownership.opened(number, started)
+        self._ownership.record_takeover(number, started)
         logs.write(
             "shard_opened",
             shard=number,
@@ -297,30 +297,30 @@
         )
         return opened
 
-    async def _refuse_to_open(self, number: int) -> Failure | None:
+    async def _reason_not_to_open(self, number: int) -> Failure | None:
         """Returns why this host should not take a shard over now.
 
         Taking it from a live owner would be safe, since that owner's next
         commit fails, but every call it has in flight would be run again.
         """
         if self._stopping:
-            return self._not_owner(number)
+            return self._not_owner_failure(number)
         if self._cluster.owner_of_shard(number) != self._cluster.host:
-            return self._not_owner(number)
-        head = await read_head(self._store, number)
-        if isinstance(head, Failed):
-            failure: Failure = head.failure()
+            return self._not_owner_failure(number)
+        read = await read_head(self._store, number)
+        if isinstance(read, Failed):
+            failure: Failure = read.failure()
             return failure
-        found = head.unwrap()
-        if found is None or found.released:
+        head = read.unwrap()
+        if head is None or head.released:
             return None
-        if found.owner == self._cluster.host:
+        if head.owner == self._cluster.host:
             return None
-        held = Failure(ErrorKind.NOT_OWNER, f"shard {number}", host=found.owner)
+        held = Failure(ErrorKind.NOT_OWNER, f"shard {number}", host=head.owner)
         for member in self._cluster.membership.members():
-            if member.name != found.owner:
+            if member.name != head.owner:
                 continue
-            is_same = found.writer.startswith(member.beat.incarnation)
+            is_same = head.writer.startswith(member.beat.incarnation)
             return held if is_same else None
         # A host that has just started may not have heard from a live owner
         # yet. Taken over without its lease's end, that owner would answer
@@ -328,16 +328,16 @@
         age_s = time.monotonic() - self._created_at
         return held if age_s < MembershipLimits().lease_s else None
 
-    def _not_owner(self, number: int) -> Failure:
+    def _not_owner_failure(self, number: int) -> Failure:
         host = self._cluster.owner_of_shard(number)
         hint = "" if host == self._cluster.host else host
         return Failure(ErrorKind.NOT_OWNER, f"shard {number}", host=hint)
 
-    def _is_handing_over(self, number: int) -> bool:
+    def _is_handing_off(self, number: int) -> bool:
         if self._stopping:
             return True
         since = self._misplaced_since.get(number)
-        return since is not None and time.monotonic() - since > _PATIENCE_S
+        return since is not None and time.monotonic() - since > _HANDOFF_GRACE_S
 
     async def _rebalance(self, number: int, shard: Shard) -> None:
         if self._cluster.owner_of_shard(number) == self._cluster.host:
@@ -347,24 +347,24 @@
         # A shard that is never idle would never move: after a while new
         # calls are refused with the new owner's name until it is.
         if shard.in_flight == 0:
-            await self._hand_over(number, shard)
+            await self._hand_off(number, shard)
 
-    async def _hand_over(self, number: int, shard: Shard) -> None:
+    async def _hand_off(self, number: int, shard: Shard) -> None:
         self._shard_by_number.pop(number, None)
         self._misplaced_since.pop(number, None)
         await shard.hand_off()
         await shard.close()
         logs.write("shard_handed_over", shard=number)
 
-    async def _finish_and_hand_over(
+    async def _finish_and_hand_off(
         self, number: int, shard: Shard, finish_s: float
     ) -> None:
         deadline = time.monotonic() + finish_s
         while shard.in_flight and time.monotonic() < deadline:
             await asyncio.sleep(0.02)
-        await self._hand_over(number, shard)
+        await self._hand_off(number, shard)
 
-    async def _drop(self, number: int, shard: Shard) -> None:
+    async def _close_shard(self, number: int, shard: Shard) -> None:
         self._shard_by_number.pop(number, None)
         self._misplaced_since.pop(number, None)
         await shard.close()
@@ -377,15 +377,17 @@
         """
         if self._stopping:
             return
-        mine = [
+        assigned = [
             number
             for number in range(hashing.SHARD_COUNT)
             if number not in self._shard_by_number
             and self._cluster.owner_of_shard(number) == self._cluster.host
         ]
-        for start in range(0, len(mine), _OPEN_AT_ONCE):
-            batch = mine[start : start + _OPEN_AT_ONCE]
-            found = await asyncio.gather(*(self._find(n) for n in batch))
+        for start in range(0, len(assigned), _MAX_CONCURRENT_OPENS):
+            batch = assigned[start : start + _MAX_CONCURRENT_OPENS]
+            found = await asyncio.gather(
+                *(self._find_or_open(n) for n in batch)
+            )
             failures = [f.failure() for f in found if isinstance(f, Failed)]
             # One round of timeouts is enough to learn of an outage.
             if any(f.kind in _OUTAGE_KINDS for f in failures):
--- a/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
+++ b/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
@@ -19,12 +19,12 @@
 # A host is taken for dead no sooner than about 1.9 s after it last ran: its
 # lease of 2.5 s less one heartbeat. What was read 1.5 s ago still holds then.
 _VALID_S = 1.5
-_RENEW_S = 0.75
+_RENEW_AFTER_S = 0.75
 # How long a call waits for the platform while it is known not to answer, in
 # seconds.
-_OUTAGE_WAIT_S = 0.5
+_MAX_OUTAGE_WAIT_S = 0.5
 # The same while it is not: longer than the platform's client takes to give up.
-_WAIT_S = 3.0
+_MAX_WAIT_S = 3.0
 # A failure says for this long that the platform does not answer, in seconds:
 # longer than the next question takes to fail too.
 _OUTAGE_S = 3.0
@@ -35,7 +35,7 @@
 
     HELD = enum.auto()
     LOST = enum.auto()
-    UNSURE = enum.auto()
+    UNKNOWN = enum.auto()
 
 
 class OwnershipChecks:
@@ -46,7 +46,7 @@
         self._check_by_shard: dict[int, asyncio.Task[None]] = {}
         self._failed_at = -_OUTAGE_S
 
-    def opened(self, number: int, at: float) -> None:
+    def record_takeover(self, number: int, at: float) -> None:
         """Notes that a shard was taken over.
 
         Args:
@@ -62,16 +62,16 @@
             shard: A shard that this host believes to hold.
 
         Returns:
-            UNSURE where the platform does not answer in time. Nobody can take
+            UNKNOWN where the platform does not answer in time. Nobody can take
             a shard over while it is down, so its owner carries on; what it
             does not know may nevertheless exist.
         """
         if self._age_s(shard) <= _VALID_S:
             return Ownership.HELD
-        limit_s = _OUTAGE_WAIT_S if self._is_outage else _WAIT_S
+        limit_s = _MAX_OUTAGE_WAIT_S if self._is_outage else _MAX_WAIT_S
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit_s):
-                await self._ask_anew(shard)
+                await self._check_again(shard)
         if not shard.is_owned:
             return Ownership.LOST
         if self._age_s(shard) <= _VALID_S:
@@ -82,20 +82,20 @@
             age_s=round(self._age_s(shard), 3),
             outage=self._is_outage,
         )
-        return Ownership.UNSURE
+        return Ownership.UNKNOWN
 
-    def renew(self, shards: Iterable[Shard]) -> None:
+    def renew_aging(self, shards: Iterable[Shard]) -> None:
         """Asks again before answers run out, off the calls' path."""
         for shard in shards:
-            if self._age_s(shard) > _RENEW_S:
-                self._renew(shard)
+            if self._age_s(shard) > _RENEW_AFTER_S:
+                self._start_check(shard)
 
     @property
     def _is_outage(self) -> bool:
         now = asyncio.get_running_loop().time()
         return now < self._failed_at + _OUTAGE_S
 
-    async def _ask_anew(self, shard: Shard) -> None:
+    async def _check_again(self, shard: Shard) -> None:
         """Waits for an answer to a question that is asked from now on.
 
         One that was under way when this host was paused is answered as things
@@ -106,7 +106,7 @@
         if earlier is not None and not earlier.done():
             await asyncio.wait([earlier])
         if shard.is_owned and self._age_s(shard) > _VALID_S:
-            await asyncio.wait([self._renew(shard)])
+            await asyncio.wait([self._start_check(shard)])
 
     def _age_s(self, shard: Shard) -> float:
         held_at = self._held_at_by_shard.get(shard.number)
@@ -114,20 +114,20 @@
             return float("inf")
         return asyncio.get_running_loop().time() - held_at
 
-    def _renew(self, shard: Shard) -> asyncio.Task[None]:
+    def _start_check(self, shard: Shard) -> asyncio.Task[None]:
         task = self._check_by_shard.get(shard.number)
         if task is not None and not task.done():
             return task
-        task = asyncio.create_task(self._ask(shard))
+        task = asyncio.create_task(self._query_owner(shard))
         self._check_by_shard[shard.number] = task
         return task
 
-    async def _ask(self, shard: Shard) -> None:
+    async def _query_owner(self, shard: Shard) -> None:
         # The time before the question: the answer may be as old as that.
-        asked_at = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         outcome = await shard.check_ownership()
         if isinstance(outcome, Success):
-            self._held_at_by_shard[shard.number] = asked_at
+            self._held_at_by_shard[shard.number] = started_at
         elif outcome.failure().kind is ErrorKind.NOT_OWNER:
             self._held_at_by_shard.pop(shard.number, None)
         else:
--- a/apps/masticdaled/tests/test_ownership_checks.py
+++ b/apps/masticdaled/tests/test_ownership_checks.py
@@ -46,9 +46,9 @@
         async def ask():
             checks = OwnershipChecks()
             loop = asyncio.get_running_loop()
-            checks.opened(shard.number, loop.time())
+            checks.record_takeover(shard.number, loop.time())
             await asyncio.sleep(renewed_at_s)
-            checks.renew([shard])
+            checks.renew_aging([shard])
             await asyncio.sleep(PAUSE_S)
             return await checks.check(shard)
 
@@ -74,16 +74,16 @@
             checks = OwnershipChecks()
             loop = asyncio.get_running_loop()
             shard = ShardStub((2.0, AWAY), (2.0, AWAY))
-            checks.opened(shard.number, loop.time())
+            checks.record_takeover(shard.number, loop.time())
             await asyncio.sleep(1.0)
-            checks.renew([shard])
+            checks.renew_aging([shard])
             await asyncio.sleep(2.1)
             began = loop.time()
             outcome = await checks.check(shard)
             return outcome, loop.time() - began
 
         outcome, took_s = testing_time.run(ask())
-        self.assertIs(outcome, Ownership.UNSURE)
+        self.assertIs(outcome, Ownership.UNKNOWN)
         self.assertLess(took_s, 0.6)
 
 
