--- a/apps/masticdaled/src/masticdaled/execution/__init__.py
+++ b/apps/masticdaled/src/masticdaled/execution/__init__.py
@@ -1,1 +1,1 @@
-"""Model and service calls of the programs owned here."""
+"""Executes model and service calls of the programs that this host owns."""
--- a/apps/masticdaled/src/masticdaled/execution/crash_checks.py
+++ b/apps/masticdaled/src/masticdaled/execution/crash_checks.py
@@ -1,4 +1,8 @@
-"""An owner's side of crash suspects: it asks the content digest's home."""
+"""Admission of model calls by the homes of their content digests.
+
+The home of a content digest is the host that counts the crashes of requests
+with that content and quarantines them.
+"""
 
 import asyncio
 import time
@@ -20,20 +24,23 @@
 
 
 class DigestHomeClient:
-    """Asks and tells the homes of content digests."""
+    """Requests admission from the homes of content digests."""
 
     def __init__(self, cluster: Cluster, background: Background) -> None:
         self._cluster = cluster
         self._background = background
 
     async def wait_until_admitted(self, run: Run, sink: TextSink) -> Admission:
-        """Asks the content digest's home again until the call may run.
+        """Repeats the admission request until it is decided.
+
+        A request that crashes replicas may be repeated under new ids and at
+        any host. Its digest's home recognizes it and admits it at most twice.
 
-        A request that crashes replicas comes again under new ids and at any
-        host; its digest's home knows it and lets it run at most twice.
+        Returns:
+            WAIT if the call's deadline passes first.
         """
         while time.monotonic() < run.call.deadline:
-            sink.set_wait_reason("a run of the same content")
+            sink.set_wait_reason("another run of the same content")
             await asyncio.sleep(_ADMISSION_RETRY_S)
             admission = await self.request_admission(run)
             if admission is not Admission.WAIT:
@@ -41,21 +48,22 @@
         return Admission.WAIT
 
     async def request_admission(self, run: Run) -> Admission:
-        """Asks the home of a call's content whether it may run now."""
+        """Asks the home of a call's content digest whether it may run now."""
         for host in self._cluster.digest_homes(run.call.content_digest):
             run.asked_hosts.add(host)
             reply = await self._send(host, run, "admit")
             if isinstance(reply, Success) and not reply.unwrap().failure:
                 return Admission(reply.unwrap().admission)
-        # Neither home answers: run apart from others rather than not at all,
-        # so that a crash still has one cause.
+        # Neither the home nor its standby answers. The call runs alone, so that
+        # a crash can be attributed to it.
         return Admission.RUN_EXCLUSIVE
 
     def report_end(self, run: Run, action: str) -> None:
-        """Ends the run at every home that was asked, off the answer's path.
+        """Reports the end of a run to every home asked, in the background.
 
-        A home that answered too late began the run as well; left open there,
-        it would hold up the same content for as long as its lease.
+        A home whose answer timed out may have admitted the run too. If it is
+        not told of the end, it blocks the same content until the run's lease
+        expires.
         """
         for host in run.asked_hosts:
             request = self._request(run, action)
@@ -66,10 +74,10 @@
     async def _report_until_acknowledged(
         self, host: str, request: SuspectRequest
     ) -> None:
-        """Tells a home that a run ended, also past a silent connection.
+        """Repeats the report of a run's end until the home acknowledges it.
 
-        Lost once, the news would leave the run open, and the same content,
-        also of another program, would wait for it in vain.
+        A lost report leaves the run open, and calls with the same content,
+        also those of other programs, wait for it.
         """
         for _ in range(_REPORT_ATTEMPTS):
             calls = self._cluster.calls(host)
--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -1,4 +1,4 @@
-"""Runs calls at upstreams: placement, admission, retries, at-most-once."""
+"""Executes model and service calls: admission, placement, queues, retries."""
 
 import asyncio
 import dataclasses
@@ -88,10 +88,10 @@
             failure = outcome.failure()
             now = time.monotonic()
             if failure.kind in MOVING_KINDS and now < call.deadline:
-                # Waiting for a home to settle is no retry of a call: counted
-                # as one, a planned stop would use the retry budget up and
-                # callers would be refused.
-                sink.set_wait_reason("a home that moves")
+                # A home is moving to another host. This wait does not count
+                # as a retry: a planned stop would otherwise exhaust the retry
+                # budget and fail calls.
+                sink.set_wait_reason("a home that is moving to another host")
                 await asyncio.sleep(_MOVE_RETRY_S)
                 continue
             decision = decide_retry(
@@ -118,7 +118,7 @@
         return await self._services.look_up(call)
 
     async def close(self) -> None:
-        """Drops what still runs in the background."""
+        """Stops the background tasks."""
         await self._background.close()
 
     async def release(
@@ -127,8 +127,7 @@
         """See ``Executor.release``."""
         engine = self._in_force.current.upstreams.by_name.get(replica)
         if not isinstance(engine, RenderedEngine):
-            # A replica that is no longer declared takes no orders from us and
-            # its memory went with it.
+            # The replica is no longer declared, so there is nothing to release.
             return Success(None)
         outcome = await self._clients.engine(engine).release(program_id)
         if isinstance(outcome, Success):
@@ -139,8 +138,8 @@
     async def _run_attempt(
         self, run: Run, sink: TextSink
     ) -> Result[ModelResult, Failure]:
-        # A new id each time: the last try's end is told off the path and
-        # must not end this one.
+        # A new id for each attempt: the end of the previous attempt is reported
+        # in the background and must not end this one.
         run.run_id = secrets.token_hex(8)
         run.asked_hosts.clear()
         action = "ended"
@@ -229,10 +228,10 @@
             await self._release_ticket(release)
 
     async def _release_ticket(self, release: TicketRelease) -> None:
-        """Gives a ticket back; waits only where a crash must be known first.
+        """Releases a ticket, in the background unless the replica crashed.
 
-        The retry after a crash asks the suspects' home, which the replica's
-        home tells before it answers.
+        After a crash it waits: the replica's home reports the crash to the
+        digest homes before it answers, and the retry asks those for admission.
         """
         if release.crashed:
             await asyncio.shield(self._tickets.release(release))
@@ -245,7 +244,7 @@
 
 
 class _Attempt:
-    """One send of a call: its times, and what is told of its end."""
+    """One request to an engine, with its times."""
 
     def __init__(
         self, ticket: TicketRequest, engine: RenderedEngine, sink: TextSink
@@ -257,12 +256,12 @@
         self._first_token_at = 0.0
 
     def on_chunk(self, chunk: Chunk) -> None:
-        """Takes text as it comes."""
+        """Appends the streamed text to the sink."""
         self._first_token_at = self._first_token_at or time.monotonic()
         self._sink.append(chunk.text)
 
     def release(self, completion: Completion) -> TicketRelease:
-        """Returns what the replica's home is told."""
+        """Returns the release that reports the usage to the replica's home."""
         first_token_s = max(0.0, self._first_token_at - self.started)
         return TicketRelease(
             self._ticket.ticket_id,
@@ -275,7 +274,7 @@
         )
 
     def result(self, completion: Completion) -> ModelResult:
-        """Returns what the owner commits."""
+        """Returns the result that the owner commits."""
         return ModelResult(
             completion.text,
             self._engine.name,
@@ -304,7 +303,10 @@
 
 
 def _record_failure(run: Run, engine: RenderedEngine, failure: Failure) -> bool:
-    """Notes a failed send; returns whether the replica may have crashed."""
+    """Records a failed request; returns whether the replica may have crashed.
+
+    A request that reached no upstream does not count as an attempt.
+    """
     if failure.kind is ErrorKind.NO_UPSTREAM:
         run.attempts -= 1
     run.failed_replicas.add(engine.name)
@@ -312,10 +314,10 @@
 
 
 def _failure_for_caller(failure: Failure, run: Run) -> Failure:
-    """Returns the failure the caller is told.
+    """Returns the failure to report to the caller.
 
-    The last try may have been refused before it was sent, while an earlier
-    one ran: "not run" would then be untrue.
+    A failure that says the call did not run is replaced if an earlier attempt
+    was sent, since that one may have run.
     """
     if run.attempts == 0 and failure.kind is not ErrorKind.UPSTREAM_FAILED:
         return failure
--- a/apps/masticdaled/src/masticdaled/execution/runs.py
+++ b/apps/masticdaled/src/masticdaled/execution/runs.py
@@ -1,4 +1,4 @@
-"""One model call while it is tried, as the executor's parts share it."""
+"""The state of a model call that the parts of the executor share."""
 
 import dataclasses
 
@@ -8,17 +8,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """One model call while it is tried.
+    """A model call in execution, over all of its attempts.
 
     Attributes:
         call: The call.
-        run_id: Names the present try to the digest's home.
-        prompt_tokens: Tokens of the prompt, estimated.
-        failed_replicas: Where it failed; not tried again.
-        attempts: Times it was sent.
-        reply_by_replica: What the homes last told of the probed replicas.
-        exclusive: Whether it must run with nothing else in flight.
-        asked_hosts: Digest homes that this try asked for admission.
+        run_id: Identifies the current attempt to the digest's home.
+        prompt_tokens: Estimated tokens of the prompt.
+        failed_replicas: Replicas to avoid: an attempt failed there, or
+            placement found them unusable.
+        attempts: How often the call was sent.
+        reply_by_replica: The last probe reply for each probed replica.
+        exclusive: Whether nothing else may be in flight at its replica.
+        asked_hosts: Digest homes asked for admission in this attempt.
     """
 
     call: ModelCall
@@ -34,7 +35,7 @@
 
 
 def prefix_note(call: ModelCall) -> PrefixNote:
-    """Returns the names by which a home knows a call's prefix."""
+    """Returns the ids and sizes by which a home looks up cached prefixes."""
     return PrefixNote(
         branch_id=call.branch_id,
         template_digest=call.template_digest,
