--- a/apps/masticdaled/src/masticdaled/execution/placement.py
+++ b/apps/masticdaled/src/masticdaled/execution/placement.py
@@ -1,4 +1,4 @@
-"""Placement of a call: probes of a few homes, then the routing library."""
+"""Placement of model calls: probes a few replicas and picks the cheapest."""
 
 import asyncio
 
@@ -25,13 +25,12 @@
 _PROBE_TIMEOUT_S = 0.5
 _PROBE_COUNT = 3
 _NEW_BRANCH_PROBE_COUNT = 9
-_DEFAULT_DECODE_TOKENS_PER_S = (
-    50.0  # Tokens a second, where no probed replica has served yet.
-)
+# Assumed where no probed replica has completed a call.
+_DEFAULT_DECODE_TOKENS_PER_S = 50.0
 
 
 class Placer:
-    """Places calls by the cost in seconds that the homes tell."""
+    """Places calls by their expected cost in seconds."""
 
     def __init__(
         self,
@@ -50,10 +49,11 @@
         """Probes a few replicas and chooses among them.
 
         Args:
-            run: The call; what the homes told is noted in it.
+            run: The call. Its probe replies and unusable replicas are updated.
 
         Returns:
-            The placement, or NO_UPSTREAM.
+            The placement; NO_UPSTREAM where no replica can take the call;
+            NOT_OWNER while homes are moving to other hosts.
         """
         engines = self._usable_engines(run)
         if not engines:
@@ -61,8 +61,8 @@
         engine_by_name = {engine.name: engine for engine in engines}
         locations = [Location(e.name, e.failure_domain) for e in engines]
         last_replica = run.call.replica
-        # A new branch stays where it begins, so many are asked
-        # (docs/POLICY.md).
+        # A branch stays on the replica of its first turn, so a new one probes
+        # more replicas.
         count = (
             _PROBE_COUNT
             if last_replica in engine_by_name
@@ -98,10 +98,10 @@
         if isinstance(placed, Success):
             return placed
         if any(_is_moving(reply) for reply in replies):
-            # Not refused: a host that stops has given its homes up and the
-            # next ones have not yet heard of it.
+            # A stopping host has released its homes and the hosts that take
+            # them over do not know it yet. The caller retries shortly.
             return Failed(Failure(ErrorKind.NOT_OWNER, "homes are moving"))
-        # Those probed are full or gone; the next try probes others.
+        # The probed replicas are full or gone; the next attempt probes others.
         run.failed_replicas.update(names)
         return placed
 
@@ -155,10 +155,10 @@
     max_decode_tokens_per_s: float,
     exported_tokens: int,
 ) -> Candidate:
-    """Returns a probed replica as placement sees it.
+    """Returns the placement candidate of a probed replica.
 
-    A replica that has served nothing yet counts as fast as the fastest: with
-    a guess of its own it would look slow and never be tried.
+    A replica that has not completed a call is assumed to decode as fast as the
+    fastest one probed. With a lower estimate it might never be chosen.
     """
     if reply.failure is not None or not reply.usable:
         return Candidate(engine.name, engine.failure_domain, usable=False)
@@ -181,7 +181,10 @@
 def _tokens_saved_by_import(
     engine: RenderedEngine, reply: ProbeReply, exported_tokens: int
 ) -> int:
-    """Returns what an import saves, in tokens that need not be computed."""
+    """Returns the tokens of recomputation that an import saves.
+
+    The time of the transfer is deducted.
+    """
     if engine.transfer_tokens_per_s <= 0:
         return 0
     transfer_share = reply.prefill_tokens_per_s / engine.transfer_tokens_per_s
--- a/apps/masticdaled/src/masticdaled/execution/tickets.py
+++ b/apps/masticdaled/src/masticdaled/execution/tickets.py
@@ -1,4 +1,4 @@
-"""An owner's side of admission: it waits for a ticket at a replica's home."""
+"""Client of the admission queues that the homes of replicas keep."""
 
 import asyncio
 import dataclasses
@@ -31,7 +31,10 @@
 
 
 class TicketClient:
-    """The tickets that this host's owners wait for."""
+    """Acquires and releases tickets for the calls of this host.
+
+    A ticket admits one call to one replica.
+    """
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
@@ -39,7 +42,10 @@
         self._waiter_by_ticket_id: dict[str, _Waiter] = {}
 
     def handle_grant(self, notice: GrantNotice) -> None:
-        """Takes a home's notice; one without tickets says: offer again."""
+        """Handles a grant notice.
+
+        A notice without tickets asks to offer all tickets of its replica again.
+        """
         for ticket_id in notice.ticket_ids:
             waiter = self._waiter_by_ticket_id.get(ticket_id)
             if waiter is not None:
@@ -54,15 +60,16 @@
     async def acquire(
         self, request: TicketRequest, deadline: float
     ) -> Result[None, Failure]:
-        """Waits until the call may be sent to its replica.
+        """Waits until the replica's home grants the ticket.
 
         Args:
-            request: The ticket; its times are renewed with each offer.
-            deadline: Monotonic seconds after which nobody waits.
+            request: The ticket; each offer updates its wait time and deadline.
+            deadline: Monotonic seconds after which to give up.
 
         Returns:
-            The home's refusal, NO_UPSTREAM where it is not to be had, or
-            DEADLINE_EXCEEDED. After any failure the ticket is withdrawn.
+            The home's refusal, such as NO_UPSTREAM where the replica takes no
+            work, or DEADLINE_EXCEEDED. After any failure the ticket is
+            withdrawn.
         """
         waiter = _Waiter(request.replica)
         self._waiter_by_ticket_id[request.ticket_id] = waiter
@@ -77,7 +84,7 @@
                 self._withdraw(request)
 
     async def release(self, release: TicketRelease) -> None:
-        """Gives a ticket back to the replica's home."""
+        """Releases a ticket at the replica's home."""
         for _ in range(_RELEASE_ATTEMPTS):
             home = self._cluster.home_of(release.replica)
             outcome = await self._cluster.calls(home).release(release)
