--- a/apps/masticdaled/src/masticdaled/execution/service_calls.py
+++ b/apps/masticdaled/src/masticdaled/execution/service_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: sent once, or again where that is harmless."""
+"""Calls to services, with retries of repeatable operations."""
 
 import asyncio
 import time
@@ -22,7 +22,7 @@
 
 
 class ServiceCaller:
-    """Sends calls to the services in turn."""
+    """Sends service calls round-robin over the services of an operation."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._rotation = 0
 
     def is_repeatable(self, workspace: str, operation: str) -> bool:
-        """See ``Executor.is_repeatable``; an unknown operation is not."""
+        """See ``Executor.is_repeatable``; False for an unknown operation."""
         services = self._directory.services(workspace, operation)
         if not services:
             return False
@@ -46,8 +46,8 @@
     async def call(self, call: ServiceCall) -> Result[str, Failure]:
         """See ``Executor.call_service``.
 
-        An answer that was lost is asked for again only where the operation
-        may be repeated.
+        A call whose answer was lost is retried only if its operation is
+        repeatable.
         """
         if not self.is_repeatable(call.workspace, call.operation):
             return await self._call_once(call)
@@ -70,9 +70,9 @@
             await asyncio.sleep(decision.delay_s)
 
     async def _call_once(self, call: ServiceCall) -> Result[str, Failure]:
-        """Sends a call, to the next replica where one surely did not run it.
+        """Sends a call, failing over only where it certainly did not run.
 
-        After anything else the call is not sent again.
+        Only NO_UPSTREAM says so; any other failure is returned.
         """
         failure = Failure(ErrorKind.NO_UPSTREAM, call.operation)
         for service in self._round_robin(call):
@@ -124,10 +124,10 @@
 
 
 def _as_retryable(failure: Failure) -> Failure:
-    """Returns the failure of a call that may be sent again.
+    """Maps OUTCOME_UNKNOWN to UPSTREAM_FAILED for a repeatable call.
 
-    "Outcome unknown" tells a caller that it must decide what to do; here the
-    request can simply be sent again.
+    OUTCOME_UNKNOWN leaves the decision to the caller, whereas a repeatable call
+    can be retried here.
     """
     if failure.kind is not ErrorKind.OUTCOME_UNKNOWN:
         return failure
--- a/apps/masticdaled/src/masticdaled/execution/tool_pauses.py
+++ b/apps/masticdaled/src/masticdaled/execution/tool_pauses.py
@@ -1,9 +1,9 @@
-"""Prefixes through tool pauses: copied out where that is cheaper.
+"""Offloading of cached prefixes during tool pauses.
 
-At the end of each turn the owner weighs, by the routing library's pause model,
-what the pause is expected to cost: a prefix that will probably be evicted
-before its program returns is exported, and imported back, or into the replica
-that the next turn goes to, instead of being computed again.
+At the end of each turn, the routing library's pause model estimates the cost of
+the pause. A prefix that is likely to be evicted before its program returns is
+exported, and imported into the replica of the next turn in place of recomputing
+it.
 """
 
 import collections
@@ -27,19 +27,19 @@
 
 _MAX_BRANCHES = 20_000
 _ANY_TOOL = ""
-# What a kept prefix displaces of others is left out: counting it, prefixes were
-# given up that came back (docs/POLICY.md).
+# The cost of a kept prefix to other prefixes is left out. With it, the model
+# gives up prefixes of programs that do return.
 _REUSE_SHARE = 0.0
 
 
 @dataclasses.dataclass(slots=True)
 class _PausedBranch:
-    """What is known of a branch between two turns.
+    """A branch between two turns.
 
     Attributes:
-        finished_at: When its last turn ended.
-        handle: Its exported prefix; empty for none.
-        tokens: Tokens of the export.
+        finished_at: Monotonic time at which its last turn ended.
+        handle: Handle of its exported prefix; empty for none.
+        tokens: Tokens of the exported prefix.
     """
 
     finished_at: float
@@ -49,13 +49,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Residence:
-    """How long an unused token stays at a replica; 0 while nothing presses."""
+    """How long an unused token stays cached; 0 while nothing is evicted."""
 
     seconds: float = 0.0
 
 
 class PrefixOffloader:
-    """Decides for the branches whose turns run from this host."""
+    """Exports and imports the prefixes of the branches that this host runs."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -66,33 +66,34 @@
         self._background = Background()
 
     def record_return(self, call: ModelCall) -> None:
-        """Learns how long a branch's pause was."""
+        """Records the length of the pause that ends with a call."""
         paused = self._paused_by_branch.get(_branch_key(call))
         if paused is not None:
             pause_s = time.monotonic() - paused.finished_at
             self._pause_model.observe(PauseKey(call.kind, _ANY_TOOL), pause_s)
 
     def exported_tokens(self, call: ModelCall) -> int:
-        """Returns the tokens of a branch's export, 0 for none."""
+        """Returns the tokens of a branch's exported prefix; 0 for none."""
         paused = self._paused_by_branch.get(_branch_key(call))
         return paused.tokens if paused is not None else 0
 
     async def import_prefix(
         self, call: ModelCall, engine: ModelEngine, cached_tokens: int
     ) -> None:
-        """Imports a branch's prefix where the replica has less of it.
+        """Imports a branch's prefix if the export is longer than the cache.
 
         Args:
             call: The call about to be sent.
-            engine: Where it goes.
-            cached_tokens: Tokens the replica is believed to hold.
+            engine: Client of the replica that it is sent to.
+            cached_tokens: Tokens that the replica's home expects to be cached.
         """
         paused = self._paused_by_branch.get(_branch_key(call))
         if paused is None or paused.tokens <= cached_tokens:
             return
         outcome = await engine.import_cache(paused.handle)
         if isinstance(outcome, Failed):
-            # The export is gone or the engine cannot: computed again instead.
+            # The export is gone or the engine does not support imports. The
+            # engine recomputes the prefix.
             paused.handle, paused.tokens = "", 0
             return
         self._metrics.count("cache_imports_total")
@@ -106,7 +107,7 @@
         result: ModelResult,
         residence: Residence,
     ) -> None:
-        """Begins a branch's pause and copies its prefix out if that pays."""
+        """Starts a branch's pause and exports its prefix if that is cheaper."""
         branch = _branch_key(call)
         earlier = self._paused_by_branch.pop(branch, None)
         paused = earlier or _PausedBranch(0.0)
@@ -131,7 +132,7 @@
         self._background.spawn(self._export(branch, paused, client, tokens))
 
     def remove_program(self, program_id: str) -> None:
-        """Forgets an ended program."""
+        """Removes the branches of an ended program."""
         ended = [
             b for b in self._paused_by_branch if b.program_id == program_id
         ]
