--- a/apps/masticdaled/src/masticdaled/replicas/home.py
+++ b/apps/masticdaled/src/masticdaled/replicas/home.py
@@ -1,4 +1,4 @@
-"""One replica as its home keeps it."""
+"""The state of a replica at its home."""
 
 import dataclasses
 
@@ -15,30 +15,31 @@
     TicketResult,
 )
 
-# Health checks without an answer, one after the other, after which a replica
-# gets no new work.
+# Consecutive health checks without an answer after which a replica gets no new
+# work.
 MAX_MISSED_HEALTH_CHECKS = 2
 
 
 @dataclasses.dataclass(slots=True)
 class ReplicaHome:
-    """What this host keeps for one replica.
+    """The state of a replica whose home is this host.
 
     Attributes:
         engine: The replica's declaration.
-        queue: Who runs there and who waits.
-        prefixes: What its cache holds.
-        request_by_ticket: The granted and waiting tickets as they came.
-        incarnation: Process of the engine when last asked; empty at first.
-        misses: Health checks without an answer since the last with one.
-        is_tripped: Its queue is closed because its circuit is open.
-        says_leaving: The engine's own word when it was last asked.
-        is_leaving: The engine or the platform's list says that it leaves.
-        events_position: Where the next cache events begin.
-        ticks: Health checks so far.
-        circuit: Keeps new work away after calls that failed one after another.
-        evictions: Tokens its cache evicts a second.
-        incarnation_by_ticket: Engine process that each ticket was granted at.
+        queue: The running and waiting tickets.
+        prefixes: Index of the prefixes in its cache.
+        request_by_ticket: Requests of the granted and waiting tickets.
+        incarnation: Engine process at the last health check; empty before.
+        missed_checks: Consecutive health checks without an answer.
+        is_tripped: Whether its queue is closed because its circuit is open.
+        reported_leaving: Whether the engine last reported that it leaves.
+        is_leaving: Whether the engine, its declaration or the platform's list
+            says that it leaves.
+        events_position: Position of the next cache event to read.
+        check_count: Health checks made.
+        circuit: Circuit breaker, opened by consecutive failed calls.
+        evictions: Rate at which its cache evicts tokens.
+        incarnation_by_ticket: Engine process at the grant of each ticket.
     """
 
     engine: RenderedEngine
@@ -59,7 +60,7 @@
     )
 
     def residence_ms(self, now: float) -> int:
-        """Returns how long an unused token stays; 0 while nothing presses."""
+        """Returns how long an unused token stays; 0 without evictions."""
         rate = self.evictions.tokens_per_s(now)
         if rate <= 0 or not self.prefixes.capacity_tokens:
             return 0
@@ -67,7 +68,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """True while it may get new work."""
+        """True while the replica may get new work."""
         return (
             not self.is_leaving
             and self.missed_checks < MAX_MISSED_HEALTH_CHECKS
@@ -75,7 +76,7 @@
 
 
 def ticket_of(request: TicketRequest, now: float) -> Ticket:
-    """Returns the queue's ticket of a request that came now."""
+    """Returns the ticket of a request, with times on this host's clock."""
     return Ticket(
         ticket_id=request.ticket_id,
         origin=request.origin,
@@ -94,7 +95,7 @@
 
 
 def result_of(release: TicketRelease) -> TicketResult:
-    """Returns what the queue learns from a call that has ended."""
+    """Returns the result of a call that a release reports."""
     return TicketResult(
         crashed=release.crashed,
         prompt_tokens=release.prompt_tokens,
@@ -106,7 +107,7 @@
 
 
 def prefix_request_of(request: TicketRequest | ProbeRequest) -> PrefixRequest:
-    """Returns what the prefix index asks of a prompt."""
+    """Returns the lookup of a request's prompt in the prefix index."""
     note = request.prefix
     parent = None
     if note.parent_id:
--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -1,4 +1,4 @@
-"""Homes of replicas: the queue before each engine, its health and prefixes."""
+"""Homes of replicas: admission queues, health checks and prefix indexes."""
 
 import asyncio
 import time
@@ -54,7 +54,7 @@
 
 
 class ReplicaHomes:
-    """The replicas whose home this host is."""
+    """Admits calls to the replicas whose home is this host."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         self._background = Background()
 
     def set_leaving(self, names: Iterable[str]) -> None:
-        """Takes the upstreams that the platform's list shows as leaving."""
+        """Sets the upstreams that the platform's list shows as leaving."""
         self._leaving_names = frozenset(names)
         for home in self._home_by_replica.values():
             self._refresh_leaving(home)
@@ -86,7 +86,7 @@
         return replica in self._leaving_names
 
     def enqueue(self, request: TicketRequest) -> TicketReply:
-        """Queues a call before its replica; idempotent by ticket id."""
+        """Queues a call for its replica; idempotent by ticket id."""
         home = self._find_home(request.replica)
         if isinstance(home, Failure):
             return TicketReply(failure=home)
@@ -106,10 +106,10 @@
         return TicketReply(failure=offer.failure)
 
     async def release(self, release: TicketRelease) -> None:
-        """Ends a granted ticket; a crash is told to its suspects' homes.
+        """Ends a granted ticket and reports a crash to the digest homes.
 
-        The call returns after the suspects' homes know, so that the owner's
-        retry, which asks them first, cannot overtake the news.
+        It returns after the report, so that the owner's retry, which asks the
+        digest homes for admission, cannot overtake it.
         """
         home = self._home_by_replica.get(release.replica)
         if home is None:
@@ -122,8 +122,8 @@
         if release.crashed:
             home.circuit.record_failure(now)
             if not home.circuit.allows(now) and not home.is_tripped:
-                # Granting on would send every waiting call into the same
-                # failure and spend a retry on each.
+                # If the queue stayed open, every waiting call would fail too
+                # and spend a retry.
                 home.is_tripped = True
                 self._close(home, "fails its calls")
         elif release.generated_tokens:
@@ -138,7 +138,7 @@
         self._notify_granted(home)
 
     def withdraw(self, release: TicketRelease) -> None:
-        """Forgets a ticket whose caller left."""
+        """Removes a ticket whose caller gave up."""
         home = self._home_by_replica.get(release.replica)
         if home is None:
             return
@@ -148,7 +148,7 @@
         self._notify_granted(home)
 
     def probe(self, request: ProbeRequest) -> ProbeReply:
-        """Returns the wait to expect and what of the prompt is cached."""
+        """Returns the expected wait and the cached tokens of a prompt."""
         home = self._find_home(request.replica)
         if isinstance(home, Failure):
             return ProbeReply(failure=home)
@@ -183,17 +183,17 @@
         )
 
     def record_released(self, replica: str, program_id: str) -> None:
-        """Notes that a replica holds nothing more for a program."""
+        """Records that a replica has released the memory of a program."""
         home = self._home_by_replica.get(replica)
         if home is not None:
             home.prefixes.remove_program(program_id)
 
     def held_homes(self) -> tuple[ReplicaHome, ...]:
-        """Returns the homes this host holds."""
+        """Returns the state of each replica whose home is this host."""
         return tuple(self._home_by_replica.values())
 
     def members_changed(self, change: MembershipChange) -> None:
-        """Drops homes that moved and tickets of hosts that died."""
+        """Drops homes that moved and tickets of dead or restarted hosts."""
         now = time.monotonic()
         live = {member.name for member in change.members}
         for replica in list(self._home_by_replica):
@@ -209,19 +209,19 @@
             self._notify_granted(home)
 
     async def tick(self) -> None:
-        """Checks the health of every replica; run twice a second."""
+        """Starts a health check of every replica; call it twice a second."""
         self._open_homes()
         for replica, home in self._home_by_replica.items():
             running = self._check_task_by_replica.get(replica)
-            # One engine that does not answer must not hold up the checks of
-            # the others: a leaving one would go on getting work meanwhile.
+            # A task for each replica: an engine that does not answer must not
+            # delay the checks of the others, which may be leaving.
             if running is None or running.done():
                 self._check_task_by_replica[replica] = asyncio.create_task(
                     self._check(home)
                 )
 
     def dump(self) -> JsonValue:
-        """Returns every queue's state."""
+        """Returns the state of every replica as JSON."""
         now = time.monotonic()
         return {
             replica: {
@@ -235,7 +235,7 @@
         }
 
     async def close(self) -> None:
-        """Stops telling grants."""
+        """Stops the notices, health checks and order tasks."""
         await self._background.close()
         tasks = [
             *self._order_task_by_replica.values(),
@@ -311,7 +311,8 @@
         if home.incarnation and home.incarnation != report.incarnation:
             home.prefixes.clear()
         if not home.incarnation:
-            # Granted before the first check: at the process seen first.
+            # Tickets granted before the first check belong to the process that
+            # it finds.
             for ticket_id in home.incarnation_by_ticket:
                 home.incarnation_by_ticket[ticket_id] = report.incarnation
         home.incarnation = report.incarnation
@@ -329,7 +330,7 @@
             await observe(home, client)
 
     def _start_order_task(self, home: ReplicaHome) -> None:
-        """Gives orders beside the health checks, which must not wait."""
+        """Sends orders in a separate task, so that health checks do not wait."""
         running = self._order_task_by_replica.get(home.engine.name)
         if running is not None and not running.done():
             return
@@ -357,8 +358,8 @@
         dropped = home.queue.close(failure, time.monotonic())
         for ticket in dropped.waiting:
             home.request_by_ticket.pop(ticket.ticket_id, None)
-        # Owners offer waiting tickets again within a second and are refused
-        # with NO_UPSTREAM, upon which they place the call elsewhere.
+        # The owners offer their waiting tickets again, are refused with
+        # NO_UPSTREAM and place the calls elsewhere.
         self._notify(home, [t.origin for t in dropped.waiting], [])
 
     def _drop_origin(self, home: ReplicaHome, origin: str, now: float) -> None:
@@ -396,6 +397,6 @@
             self._background.spawn(self._send_notice(origin, notice))
 
     async def _send_notice(self, origin: str, notice: GrantNotice) -> None:
-        # A lost notice is made good by the owner, which offers its ticket
-        # again each second and is then told that it was granted.
+        # A lost notice is harmless: the owner offers its ticket again each
+        # second and learns of the grant from the reply.
         await self._cluster.calls(origin).grant(notice)
