--- a/apps/masticdaled/src/masticdaled/replicas/crash_reports.py
+++ b/apps/masticdaled/src/masticdaled/replicas/crash_reports.py
@@ -1,4 +1,4 @@
-"""Tells the homes of content digests which calls were in flight at a crash."""
+"""Reports of calls in flight at a crash to the homes of their digests."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class CrashReporter:
-    """Reports each crash of a replica once."""
+    """Reports each crash of a replica once to the homes of the digests."""
 
     def __init__(self, cluster: Cluster, metrics: Metrics) -> None:
         self._cluster = cluster
@@ -20,16 +20,17 @@
     async def report_crash(
         self, home: ReplicaHome, current_incarnation: str
     ) -> None:
-        """Makes every call in flight at a crash a suspect, once.
+        """Reports the calls that were in flight at an engine process now gone.
 
-        One crash breaks all streams of the replica and each owner reports
-        it. Counted each time, an innocent call would reach two crashes; so a
-        ticket is a suspect only for the process that it was granted at, and
-        is forgotten with its first report.
+        A crash breaks all streams of a replica, and every owner reports it.
+        A ticket is therefore reported only if its engine process is gone, and
+        only once. Otherwise one crash counts several times and quarantines
+        harmless requests.
 
         Args:
-            home: The replica's home.
-            current_incarnation: The process that answers now; empty for none.
+            home: The state of the replica.
+            current_incarnation: The engine process that answers now; empty
+                for none.
         """
         granted_at = home.incarnation_by_ticket
         lost_ids = {
--- a/apps/masticdaled/src/masticdaled/replicas/crash_suspects.py
+++ b/apps/masticdaled/src/masticdaled/replicas/crash_suspects.py
@@ -1,4 +1,4 @@
-"""Homes of content digests: which requests may run after a crash."""
+"""Home of content digests: decides which requests may run after a crash."""
 
 import dataclasses
 import json
@@ -32,10 +32,10 @@
 
 
 class DigestHome:
-    """The registry of the digests whose home, or stand-by, this host is.
+    """Admits runs of the digests whose home or standby this host is.
 
-    Each crash is counted at both hosts and written to the platform, so that
-    the count outlives any one of them.
+    Both hosts count each crash, and the count is stored on the platform, so it
+    survives the loss of either host.
     """
 
     def __init__(self, store: ObjectStore) -> None:
@@ -47,10 +47,11 @@
         self._is_stale = True
 
     def members_changed(self, change: MembershipChange) -> None:
-        """Ends runs of dead hosts; digests may have moved here, too.
+        """Ends the runs of dead and restarted hosts; marks the records stale.
 
-        A dead owner never ends its run. Its turn is run again by the next
-        owner, with the same content, and would wait for the dead run.
+        A dead owner does not report the end of its run. The next owner repeats
+        the turn with the same content and would wait for that run. Digests may
+        also have moved to this host, whose records lack them.
         """
         self._is_stale = True
         live = {member.name for member in change.members}
@@ -60,7 +61,7 @@
                 self._end(run_id, run.digest)
 
     async def handle(self, request: SuspectRequest) -> SuspectReply:
-        """Admits or notes a run; see ``SuspectRequest``."""
+        """Handles an action on runs; see ``SuspectRequest``."""
         if request.action == "admit":
             return await self._admit(request)
         if request.action == "crashed":
@@ -82,7 +83,7 @@
         return SuspectReply(failure=Failure(ErrorKind.BAD_REQUEST, detail))
 
     async def refresh(self) -> None:
-        """Reads what other homes recorded, if the platform answers."""
+        """Merges the records stored on the platform, if it answers."""
         outcome = await self._store.list(PREFIX)
         self._refreshed_at = time.monotonic()
         if not isinstance(outcome, Success):
@@ -94,17 +95,17 @@
             self._registry.merge([record])
 
     async def tick(self) -> None:
-        """Refreshes now and then; run each second."""
+        """Refreshes the records periodically; call it once a second."""
         if time.monotonic() - self._refreshed_at > _REFRESH_INTERVAL_S:
             await self.refresh()
 
     def quarantined(self) -> tuple[SuspectRecord, ...]:
-        """Returns the given-up requests."""
+        """Returns the records of quarantined requests."""
         refused = SuspectState.REFUSED
         return tuple(r for r in self._registry.records() if r.state is refused)
 
     async def release(self, digest: str) -> bool:
-        """Lets a given-up request run again; False where none is known."""
+        """Releases a request from quarantine; False if it is unknown."""
         await self.refresh()
         record = self._registry.release(digest)
         if record is None:
@@ -113,7 +114,7 @@
         return True
 
     def dump(self) -> JsonValue:
-        """Returns the records."""
+        """Returns the records as JSON."""
         return [
             {
                 "digest": record.digest,
@@ -125,8 +126,9 @@
 
     async def _admit(self, request: SuspectRequest) -> SuspectReply:
         since_s = time.monotonic() - self._refreshed_at
-        # With the platform down each read takes its whole timeout, and every
-        # turn would wait for one; what is known must do until it answers.
+        # Limits the reads: while the platform is down, each one takes its whole
+        # timeout and would delay a turn. Until it answers, the records known
+        # here decide.
         if self._is_stale and since_s > _REFRESH_RETRY_S:
             self._refreshed_at = time.monotonic()
             await self.refresh()
