--- a/apps/masticdaled/src/masticdaled/replicas/observation.py
+++ b/apps/masticdaled/src/masticdaled/replicas/observation.py
@@ -1,4 +1,4 @@
-"""What a replica's home reads from its engine, beside its orders."""
+"""Reads the health, the load and the cache events of engines."""
 
 import asyncio
 import time
@@ -11,22 +11,20 @@
 from masticdale_upstreams import CacheEventKind, Health, ModelEngine
 from masticdaled.replicas.home import ReplicaHome
 
-# Longest wait for a health check, in seconds: a check runs twice a second,
-# and two missed ones close the replica.
 _HEALTH_TIMEOUT_S = 1.5
 
 
 async def read_health(client: ModelEngine) -> Result[Health, Failure]:
-    """Asks an engine for its health; NO_UPSTREAM where it is silent."""
+    """Reads an engine's health; NO_UPSTREAM if it does not answer in time."""
     try:
         async with asyncio.timeout(_HEALTH_TIMEOUT_S):
             return await client.health()
     except TimeoutError:
-        return Failed(Failure(ErrorKind.NO_UPSTREAM, "health timed out"))
+        return Failed(Failure(ErrorKind.NO_UPSTREAM, "health check timed out"))
 
 
 async def observe(home: ReplicaHome, client: ModelEngine) -> None:
-    """Takes an engine's load and the changes of its cache."""
+    """Updates a replica's state by its engine's load and cache events."""
     now = time.monotonic()
     load = await client.load()
     if isinstance(load, Success):
--- a/apps/masticdaled/src/masticdaled/replicas/orders.py
+++ b/apps/masticdaled/src/masticdaled/replicas/orders.py
@@ -1,9 +1,10 @@
-"""Orders to engines: what a declaration wants loaded, given by one home only.
+"""Orders to engines to load what their declaration lists, from one home only.
 
-``orders/{replica}`` on the platform names the home that may give orders and
-its fencing number. Engines that obey refuse a smaller number. To engines that
-ignore it, a new home gives orders only after the earlier home's lease has
-lapsed on its own clock, and a home stops in time before its lease does.
+The object ``orders/{replica}`` on the platform holds a lease: the home that
+may send orders, and its fencing number. Engines that obey fencing refuse orders
+with a smaller number. For engines that ignore it, a new home waits until the
+previous lease has expired on its own clock, and a home sends no order that
+might outlast its lease.
 """
 
 import dataclasses
@@ -20,23 +21,23 @@
 from masticdale_upstreams import ModelEngine, Order, OrderKind
 
 LEASE_S = 15.0
-# Clocks of two hosts may run at slightly different speeds, and an order that
-# was sent at the lease's end may take as long as a call to be obeyed.
+# Added to another home's lease: the clocks of two hosts may drift, and an order
+# sent at the end of the lease may still be in progress.
 _EXPIRY_MARGIN_S = 6.0
 _MAX_ORDER_S = 5.0
 _PREFIX = "orders/"
 
 
 class OrderRecord(pydantic.BaseModel):
-    """The object that names who gives orders to a replica.
+    """The stored lease on the orders of a replica.
 
     Attributes:
-        number: Fencing number; grows with each holder.
+        number: Fencing number; increases with each acquisition.
         holder: Process that holds the lease.
-        lease_s: How long it may give orders after it wrote this.
-        released: True once it has finished.
-        done_digest: Digest of the orders last obeyed.
-        done_incarnation: Engine process that obeyed them.
+        lease_s: Seconds after this write in which it may send orders.
+        released: Whether the holder has released the lease.
+        done_digest: Digest of the orders that were last applied.
+        done_incarnation: Engine process that applied them.
     """
 
     number: int = 0
@@ -49,7 +50,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _ObservedRecord:
-    """A record as it was first seen here, on this host's clock."""
+    """When this host first read a version of a record, on its own clock."""
 
     version: int
     first_seen_at: float
@@ -65,7 +66,7 @@
 
 
 class OrderDispatcher:
-    """Gives each replica the orders its declaration wants."""
+    """Sends each replica the orders of its declaration."""
 
     def __init__(
         self,
@@ -84,12 +85,13 @@
     async def reconcile(
         self, engine: RenderedEngine, client: ModelEngine, incarnation: str
     ) -> None:
-        """Gives what is wanted and was not obeyed yet; idempotent.
+        """Sends the declared orders unless they are applied already.
 
         Args:
             engine: The replica's declaration.
-            client: Talks to it.
-            incarnation: Its process now; a restart forgets what it loaded.
+            client: Client of the replica's engine.
+            incarnation: The current engine process. A restarted engine has lost
+                what it loaded.
         """
         if not engine.orders:
             return
@@ -139,8 +141,8 @@
                 "released": False,
             }
         )
-        # Counted from before the write: the others count from when they see
-        # it, which is later, so this lease always ends first.
+        # Counted from before the write. Other hosts count from their first read
+        # of it, which is later, so the holder's lease expires first.
         expires_at = self._clock() + LEASE_S
         written = await self._store.write(
             key, acquired.model_dump_json().encode(), version
@@ -189,8 +191,8 @@
         desired_digest: str,
         incarnation: str,
     ) -> None:
-        # Where this write fails, the next home waits for the lease and gives
-        # the same orders again, which loads nothing new.
+        # If this write fails, the next home waits for the lease to expire and
+        # sends the same orders again, which is harmless.
         record = lease.record.model_copy(
             update={
                 "released": True,
