--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -330,7 +330,7 @@
             await observe(home, client)
 
     def _start_order_task(self, home: ReplicaHome) -> None:
-        """Sends orders in a separate task, so that health checks do not wait."""
+        """Sends orders in a task of its own; health checks must not wait."""
         running = self._order_task_by_replica.get(home.engine.name)
         if running is not None and not running.done():
             return
