--- a/apps/masticdaled/src/masticdaled/shards/__init__.py
+++ b/apps/masticdaled/src/masticdaled/shards/__init__.py
@@ -1,1 +1,1 @@
-"""The program shards that this host owns."""
+"""Ownership of program shards, and copies of the records of shards."""
--- a/apps/masticdaled/src/masticdaled/shards/copies.py
+++ b/apps/masticdaled/src/masticdaled/shards/copies.py
@@ -1,4 +1,4 @@
-"""Copies of shards' records on peers, for outages of the platform."""
+"""Copies of shard records on peers, used while the platform is down."""
 
 from collections.abc import Sequence
 
@@ -25,7 +25,7 @@
 
 
 class PeerCopyHolders:
-    """The daemon's ``CopyHolders``: peers in other failure domains."""
+    """Implements ``CopyHolders`` by RPCs to peers in other failure domains."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
@@ -74,7 +74,7 @@
 
 
 class CopyService:
-    """Holds other hosts' copies here."""
+    """Serves the copies that other hosts keep on this host."""
 
     def __init__(self, store: CopyStore) -> None:
         self._store = store
--- a/apps/masticdaled/src/masticdaled/shards/orphans.py
+++ b/apps/masticdaled/src/masticdaled/shards/orphans.py
@@ -1,4 +1,4 @@
-"""Engine memory held for programs that are gone: found and released."""
+"""Releases engine memory that is held for ended or unknown programs."""
 
 import time
 
@@ -16,10 +16,10 @@
 
 
 class OrphanSweeper:
-    """Compares each replica's list of programs with their owners.
+    """Releases programs held at replicas that ended or are unknown.
 
-    A release is owed by the program's record, but memory can also be held by
-    a call that an owner sent just before it died, of which no record speaks.
+    The record of a program lists the releases due, but no record covers memory
+    that is held by a call which an owner sent just before it died.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._gone_since_by_key: dict[str, float] = {}
 
     async def sweep(self) -> None:
-        """Looks at every replica whose home is here; run now and then."""
+        """Sweeps every replica whose home is here; call it periodically."""
         for home in self._homes.held_homes():
             await self._sweep_replica(home)
 
@@ -58,8 +58,8 @@
         for program_id in gone_ids:
             key = prefix + program_id
             since = self._gone_since_by_key.setdefault(key, now)
-            # Seen gone twice: a program just being created at an owner that
-            # another host still believed to be elsewhere is not an orphan.
+            # A program must be missing for some time. While it is created at
+            # an owner that this host does not know of yet, it is no orphan.
             if now - since < _CONFIRMATION_S:
                 continue
             released = await client.release(program_id)
