--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -1,4 +1,4 @@
-"""The program shards that this host owns: taken over, served, handed over."""
+"""The program shards that this host owns, from takeover to handoff."""
 
 import asyncio
 import dataclasses
@@ -46,7 +46,7 @@
 
 
 def render_kind(program: RenderedProgram, revision: int) -> ProgramKind:
-    """Returns what a program keeps of its declaration, and its budget."""
+    """Returns the program kind of a declared program, with its budget."""
     body = program.body
     budget = program.budget
     return ProgramKind(
@@ -66,7 +66,7 @@
 def find_kind(
     config: RenderedConfig, workspace_name: str, kind_name: str
 ) -> ProgramKind | None:
-    """Returns a program kind in force, or None where it is not declared."""
+    """Returns a program kind of the active configuration, or None."""
     workspace = config.workspace_by_name.get(workspace_name)
     if workspace is None:
         return None
@@ -78,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnedProgram:
-    """A program and the shard that holds it here."""
+    """A program and the owned shard that contains it."""
 
     number: int
     shard: Shard
@@ -92,7 +92,7 @@
 
 
 class OwnedShards:
-    """Opens shards on demand and hands them over when they belong elsewhere."""
+    """Opens shards on demand and hands off those that belong to other hosts."""
 
     def __init__(
         self,
@@ -123,10 +123,12 @@
     async def submit(
         self, operation: Operation, caller: Caller
     ) -> Result[OperationResult, Failure]:
-        """Runs or accepts an operation on a program owned here.
+        """Executes an operation on a program, opening its shard if needed.
 
         Returns:
-            NOT_OWNER, with the host to ask instead, where this is not it.
+            The shard's result; NOT_OWNER, with the host to ask instead, if this
+            host does not own the program; PLATFORM_UNAVAILABLE if the program
+            is not found and the ownership cannot be checked.
         """
         number = hashing.shard_of(operation.program_id)
         if self._is_handing_off(number):
@@ -152,7 +154,7 @@
         offset: int,
         wait_s: float,
     ) -> Result[StreamPart, Failure]:
-        """Follows an answer; see ``Shard.read``."""
+        """Reads an answer stream; see ``Shard.read``."""
         number = hashing.shard_of(key.program_id)
         shard = self._shard_by_number.get(number)
         if shard is None or not shard.is_owned:
@@ -160,9 +162,9 @@
         return await shard.read(key, workspace, attempt, offset, wait_s)
 
     async def gone_ids(self, program_ids: tuple[str, ...]) -> tuple[str, ...]:
-        """Returns which of the programs have ended or never existed here.
+        """Returns which of the programs have ended or never existed.
 
-        Programs of shards that this host cannot serve now are not named.
+        Programs of shards that this host cannot serve now are left out.
         """
         gone: list[str] = []
         for program_id in program_ids:
@@ -178,7 +180,7 @@
         return tuple(gone)
 
     def programs(self) -> Iterator[OwnedProgram]:
-        """Returns every program owned here."""
+        """Returns every program in the owned shards."""
         for number, shard in self._shard_by_number.items():
             if not shard.is_owned:
                 continue
@@ -188,7 +190,7 @@
     async def find_program(
         self, program_id: str
     ) -> Result[OwnedProgram, Failure]:
-        """Returns one program; NOT_FOUND, or NOT_OWNER with its host."""
+        """Returns a program; NOT_FOUND, or NOT_OWNER with the owning host."""
         number = hashing.shard_of(program_id)
         found = await self._find_or_open(number)
         if isinstance(found, Failed):
@@ -200,20 +202,20 @@
         return Success(OwnedProgram(number, shard, program))
 
     async def check_ownership(self) -> None:
-        """Gives up shards that were taken over while this host stood still.
+        """Checks all owned shards for takeovers, such as after a pause.
 
-        Until its next commit fails, a host that was paused past its lease
-        would go on accepting calls that can never be committed.
+        A host that was paused past its lease would otherwise accept calls that
+        it cannot commit, until its first commit fails.
         """
         shards = self.held_shards()
         await asyncio.gather(*(shard.check_ownership() for shard in shards))
 
     def held_shards(self) -> tuple[Shard, ...]:
-        """Returns the shards this host holds now."""
+        """Returns the shards that this host owns now."""
         return tuple(s for s in self._shard_by_number.values() if s.is_owned)
 
     async def tick(self) -> None:
-        """Sweeps shards and hands over those that belong elsewhere."""
+        """Sweeps the shards and hands off those that belong to other hosts."""
         for number, shard in list(self._shard_by_number.items()):
             if not shard.is_owned:
                 await self._close_shard(number, shard)
@@ -224,7 +226,11 @@
         self._metrics.gauge("shards_held", len(self._shard_by_number))
 
     async def stop(self, finish_s: float) -> None:
-        """Hands every shard over; calls in flight are finished first."""
+        """Hands off every shard after its calls in flight.
+
+        Args:
+            finish_s: Longest wait for the calls of a shard, in seconds.
+        """
         self._stopping = True
         await asyncio.gather(
             *(
@@ -234,13 +240,13 @@
         )
 
     async def force_takeover(self, number: int) -> Result[Shard, Failure]:
-        """Takes a shard over, whoever holds it."""
+        """Takes over a shard even from a live owner."""
         lock = self._open_lock_by_number.setdefault(number, asyncio.Lock())
         async with lock:
             return await self._take_over(number, forced=True)
 
     def dump(self) -> JsonValue:
-        """Returns the shards' states."""
+        """Returns the states of the shards as JSON."""
         return {
             str(number): shard.describe()
             for number, shard in sorted(self._shard_by_number.items())
@@ -298,10 +304,10 @@
         return opened
 
     async def _reason_not_to_open(self, number: int) -> Failure | None:
-        """Returns why this host should not take a shard over now.
+        """Returns why this host should not take over a shard now, or None.
 
-        Taking it from a live owner would be safe, since that owner's next
-        commit fails, but every call it has in flight would be run again.
+        A takeover from a live owner is safe, since that owner's next commit
+        fails, but it repeats every call that the owner has in flight.
         """
         if self._stopping:
             return self._not_owner_failure(number)
@@ -322,9 +328,9 @@
                 continue
             is_same = head.writer.startswith(member.beat.incarnation)
             return held if is_same else None
-        # A host that has just started may not have heard from a live owner
-        # yet. Taken over without its lease's end, that owner would answer
-        # from memory, which it renews on the strength of that lease.
+        # A host that has just started may not have heard from a live owner yet.
+        # Until that owner's lease expires it may answer from memory, so a
+        # takeover would let it serve stale reads.
         age_s = time.monotonic() - self._created_at
         return held if age_s < MembershipLimits().lease_s else None
 
@@ -344,8 +350,8 @@
             self._misplaced_since.pop(number, None)
             return
         self._misplaced_since.setdefault(number, time.monotonic())
-        # A shard that is never idle would never move: after a while new
-        # calls are refused with the new owner's name until it is.
+        # A shard is handed off when it is idle. One that stays busy refuses new
+        # calls after a grace period, so that it becomes idle.
         if shard.in_flight == 0:
             await self._hand_off(number, shard)
 
@@ -370,10 +376,10 @@
         await shard.close()
 
     async def open_assigned(self) -> None:
-        """Opens shards that belong here, so that nothing waits for a caller.
+        """Opens the shards assigned to this host without waiting for a call.
 
-        Programs of a dead owner expire, and owe releases of engine memory,
-        also when their callers never come back.
+        Programs of a dead owner must expire and release engine memory even if
+        their callers do not return.
         """
         if self._stopping:
             return
@@ -389,6 +395,6 @@
                 *(self._find_or_open(n) for n in batch)
             )
             failures = [f.failure() for f in found if isinstance(f, Failed)]
-            # One round of timeouts is enough to learn of an outage.
+            # Stops at the first sign of an outage; each batch would time out.
             if any(f.kind in _OUTAGE_KINDS for f in failures):
                 return
