--- a/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
+++ b/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
@@ -1,9 +1,9 @@
-"""Makes sure that a shard is still this host's before it answers from memory.
+"""Checks that this host still owns a shard before it answers from memory.
 
-A host that was paused or cut off past its lease finds its shards taken over
-only at its next commit. Until then it would answer from old memory: a turn
-acknowledged by the next owner looks lost, and a program begun there looks as
-if it did not exist. Commits need no such check, since they are fenced.
+A host that was paused or partitioned past its lease detects a takeover only at
+its next commit. Until then its reads would be stale: a turn acknowledged by the
+next owner looks lost, and a program created there looks missing. Commits need
+no such check, since they are fenced.
 """
 
 import asyncio
@@ -16,22 +16,21 @@
 from masticdale_common import ErrorKind, logs
 from masticdale_programs import Shard
 
-# A host is taken for dead no sooner than about 1.9 s after it last ran: its
-# lease of 2.5 s less one heartbeat. What was read 1.5 s ago still holds then.
+# Shorter than the earliest time at which a silent host is considered dead:
+# about 1.9 s, its lease of 2.5 s less one heartbeat.
 _VALID_S = 1.5
 _RENEW_AFTER_S = 0.75
-# How long a call waits for the platform while it is known not to answer, in
-# seconds.
+# Longest wait of a call for a check during a known outage of the platform.
 _MAX_OUTAGE_WAIT_S = 0.5
-# The same while it is not: longer than the platform's client takes to give up.
+# Longest wait of a call otherwise; exceeds the platform client's timeout.
 _MAX_WAIT_S = 3.0
-# A failure says for this long that the platform does not answer, in seconds:
-# longer than the next question takes to fail too.
+# How long a failed check counts as an outage; exceeds the time that the next
+# check takes to fail.
 _OUTAGE_S = 3.0
 
 
 class Ownership(enum.Enum):
-    """What is known of a shard's owner."""
+    """Whether this host owns a shard."""
 
     HELD = enum.auto()
     LOST = enum.auto()
@@ -39,7 +38,7 @@
 
 
 class OwnershipChecks:
-    """When the platform last said of each shard that it is this host's."""
+    """Checks and caches the ownership of shards."""
 
     def __init__(self) -> None:
         self._held_at_by_shard: dict[int, float] = {}
@@ -47,24 +46,24 @@
         self._failed_at = -_OUTAGE_S
 
     def record_takeover(self, number: int, at: float) -> None:
-        """Notes that a shard was taken over.
+        """Records that this host has taken over a shard.
 
         Args:
-            number: The shard.
-            at: Monotonic time before the takeover was written.
+            number: Number of the shard.
+            at: Monotonic time before the takeover was written, in seconds.
         """
         self._held_at_by_shard[number] = at
 
     async def check(self, shard: Shard) -> Ownership:
-        """Returns whether a shard may be answered for from memory.
+        """Returns whether this host may answer for a shard from memory.
 
         Args:
-            shard: A shard that this host believes to hold.
+            shard: A shard that this host believes to own.
 
         Returns:
-            UNKNOWN where the platform does not answer in time. Nobody can take
-            a shard over while it is down, so its owner carries on; what it
-            does not know may nevertheless exist.
+            UNKNOWN if the platform does not answer in time. No host can take
+            a shard over during an outage, so the owner continues to serve it,
+            but a program missing from its memory may exist.
         """
         if self._age_s(shard) <= _VALID_S:
             return Ownership.HELD
@@ -85,7 +84,7 @@
         return Ownership.UNKNOWN
 
     def renew_aging(self, shards: Iterable[Shard]) -> None:
-        """Asks again before answers run out, off the calls' path."""
+        """Starts checks of shards whose last check is about to expire."""
         for shard in shards:
             if self._age_s(shard) > _RENEW_AFTER_S:
                 self._start_check(shard)
@@ -96,11 +95,11 @@
         return now < self._failed_at + _OUTAGE_S
 
     async def _check_again(self, shard: Shard) -> None:
-        """Waits for an answer to a question that is asked from now on.
+        """Waits for a check that starts from now on.
 
-        One that was under way when this host was paused is answered as things
-        stood before; a host that took that for an outage answered from memory
-        what the next owner had changed.
+        A check already in progress is not enough. If it began before this host
+        was paused, it may predate a takeover, and the host would answer with
+        stale state.
         """
         earlier = self._check_by_shard.get(shard.number)
         if earlier is not None and not earlier.done():
@@ -123,7 +122,7 @@
         return task
 
     async def _query_owner(self, shard: Shard) -> None:
-        # The time before the question: the answer may be as old as that.
+        # Measured before the read, whose result may be as old as that.
         started_at = asyncio.get_running_loop().time()
         outcome = await shard.check_ownership()
         if isinstance(outcome, Success):
