--- a/apps/masticdaled/tests/test_orders.py
+++ b/apps/masticdaled/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders to engines: one home at a time, fenced or by lease."""
+"""Tests of orders to engines: only one home sends them at a time."""
 
 import dataclasses
 import unittest
@@ -27,7 +27,7 @@
         RenderedOrder("load_adapter", "zones"),
     ),
 )
-IGNORES = dataclasses.replace(ENGINE, obeys_fencing=False)
+NON_FENCING_ENGINE = dataclasses.replace(ENGINE, obeys_fencing=False)
 
 
 class OrdersTest(unittest.IsolatedAsyncioTestCase):
@@ -36,53 +36,60 @@
         self.engine = FakeEngine()
         self.now = 100.0
 
-    def giver(self, holder):
+    def create_dispatcher(self, holder):
         return OrderDispatcher(self.store, holder, Metrics(), lambda: self.now)
 
-    def given(self):
+    def sent_orders(self):
         return [(o.kind.value, o.fencing) for o in self.engine.orders]
 
-    async def test_orders_are_given_once_for_each_engine_process(self):
-        first, second = self.giver("a"), self.giver("b")
-        for giver in (first, first, second):
-            await giver.reconcile(ENGINE, self.engine, "process-1")
+    async def test_orders_are_sent_once_per_engine_process(self):
+        first, second = self.create_dispatcher("a"), self.create_dispatcher("b")
+        for dispatcher in (first, first, second):
+            await dispatcher.reconcile(ENGINE, self.engine, "process-1")
         expected = [("load_model", 1), ("load_adapter", 1)]
-        self.assertEqual(self.given(), expected)
+        self.assertEqual(self.sent_orders(), expected)
         await second.reconcile(ENGINE, self.engine, "process-2")
         self.assertEqual(
-            self.given()[2:], [("load_model", 2), ("load_adapter", 2)]
+            self.sent_orders()[2:], [("load_model", 2), ("load_adapter", 2)]
         )
 
-    async def test_new_home_fences_the_earlier_one_off(self):
+    async def test_new_home_fences_off_the_previous_one(self):
         # Operators see one model loaded although two hosts took themselves
         # for the home: the engine refused the order of the deposed one,
         # which had taken its number before it was paused.
         self.engine.faults.down = True
-        await self.giver("a").reconcile(ENGINE, self.engine, "process-1")
+        await self.create_dispatcher("a").reconcile(
+            ENGINE, self.engine, "process-1"
+        )
         self.engine.faults.down = False
-        await self.giver("b").reconcile(ENGINE, self.engine, "process-1")
-        self.assertEqual({fencing for _, fencing in self.given()}, {2})
+        await self.create_dispatcher("b").reconcile(
+            ENGINE, self.engine, "process-1"
+        )
+        self.assertEqual({fencing for _, fencing in self.sent_orders()}, {2})
 
-    async def test_engine_that_ignores_fencing_waits_for_the_lease(self):
-        # Home a took the lease and was cut off from the engine. Home b may
-        # not give orders before a's lease has surely lapsed, because the
-        # engine would obey both.
+    async def test_new_home_waits_for_the_lease_of_a_non_fencing_engine(self):
+        # Home a holds the lease and is partitioned from the engine, which would
+        # obey both homes, so b must wait until a's lease has certainly expired.
         self.engine.faults.down = True
-        await self.giver("a").reconcile(IGNORES, self.engine, "process-1")
+        await self.create_dispatcher("a").reconcile(
+            NON_FENCING_ENGINE, self.engine, "process-1"
+        )
         self.engine.faults.down = False
-        taker = self.giver("b")
-        await taker.reconcile(IGNORES, self.engine, "process-1")
+        successor = self.create_dispatcher("b")
+        await successor.reconcile(NON_FENCING_ENGINE, self.engine, "process-1")
         self.now += LEASE_S
-        await taker.reconcile(IGNORES, self.engine, "process-1")
-        self.assertEqual(self.given(), [])
+        await successor.reconcile(NON_FENCING_ENGINE, self.engine, "process-1")
+        self.assertEqual(self.sent_orders(), [])
         self.now += LEASE_S
-        await taker.reconcile(IGNORES, self.engine, "process-1")
-        self.assertEqual(len(self.given()), 2)
+        await successor.reconcile(NON_FENCING_ENGINE, self.engine, "process-1")
+        self.assertEqual(len(self.sent_orders()), 2)
 
-    async def test_nothing_is_ordered_while_the_platform_is_down(self):
+    async def test_no_orders_are_sent_while_the_platform_is_down(self):
         self.store.faults.down = True
-        await self.giver("a").reconcile(ENGINE, self.engine, "process-1")
-        self.assertEqual(self.given(), [])
+        await self.create_dispatcher("a").reconcile(
+            ENGINE, self.engine, "process-1"
+        )
+        self.assertEqual(self.sent_orders(), [])
 
 
 if __name__ == "__main__":
