--- a/apps/masticdaled/tests/test_homes.py
+++ b/apps/masticdaled/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Tests of the homes of replicas: leaving, crashes, queues."""
+"""Tests of the homes of replicas."""
 
 import asyncio
 import unittest
@@ -27,7 +27,7 @@
         return self.fakes.setdefault(upstream.name, FakeEngine())
 
 
-def ticket(number):
+def ticket_request(number):
     return TicketRequest(
         ticket_id=f"t{number}",
         replica=REPLICA,
@@ -73,25 +73,24 @@
         await self.homes.tick()
         await asyncio.sleep(0.05)
 
-    async def test_list_does_not_take_back_what_the_engine_says_itself(self):
-        # Callers' turns went on to an engine that had said it leaves: each
-        # reading of the platform's list, which did not show it yet, opened
-        # its queue again until the next health check.
+    async def test_list_does_not_override_an_engine_that_reports_leaving(self):
+        # Guards against new work for a leaving engine: a platform list that
+        # does not show it yet must not reopen its queue.
         await self.check()
-        self.assertTrue(self.homes.enqueue(ticket(1)).granted)
+        self.assertTrue(self.homes.enqueue(ticket_request(1)).granted)
         self.clients.fakes[REPLICA].leaving = True
         await self.check()
         self.homes.set_leaving(())
-        refused = self.homes.enqueue(ticket(2)).failure
+        refused = self.homes.enqueue(ticket_request(2)).failure
         self.assertIs(refused.kind, ErrorKind.NO_UPSTREAM)
         self.clients.fakes[REPLICA].leaving = False
         await self.check()
-        self.assertTrue(self.homes.enqueue(ticket(3)).granted)
+        self.assertTrue(self.homes.enqueue(ticket_request(3)).granted)
 
-    async def test_engine_on_the_list_as_leaving_gets_no_new_work(self):
+    async def test_engine_listed_as_leaving_gets_no_new_work(self):
         await self.check()
         self.homes.set_leaving([REPLICA])
-        refused = self.homes.enqueue(ticket(1)).failure
+        refused = self.homes.enqueue(ticket_request(1)).failure
         self.assertIs(refused.kind, ErrorKind.NO_UPSTREAM)
 
 
