--- a/apps/masticdaled/tests/test_ownership_checks.py
+++ b/apps/masticdaled/tests/test_ownership_checks.py
@@ -1,4 +1,4 @@
-"""Tests of what a host may still answer from memory."""
+"""Tests of the ownership checks before answers from memory."""
 
 import asyncio
 import unittest
@@ -11,13 +11,13 @@
 from masticdaled.shards.ownership_checks import Ownership, OwnershipChecks
 
 NOT_OWNER = Failed(Failure(ErrorKind.NOT_OWNER))
-AWAY = Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
+UNAVAILABLE = Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE))
 # A pause past the lease, in seconds.
 PAUSE_S = 4.0
 
 
-class ShardStub:
-    """A shard whose head is read so slowly, with these answers."""
+class FakeShard:
+    """A shard whose ownership checks return the given delays and outcomes."""
 
     number = 3
 
@@ -34,15 +34,13 @@
 
 
 class PausedHostTest(unittest.TestCase):
-    """A read shows a history without a turn that was acknowledged.
+    """Stale reads at an owner that was paused past its lease.
 
-    The owner stands still past its lease, another host takes the shard and
-    acknowledges a turn. The old owner goes on and handles the read first. It
-    asks the platform, which answers, and yet it answers from memory. Seen
-    once in CI beside a load of 20: [] in place of ['first'].
+    Another host takes over the shard meanwhile and acknowledges a turn, which a
+    read at the resumed owner must not miss.
     """
 
-    def check(self, shard, renewed_at_s):
+    def check_after_pause(self, shard, renewed_at_s):
         async def ask():
             checks = OwnershipChecks()
             loop = asyncio.get_running_loop()
@@ -54,26 +52,23 @@
 
         return testing_time.run(ask())
 
-    def test_an_answer_from_before_the_pause_decides_nothing(self):
-        """A question was under way when the host was paused.
+    def test_check_started_before_the_pause_is_not_used(self):
+        """A check from before the takeover completes after the pause."""
+        shard = FakeShard((PAUSE_S + 0.1, Success(None)), (0.01, NOT_OWNER))
+        self.assertIs(self.check_after_pause(shard, 0.8), Ownership.LOST)
 
-        Its answer, from before the takeover, is what the read waited for.
-        """
-        shard = ShardStub((PAUSE_S + 0.1, Success(None)), (0.01, NOT_OWNER))
-        self.assertIs(self.check(shard, 0.8), Ownership.LOST)
+    def test_slow_check_is_waited_for(self):
+        """The platform is slow, which must not count as an outage."""
+        shard = FakeShard((0.01, Success(None)), (0.8, NOT_OWNER))
+        self.assertIs(self.check_after_pause(shard, 0.8), Ownership.LOST)
 
-    def test_a_slow_answer_is_waited_for(self):
-        """The platform answers in 0.8 s, on a busy machine."""
-        shard = ShardStub((0.01, Success(None)), (0.8, NOT_OWNER))
-        self.assertIs(self.check(shard, 0.8), Ownership.LOST)
-
-    def test_an_outage_that_is_known_holds_up_nobody(self):
-        """Reads would each wait for a timeout while the platform is down."""
+    def test_known_outage_shortens_the_wait(self):
+        """Guards against reads that each wait for a timeout in an outage."""
 
         async def ask():
             checks = OwnershipChecks()
             loop = asyncio.get_running_loop()
-            shard = ShardStub((2.0, AWAY), (2.0, AWAY))
+            shard = FakeShard((2.0, UNAVAILABLE), (2.0, UNAVAILABLE))
             checks.record_takeover(shard.number, loop.time())
             await asyncio.sleep(1.0)
             checks.renew_aging([shard])
