--- a/apps/masticdaled/tests/test_service_calls.py
+++ b/apps/masticdaled/tests/test_service_calls.py
@@ -1,4 +1,4 @@
-"""Tests of service calls: which failures may be followed by another send."""
+"""Tests of service calls and their retries."""
 
 import time
 import unittest
@@ -55,9 +55,8 @@
     def executions(self):
         return sum(f.execution_count_by_key.total() for f in self.fakes)
 
-    async def test_unrepeatable_call_with_a_lost_answer_is_not_sent_again(self):
-        # The caller is told outcome_unknown: the first service ran the call
-        # and its answer was lost; another send would file twice.
+    async def test_non_repeatable_call_with_a_lost_answer_is_not_retried(self):
+        # Guards against a retry that executes the operation twice.
         for fake in self.fakes:
             fake.faults.lose_answers = 1
         outcome = await self.caller.call(call("permits.file"))
@@ -70,7 +69,7 @@
         outcome = await self.caller.call(call("zones.lookup"))
         self.assertTrue(outcome.unwrap())
 
-    async def test_service_that_did_not_run_it_is_followed_by_the_next(self):
+    async def test_call_that_did_not_run_fails_over_to_the_next_service(self):
         for fake in self.fakes[:3]:
             fake.faults.down = True
         outcome = await self.caller.call(call("permits.file"))
--- a/apps/masticdaled/tests/test_tool_pauses.py
+++ b/apps/masticdaled/tests/test_tool_pauses.py
@@ -1,4 +1,4 @@
-"""Tests of prefixes kept, copied out and brought back around pauses."""
+"""Tests of the offloading of prefixes during tool pauses."""
 
 import asyncio
 import dataclasses
@@ -44,44 +44,46 @@
 )
 
 
-class CacheKeeperTest(unittest.IsolatedAsyncioTestCase):
+class PrefixOffloaderTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.metrics = Metrics()
-        self.keeper = PrefixOffloader(self.metrics)
+        self.offloader = PrefixOffloader(self.metrics)
         self.engine = FakeEngine()
         self.engine.tokens_by_program["p1"] = TOKENS
 
     async def finish(self, residence_s, engine=ENGINE):
         residence = Residence(residence_s)
-        self.keeper.record_finished(
+        self.offloader.record_finished(
             CALL, engine, self.engine, RESULT, residence
         )
         await asyncio.sleep(0.01)
 
-    async def test_without_pressure_nothing_is_copied(self):
+    async def test_nothing_is_exported_without_evictions(self):
         await self.finish(0.0)
-        self.assertEqual(self.keeper.exported_tokens(CALL), 0)
+        self.assertEqual(self.offloader.exported_tokens(CALL), 0)
 
-    async def test_engine_that_cannot_transfer_is_left_alone(self):
-        cannot = dataclasses.replace(ENGINE, transfer_tokens_per_s=0.0)
-        await self.finish(1.0, cannot)
-        self.assertEqual(self.keeper.exported_tokens(CALL), 0)
+    async def test_nothing_is_exported_from_an_engine_without_transfer(self):
+        engine = dataclasses.replace(ENGINE, transfer_tokens_per_s=0.0)
+        await self.finish(1.0, engine)
+        self.assertEqual(self.offloader.exported_tokens(CALL), 0)
 
-    async def test_prefix_soon_evicted_is_copied_out_and_brought_back(self):
+    async def test_prefix_soon_evicted_is_exported_and_imported(self):
         await self.finish(1.0)
-        self.assertEqual(self.keeper.exported_tokens(CALL), TOKENS)
-        await self.keeper.import_prefix(CALL, self.engine, cached_tokens=0)
+        self.assertEqual(self.offloader.exported_tokens(CALL), TOKENS)
+        await self.offloader.import_prefix(CALL, self.engine, cached_tokens=0)
         count = self.metrics.counter_value("cache_imports_total")
         self.assertEqual(count, 1)
-        await self.keeper.import_prefix(CALL, self.engine, cached_tokens=TOKENS)
+        await self.offloader.import_prefix(
+            CALL, self.engine, cached_tokens=TOKENS
+        )
         count = self.metrics.counter_value("cache_imports_total")
         self.assertEqual(count, 1)
 
-    async def test_lost_export_is_forgotten_and_computed_again(self):
-        # The caller's turn goes on: the engine no longer knows the export.
+    async def test_lost_export_is_discarded(self):
+        # The engine no longer has the export; the turn must go on without it.
         await self.finish(1.0)
-        await self.keeper.import_prefix(CALL, FakeEngine(), cached_tokens=0)
-        self.assertEqual(self.keeper.exported_tokens(CALL), 0)
+        await self.offloader.import_prefix(CALL, FakeEngine(), cached_tokens=0)
+        self.assertEqual(self.offloader.exported_tokens(CALL), 0)
 
 
 if __name__ == "__main__":
