--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -207,10 +207,10 @@
         A host that was paused past its lease would otherwise accept calls that
         it cannot commit, until its first commit fails.
         """
-        shards = self.held_shards()
+        shards = self.owned_shards()
         await asyncio.gather(*(shard.check_ownership() for shard in shards))
 
-    def held_shards(self) -> tuple[Shard, ...]:
+    def owned_shards(self) -> tuple[Shard, ...]:
         """Returns the shards that this host owns now."""
         return tuple(s for s in self._shard_by_number.values() if s.is_owned)
 
@@ -222,7 +222,7 @@
                 continue
             await shard.sweep()
             await self._rebalance(number, shard)
-        self._ownership.renew_aging(self.held_shards())
+        self._ownership.renew_aging(self.owned_shards())
         self._metrics.gauge("shards_held", len(self._shard_by_number))
 
     async def stop(self, finish_s: float) -> None:
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -62,7 +62,7 @@
         """Stops its parts."""
         await self.timers.close()
         await self.membership.close()
-        for shard in self.owners.held_shards():
+        for shard in self.owners.owned_shards():
             await shard.close()
         await self.homes.close()
 
