--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -188,7 +188,7 @@
         if home is not None:
             home.prefixes.remove_program(program_id)
 
-    def held_homes(self) -> tuple[ReplicaHome, ...]:
+    def local_homes(self) -> tuple[ReplicaHome, ...]:
         """Returns the state of each replica whose home is this host."""
         return tuple(self._home_by_replica.values())
 
--- a/apps/masticdaled/src/masticdaled/shards/orphans.py
+++ b/apps/masticdaled/src/masticdaled/shards/orphans.py
@@ -37,7 +37,7 @@
 
     async def sweep(self) -> None:
         """Sweeps every replica whose home is here; call it periodically."""
-        for home in self._homes.held_homes():
+        for home in self._homes.local_homes():
             await self._sweep_replica(home)
 
     async def _sweep_replica(self, home: ReplicaHome) -> None:
