--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -44,7 +44,7 @@
 
 
 class UpstreamExecutor:
-    """The daemon's ``Executor``."""
+    """Implements ``Executor`` by calls to the declared upstreams."""
 
     def __init__(
         self,
--- a/apps/masticdaled/src/masticdaled/replicas/crash_suspects.py
+++ b/apps/masticdaled/src/masticdaled/replicas/crash_suspects.py
@@ -55,9 +55,9 @@
         """
         self._is_stale = True
         live = {member.name for member in change.members}
-        gone = live.intersection(change.restarted)
+        restarted = live.intersection(change.restarted)
         for run_id, run in list(self._run_by_id.items()):
-            if run.origin not in live or run.origin in gone:
+            if run.origin not in live or run.origin in restarted:
                 self._end(run_id, run.digest)
 
     async def handle(self, request: SuspectRequest) -> SuspectReply:
--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -61,10 +61,10 @@
         cluster: Cluster,
         in_force: ConfigInForce,
         clients: UpstreamClients,
-        orders: OrderDispatcher,
+        dispatcher: OrderDispatcher,
         metrics: Metrics,
     ) -> None:
-        self._dispatcher = orders
+        self._dispatcher = dispatcher
         self._order_task_by_replica: dict[str, asyncio.Task[None]] = {}
         self._check_task_by_replica: dict[str, asyncio.Task[None]] = {}
         self._cluster = cluster
--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -172,7 +172,7 @@
             if isinstance(found, Failed):
                 continue
             ownership = await self._ownership.check(found.unwrap())
-            if ownership is not Ownership.HELD:
+            if ownership is not Ownership.OWNED:
                 continue
             program = found.unwrap().state.program_by_id.get(program_id)
             if program is None or program.end_reason is not None:
@@ -322,17 +322,19 @@
             return None
         if head.owner == self._cluster.host:
             return None
-        held = Failure(ErrorKind.NOT_OWNER, f"shard {number}", host=head.owner)
+        refusal = Failure(
+            ErrorKind.NOT_OWNER, f"shard {number}", host=head.owner
+        )
         for member in self._cluster.membership.members():
             if member.name != head.owner:
                 continue
             is_same = head.writer.startswith(member.beat.incarnation)
-            return held if is_same else None
+            return refusal if is_same else None
         # A host that has just started may not have heard from a live owner yet.
         # Until that owner's lease expires it may answer from memory, so a
         # takeover would let it serve stale reads.
         age_s = time.monotonic() - self._created_at
-        return held if age_s < MembershipLimits().lease_s else None
+        return refusal if age_s < MembershipLimits().lease_s else None
 
     def _not_owner_failure(self, number: int) -> Failure:
         host = self._cluster.owner_of_shard(number)
--- a/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
+++ b/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
@@ -32,7 +32,7 @@
 class Ownership(enum.Enum):
     """Whether this host owns a shard."""
 
-    HELD = enum.auto()
+    OWNED = enum.auto()
     LOST = enum.auto()
     UNKNOWN = enum.auto()
 
@@ -41,7 +41,7 @@
     """Checks and caches the ownership of shards."""
 
     def __init__(self) -> None:
-        self._held_at_by_shard: dict[int, float] = {}
+        self._confirmed_at_by_shard: dict[int, float] = {}
         self._check_by_shard: dict[int, asyncio.Task[None]] = {}
         self._failed_at = -_OUTAGE_S
 
@@ -52,7 +52,7 @@
             number: Number of the shard.
             at: Monotonic time before the takeover was written, in seconds.
         """
-        self._held_at_by_shard[number] = at
+        self._confirmed_at_by_shard[number] = at
 
     async def check(self, shard: Shard) -> Ownership:
         """Returns whether this host may answer for a shard from memory.
@@ -66,7 +66,7 @@
             but a program missing from its memory may exist.
         """
         if self._age_s(shard) <= _VALID_S:
-            return Ownership.HELD
+            return Ownership.OWNED
         limit_s = _MAX_OUTAGE_WAIT_S if self._is_outage else _MAX_WAIT_S
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit_s):
@@ -74,7 +74,7 @@
         if not shard.is_owned:
             return Ownership.LOST
         if self._age_s(shard) <= _VALID_S:
-            return Ownership.HELD
+            return Ownership.OWNED
         logs.write_bounded(
             "ownership_unsure",
             shard=shard.number,
@@ -108,10 +108,10 @@
             await asyncio.wait([self._start_check(shard)])
 
     def _age_s(self, shard: Shard) -> float:
-        held_at = self._held_at_by_shard.get(shard.number)
-        if held_at is None:
+        confirmed_at = self._confirmed_at_by_shard.get(shard.number)
+        if confirmed_at is None:
             return float("inf")
-        return asyncio.get_running_loop().time() - held_at
+        return asyncio.get_running_loop().time() - confirmed_at
 
     def _start_check(self, shard: Shard) -> asyncio.Task[None]:
         task = self._check_by_shard.get(shard.number)
@@ -126,8 +126,8 @@
         started_at = asyncio.get_running_loop().time()
         outcome = await shard.check_ownership()
         if isinstance(outcome, Success):
-            self._held_at_by_shard[shard.number] = started_at
+            self._confirmed_at_by_shard[shard.number] = started_at
         elif outcome.failure().kind is ErrorKind.NOT_OWNER:
-            self._held_at_by_shard.pop(shard.number, None)
+            self._confirmed_at_by_shard.pop(shard.number, None)
         else:
             self._failed_at = asyncio.get_running_loop().time()
