--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -37,21 +37,21 @@
 from masticdaled.callers.listener import CallersContext, create_callers_app
 from masticdaled.cluster import Cluster
 from masticdaled.execution.executor import UpstreamExecutor
-from masticdaled.execution.tickets import TicketDesk
-from masticdaled.execution.tool_pauses import CacheKeeper
+from masticdaled.execution.tickets import TicketClient
+from masticdaled.execution.tool_pauses import PrefixOffloader
 from masticdaled.following import ConfigFollower
 from masticdaled.handler import Handler, Parts
 from masticdaled.operators.access import create_access
 from masticdaled.operators.desk import OperatorDesk
 from masticdaled.operators.listener import create_operator_app
 from masticdaled.operators.programs import ProgramsDesk
-from masticdaled.replicas.crash_suspects import SuspectHome
-from masticdaled.replicas.homes import Homes
-from masticdaled.replicas.orders import OrderGiver
+from masticdaled.replicas.crash_suspects import DigestHome
+from masticdaled.replicas.homes import ReplicaHomes
+from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.settings import DaemonSettings
-from masticdaled.shards.copies import CopyDesk, PeerCopyHolders
+from masticdaled.shards.copies import CopyService, PeerCopyHolders
 from masticdaled.shards.orphans import OrphanSweeper
-from masticdaled.shards.owners import Owners
+from masticdaled.shards.owners import OwnedShards
 from masticdaled.upstream_clients import UpstreamClients
 
 _PEER_CONNECTIONS = 256
@@ -94,12 +94,12 @@
         )
         self.cluster = Cluster(settings.host, self.membership, self.peers)
         self.clients = UpstreamClients(self.metrics)
-        self.desk = TicketDesk(self.cluster)
-        self.homes = Homes(
+        self.desk = TicketClient(self.cluster)
+        self.homes = ReplicaHomes(
             self.cluster,
             self.in_force,
             self.clients,
-            OrderGiver(self.store, self.incarnation, self.metrics),
+            OrderDispatcher(self.store, self.incarnation, self.metrics),
             self.metrics,
         )
         self.executor = UpstreamExecutor(
@@ -108,10 +108,10 @@
             self.clients,
             self.desk,
             self.homes,
-            CacheKeeper(self.metrics),
+            PrefixOffloader(self.metrics),
             self.metrics,
         )
-        self.owners = Owners(
+        self.owners = OwnedShards(
             self.cluster,
             self.store,
             self.executor,
@@ -121,8 +121,8 @@
             self.metrics,
             PeerCopyHolders(self.cluster),
         )
-        self.suspects = SuspectHome(self.store)
-        self.copy_desk = CopyDesk(CopyStore())
+        self.suspects = DigestHome(self.store)
+        self.copy_desk = CopyService(CopyStore())
         self.programs_desk = ProgramsDesk(settings.host, self.owners)
         self.follower = ConfigFollower(
             self.cluster, self.store, self.in_force, self.metrics
@@ -256,7 +256,7 @@
     def _subscribe_timers(self) -> None:
         rows = (
             ("owners", _OWNERS_PERIOD_S, self.owners.tick),
-            ("takeovers", _OWNERS_PERIOD_S, self.owners.take_misplaced),
+            ("takeovers", _OWNERS_PERIOD_S, self.owners.open_assigned),
             ("homes", _HOMES_PERIOD_S, self.homes.tick),
             ("config", _CONFIG_PERIOD_S, self.follower.tick),
             ("list", _LIST_PERIOD_S, self._read_list),
@@ -304,7 +304,7 @@
     async def _host_paused(self, seconds: float) -> None:
         self.metrics.count("host_pauses_total")
         logs.write("checking_shards_after_pause", seconds=round(seconds, 3))
-        await self.owners.check_heads()
+        await self.owners.check_ownership()
 
     async def _serve_http(
         self, address: Address, app: litestar.Litestar
--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -1,4 +1,4 @@
-"""Runs calls at upstreams: placement, admission, retries, at-most-once."""
+"""Executes model and service calls: admission, placement, queues, retries."""
 
 import asyncio
 import dataclasses
@@ -31,43 +31,43 @@
 from masticdaled.background import Background
 from masticdaled.cluster import MOVING_KINDS, Cluster
 from masticdaled.directory import UpstreamDirectory
-from masticdaled.execution.crash_checks import DigestDesk
+from masticdaled.execution.crash_checks import DigestHomeClient
 from masticdaled.execution.placement import Placer
 from masticdaled.execution.runs import Run, prefix_note
 from masticdaled.execution.service_calls import ServiceCaller
-from masticdaled.execution.tickets import TicketDesk
-from masticdaled.execution.tool_pauses import CacheKeeper, Residence
-from masticdaled.replicas.homes import Homes
+from masticdaled.execution.tickets import TicketClient
+from masticdaled.execution.tool_pauses import PrefixOffloader, Residence
+from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.upstream_clients import UpstreamClients
 
-_MOVING_WAIT_S = 0.1
+_MOVE_RETRY_S = 0.1
 
 
 class UpstreamExecutor:
-    """The daemon's ``Executor``."""
+    """Implements ``Executor`` by calls to the declared upstreams."""
 
     def __init__(
         self,
         cluster: Cluster,
         in_force: ConfigInForce,
         clients: UpstreamClients,
-        desk: TicketDesk,
-        homes: Homes,
-        keeper: CacheKeeper,
+        tickets: TicketClient,
+        homes: ReplicaHomes,
+        offloader: PrefixOffloader,
         metrics: Metrics,
     ) -> None:
-        self._keeper = keeper
+        self._offloader = offloader
         self._cluster = cluster
         self._in_force = in_force
         self._clients = clients
-        self._desk = desk
+        self._tickets = tickets
         self._homes = homes
         self._metrics = metrics
         self._retry_budget_by_model: dict[str, RetryBudget] = {}
         self._background = Background()
         directory = UpstreamDirectory(in_force, homes)
-        self._placer = Placer(cluster, in_force, directory, keeper)
-        self._digests = DigestDesk(cluster, self._background)
+        self._placer = Placer(cluster, in_force, directory, offloader)
+        self._digest_homes = DigestHomeClient(cluster, self._background)
         self._services = ServiceCaller(directory, clients, metrics)
 
     async def run_model(
@@ -80,19 +80,19 @@
             call.model, RetryBudget(RetrySettings())
         )
         budget.record_first_attempt()
-        self._keeper.returned(call)
+        self._offloader.record_return(call)
         while True:
-            outcome = await self._try_once(run, sink)
+            outcome = await self._run_attempt(run, sink)
             if isinstance(outcome, Success):
                 return outcome
             failure = outcome.failure()
             now = time.monotonic()
             if failure.kind in MOVING_KINDS and now < call.deadline:
-                # Waiting for a home to settle is no retry of a call: counted
-                # as one, a planned stop would use the retry budget up and
-                # callers would be refused.
-                sink.set_wait_reason("a home that moves")
-                await asyncio.sleep(_MOVING_WAIT_S)
+                # A home is moving to another host. This wait does not count
+                # as a retry: a planned stop would otherwise exhaust the retry
+                # budget and fail calls.
+                sink.set_wait_reason("a home that is moving to another host")
+                await asyncio.sleep(_MOVE_RETRY_S)
                 continue
             decision = decide_retry(
                 FailedAttempt(failure, max(1, run.attempts), call.deadline),
@@ -100,7 +100,7 @@
                 now,
             )
             if isinstance(decision, GiveUp):
-                return Failed(_final(decision.failure, run))
+                return Failed(_failure_for_caller(decision.failure, run))
             self._metrics.count("retries_total", model=call.model)
             sink.set_wait_reason(f"retry after {failure.kind.value}")
             await asyncio.sleep(decision.delay_s)
@@ -118,7 +118,7 @@
         return await self._services.look_up(call)
 
     async def close(self) -> None:
-        """Drops what still runs in the background."""
+        """Stops the background tasks."""
         await self._background.close()
 
     async def release(
@@ -127,20 +127,19 @@
         """See ``Executor.release``."""
         engine = self._in_force.current.upstreams.by_name.get(replica)
         if not isinstance(engine, RenderedEngine):
-            # A replica that is no longer declared takes no orders from us and
-            # its memory went with it.
+            # The replica is no longer declared, so there is nothing to release.
             return Success(None)
         outcome = await self._clients.engine(engine).release(program_id)
         if isinstance(outcome, Success):
-            self._homes.released(replica, program_id)
-        self._keeper.forget(program_id)
+            self._homes.record_released(replica, program_id)
+        self._offloader.remove_program(program_id)
         return outcome
 
-    async def _try_once(
+    async def _run_attempt(
         self, run: Run, sink: TextSink
     ) -> Result[ModelResult, Failure]:
-        # A new id each time: the last try's end is told off the path and
-        # must not end this one.
+        # A new id for each attempt: the end of the previous attempt is reported
+        # in the background and must not end this one.
         run.run_id = secrets.token_hex(8)
         run.asked_hosts.clear()
         action = "ended"
@@ -150,7 +149,7 @@
                 action = "succeeded"
             return outcome
         finally:
-            self._digests.tell(run, action)
+            self._digest_homes.report_end(run, action)
 
     async def _admit_and_send(
         self, run: Run, sink: TextSink
@@ -158,11 +157,11 @@
         sink.set_wait_reason("placement")
         started = time.monotonic()
         admission, placed = await asyncio.gather(
-            self._digests.ask(run), self._placer.place(run)
+            self._digest_homes.request_admission(run), self._placer.place(run)
         )
-        self._observe("placement", started)
+        self._observe_stage("placement", started)
         if admission is Admission.WAIT:
-            admission = await self._digests.wait(run, sink)
+            admission = await self._digest_homes.wait_until_admitted(run, sink)
             placed = await self._placer.place(run)
         if admission is Admission.REFUSED:
             return Failed(Failure(ErrorKind.QUARANTINED))
@@ -182,8 +181,8 @@
         ticket = _ticket_request(run, placement, self._cluster.host)
         sink.set_wait_reason(f"queue of {engine.name}")
         started = time.monotonic()
-        acquired = await self._desk.acquire(ticket, run.call.deadline)
-        self._observe("queue", started)
+        acquired = await self._tickets.acquire(ticket, run.call.deadline)
+        self._observe_stage("queue", started)
         if isinstance(acquired, Failed):
             if acquired.failure().kind is ErrorKind.NO_UPSTREAM:
                 run.failed_replicas.add(engine.name)
@@ -205,43 +204,47 @@
         reply = run.reply_by_replica.get(engine.name, ProbeReply())
         release = TicketRelease(ticket.ticket_id, engine.name)
         try:
-            await self._keeper.bring(run.call, client, reply.cached_tokens)
+            await self._offloader.import_prefix(
+                run.call, client, reply.cached_tokens
+            )
             outcome = await client.generate(
                 _generate_request(run.call, ticket), attempt.on_chunk
             )
-            self._observe("engine", attempt.started)
+            self._observe_stage("engine", attempt.started)
             if isinstance(outcome, Failed):
                 failure = outcome.failure()
                 release = dataclasses.replace(
-                    release, crashed=_note_failure(run, engine, failure)
+                    release, crashed=_record_failure(run, engine, failure)
                 )
                 return Failed(failure)
             release = attempt.release(outcome.unwrap())
             result = attempt.result(outcome.unwrap())
             residence = Residence(reply.residence_ms / 1000)
-            self._keeper.finished(run.call, engine, client, result, residence)
+            self._offloader.record_finished(
+                run.call, engine, client, result, residence
+            )
             return Success(result)
         finally:
-            await self._give_back(release)
+            await self._release_ticket(release)
 
-    async def _give_back(self, release: TicketRelease) -> None:
-        """Gives a ticket back; waits only where a crash must be known first.
+    async def _release_ticket(self, release: TicketRelease) -> None:
+        """Releases a ticket, in the background unless the replica crashed.
 
-        The retry after a crash asks the suspects' home, which the replica's
-        home tells before it answers.
+        After a crash it waits: the replica's home reports the crash to the
+        digest homes before it answers, and the retry asks those for admission.
         """
         if release.crashed:
-            await asyncio.shield(self._desk.release(release))
+            await asyncio.shield(self._tickets.release(release))
             return
-        self._background.spawn(self._desk.release(release))
+        self._background.spawn(self._tickets.release(release))
 
-    def _observe(self, stage: str, started: float) -> None:
+    def _observe_stage(self, stage: str, started: float) -> None:
         seconds = time.monotonic() - started
         self._metrics.observe("turn_stage_seconds", seconds, stage=stage)
 
 
 class _Attempt:
-    """One send of a call: its times, and what is told of its end."""
+    """One request to an engine, with its times."""
 
     def __init__(
         self, ticket: TicketRequest, engine: RenderedEngine, sink: TextSink
@@ -253,12 +256,12 @@
         self._first_token_at = 0.0
 
     def on_chunk(self, chunk: Chunk) -> None:
-        """Takes text as it comes."""
+        """Appends the streamed text to the sink."""
         self._first_token_at = self._first_token_at or time.monotonic()
         self._sink.append(chunk.text)
 
     def release(self, completion: Completion) -> TicketRelease:
-        """Returns what the replica's home is told."""
+        """Returns the release that reports the usage to the replica's home."""
         first_token_s = max(0.0, self._first_token_at - self.started)
         return TicketRelease(
             self._ticket.ticket_id,
@@ -271,7 +274,7 @@
         )
 
     def result(self, completion: Completion) -> ModelResult:
-        """Returns what the owner commits."""
+        """Returns the result that the owner commits."""
         return ModelResult(
             completion.text,
             self._engine.name,
@@ -299,19 +302,22 @@
     )
 
 
-def _note_failure(run: Run, engine: RenderedEngine, failure: Failure) -> bool:
-    """Notes a failed send; returns whether the replica may have crashed."""
+def _record_failure(run: Run, engine: RenderedEngine, failure: Failure) -> bool:
+    """Records a failed request; returns whether the replica may have crashed.
+
+    A request that reached no upstream does not count as an attempt.
+    """
     if failure.kind is ErrorKind.NO_UPSTREAM:
         run.attempts -= 1
     run.failed_replicas.add(engine.name)
     return failure.kind is ErrorKind.UPSTREAM_FAILED
 
 
-def _final(failure: Failure, run: Run) -> Failure:
-    """Returns the failure the caller is told.
+def _failure_for_caller(failure: Failure, run: Run) -> Failure:
+    """Returns the failure to report to the caller.
 
-    The last try may have been refused before it was sent, while an earlier
-    one ran: "not run" would then be untrue.
+    A failure that says the call did not run is replaced if an earlier attempt
+    was sent, since that one may have run.
     """
     if run.attempts == 0 and failure.kind is not ErrorKind.UPSTREAM_FAILED:
         return failure
--- a/apps/masticdaled/src/masticdaled/execution/service_calls.py
+++ b/apps/masticdaled/src/masticdaled/execution/service_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: sent once, or again where that is harmless."""
+"""Calls to services, with retries of repeatable operations."""
 
 import asyncio
 import time
@@ -22,7 +22,7 @@
 
 
 class ServiceCaller:
-    """Sends calls to the services in turn."""
+    """Sends service calls round-robin over the services of an operation."""
 
     def __init__(
         self,
@@ -34,10 +34,10 @@
         self._retry_budget_by_operation: dict[str, RetryBudget] = {}
         self._directory = directory
         self._clients = clients
-        self._turn = 0
+        self._rotation = 0
 
     def is_repeatable(self, workspace: str, operation: str) -> bool:
-        """See ``Executor.is_repeatable``; an unknown operation is not."""
+        """See ``Executor.is_repeatable``; False for an unknown operation."""
         services = self._directory.services(workspace, operation)
         if not services:
             return False
@@ -46,8 +46,8 @@
     async def call(self, call: ServiceCall) -> Result[str, Failure]:
         """See ``Executor.call_service``.
 
-        An answer that was lost is asked for again only where the operation
-        may be repeated.
+        A call whose answer was lost is retried only if its operation is
+        repeatable.
         """
         if not self.is_repeatable(call.workspace, call.operation):
             return await self._call_once(call)
@@ -61,7 +61,7 @@
             outcome = await self._call_once(call)
             if isinstance(outcome, Success):
                 return outcome
-            failure = _repeatable(outcome.failure())
+            failure = _as_retryable(outcome.failure())
             attempt = FailedAttempt(failure, attempts, call.deadline)
             decision = decide_retry(attempt, budget, time.monotonic())
             if isinstance(decision, GiveUp):
@@ -70,12 +70,12 @@
             await asyncio.sleep(decision.delay_s)
 
     async def _call_once(self, call: ServiceCall) -> Result[str, Failure]:
-        """Sends a call, to the next replica where one surely did not run it.
+        """Sends a call, failing over only where it certainly did not run.
 
-        After anything else the call is not sent again.
+        Only NO_UPSTREAM says so; any other failure is returned.
         """
         failure = Failure(ErrorKind.NO_UPSTREAM, call.operation)
-        for service in self._in_turn(call):
+        for service in self._round_robin(call):
             outcome = await self._send(call, service)
             if isinstance(outcome, Success):
                 return outcome
@@ -110,7 +110,7 @@
         outcome = await self._clients.service(service).call(request)
         return outcome.map(lambda reply: reply.result)
 
-    def _in_turn(self, call: ServiceCall) -> list[RenderedService]:
+    def _round_robin(self, call: ServiceCall) -> list[RenderedService]:
         services = [
             service
             for service in self._directory.services(
@@ -118,16 +118,16 @@
             )
             if self._directory.may_get_work(service)
         ]
-        self._turn += 1
-        first = self._turn % max(1, len(services))
+        self._rotation += 1
+        first = self._rotation % max(1, len(services))
         return [*services[first:], *services[:first]]
 
 
-def _repeatable(failure: Failure) -> Failure:
-    """Returns the failure of a call that may be sent again.
+def _as_retryable(failure: Failure) -> Failure:
+    """Maps OUTCOME_UNKNOWN to UPSTREAM_FAILED for a repeatable call.
 
-    "Outcome unknown" tells a caller that it must decide what to do; here the
-    request can simply be sent again.
+    OUTCOME_UNKNOWN leaves the decision to the caller, whereas a repeatable call
+    can be retried here.
     """
     if failure.kind is not ErrorKind.OUTCOME_UNKNOWN:
         return failure
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -42,12 +42,12 @@
     encode_outcome,
     encode_result,
 )
-from masticdaled.execution.tickets import TicketDesk
+from masticdaled.execution.tickets import TicketClient
 from masticdaled.operators.programs import ProgramsDesk
-from masticdaled.replicas.crash_suspects import SuspectHome
-from masticdaled.replicas.homes import Homes
-from masticdaled.shards.copies import CopyDesk
-from masticdaled.shards.owners import Owners
+from masticdaled.replicas.crash_suspects import DigestHome
+from masticdaled.replicas.homes import ReplicaHomes
+from masticdaled.shards.copies import CopyService
+from masticdaled.shards.owners import OwnedShards
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -55,12 +55,12 @@
     """The parts of the daemon that serve peers."""
 
     membership: Membership
-    owners: Owners
-    homes: Homes
-    desk: TicketDesk
-    suspects: SuspectHome
+    owners: OwnedShards
+    homes: ReplicaHomes
+    desk: TicketClient
+    suspects: DigestHome
     programs: ProgramsDesk
-    copies: CopyDesk
+    copies: CopyService
     in_force: ConfigInForce
 
 
@@ -123,7 +123,7 @@
 
     async def grant(self, notice: GrantNotice) -> Empty:
         """See ``PeerHandler.grant``."""
-        self._parts().desk.granted(notice)
+        self._parts().desk.handle_grant(notice)
         return Empty()
 
     async def probe(self, request: ProbeRequest) -> ProbeReply:
--- a/apps/masticdaled/src/masticdaled/replicas/crash_reports.py
+++ b/apps/masticdaled/src/masticdaled/replicas/crash_reports.py
@@ -1,4 +1,4 @@
-"""Tells the homes of content digests which calls were in flight at a crash."""
+"""Reports of calls in flight at a crash to the homes of their digests."""
 
 import asyncio
 
@@ -10,31 +10,38 @@
 CRASHED_ACTION = "crashed"
 
 
-class CrashReports:
-    """Reports each crash of a replica once."""
+class CrashReporter:
+    """Reports each crash of a replica once to the homes of the digests."""
 
     def __init__(self, cluster: Cluster, metrics: Metrics) -> None:
         self._cluster = cluster
         self._metrics = metrics
 
-    async def note(self, home: ReplicaHome, present: str) -> None:
-        """Makes every call in flight at a crash a suspect, once.
+    async def report_crash(
+        self, home: ReplicaHome, current_incarnation: str
+    ) -> None:
+        """Reports the calls that were in flight at an engine process now gone.
 
-        One crash breaks all streams of the replica and each owner reports
-        it. Counted each time, an innocent call would reach two crashes; so a
-        ticket is a suspect only for the process that it was granted at, and
-        is forgotten with its first report.
+        A crash breaks all streams of a replica, and every owner reports it.
+        A ticket is therefore reported only if its engine process is gone, and
+        only once. Otherwise one crash counts several times and quarantines
+        harmless requests.
 
         Args:
-            home: The replica's home.
-            present: The engine's process now; empty where none answers.
+            home: The state of the replica.
+            current_incarnation: The engine process that answers now; empty
+                for none.
         """
         granted_at = home.incarnation_by_ticket
-        lost = {i for i, process in granted_at.items() if process != present}
-        if not lost:
+        lost_ids = {
+            i
+            for i, process in granted_at.items()
+            if process != current_incarnation
+        }
+        if not lost_ids:
             return
-        running = [t for t in home.queue.running() if t.ticket_id in lost]
-        for ticket_id in lost:
+        running = [t for t in home.queue.running() if t.ticket_id in lost_ids]
+        for ticket_id in lost_ids:
             del granted_at[ticket_id]
         digests = tuple({t.content_digest for t in running})
         if not digests:
