--- a/apps/masticctl/tests/test_commands.py
+++ b/apps/masticctl/tests/test_commands.py
@@ -10,7 +10,7 @@
 
 from masticctl.declarations import to_text
 from masticdale_config import (
-    ConfigInForce,
+    ActiveConfig,
     ConfigStore,
     caller_key_digest,
     testing,
@@ -258,7 +258,7 @@
         waits for revision 2, which another host has not got.
         """
         await self.apply(testing.engine("e", "m"))
-        other = ConfigStore(self.tool.context.store, ConfigInForce())
+        other = ConfigStore(self.tool.context.store, ActiveConfig())
         edit = testing.put(testing.engine("f", "m", 1))
         (await other.apply(testing.change("c", edit))).unwrap()
         self.tool.context.revision_by_host = {"host-2": 1}
--- a/apps/masticdaled/src/masticdaled/callers/limits.py
+++ b/apps/masticdaled/src/masticdaled/callers/limits.py
@@ -5,7 +5,7 @@
 from returns.result import Result, Success
 
 from masticdale_common import Failure
-from masticdale_config import ConfigInForce, RenderedWorkspace
+from masticdale_config import ActiveConfig, RenderedWorkspace
 from masticdale_routing import HostShareLimiter, WorkspaceLimits, split_share
 from masticdaled.cluster import Cluster
 
@@ -15,7 +15,7 @@
 class WorkspaceLimiter:
     """One gate for each workspace that callers use at this host."""
 
-    def __init__(self, cluster: Cluster, in_force: ConfigInForce) -> None:
+    def __init__(self, cluster: Cluster, in_force: ActiveConfig) -> None:
         self._cluster = cluster
         self._in_force = in_force
         self._gate_by_workspace: dict[str, HostShareLimiter] = {}
--- a/apps/masticdaled/src/masticdaled/callers/listener.py
+++ b/apps/masticdaled/src/masticdaled/callers/listener.py
@@ -17,7 +17,7 @@
 
 from masticdale_common import ErrorKind, Failure, Metrics, hashing, logs
 from masticdale_config import (
-    ConfigInForce,
+    ActiveConfig,
     RenderedWorkspace,
     caller_key_digest,
 )
@@ -75,7 +75,7 @@
     """What the callers' listener stands on."""
 
     entry: Entry
-    in_force: ConfigInForce
+    in_force: ActiveConfig
     limiter: WorkspaceLimiter
     readiness: Readiness
     settings: RequestSettings
--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -16,7 +16,7 @@
     TimerService,
     logs,
 )
-from masticdale_config import ConfigInForce, ConfigStore
+from masticdale_config import ActiveConfig, ConfigStore
 from masticdale_config.messages import Readiness
 from masticdale_peers import (
     Address,
@@ -74,7 +74,7 @@
         self.timers = TimerService()
         self.state_dump = StateDump()
         self.incarnation = new_incarnation()
-        self.in_force = ConfigInForce()
+        self.in_force = ActiveConfig()
         self.store = PlatformClient(
             settings.platform_url, settings.platform_timeout_s, self.metrics
         )
--- a/apps/masticdaled/src/masticdaled/directory.py
+++ b/apps/masticdaled/src/masticdaled/directory.py
@@ -1,7 +1,7 @@
 """Which declared upstreams may get work now."""
 
 from masticdale_config import (
-    ConfigInForce,
+    ActiveConfig,
     RenderedService,
     RenderedUpstream,
 )
@@ -11,7 +11,7 @@
 class UpstreamDirectory:
     """The declared upstreams and the platform's list of leaving ones."""
 
-    def __init__(self, in_force: ConfigInForce, homes: Homes) -> None:
+    def __init__(self, in_force: ActiveConfig, homes: Homes) -> None:
         self._in_force = in_force
         self._homes = homes
 
--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -9,7 +9,7 @@
 from returns.result import Result, Success
 
 from masticdale_common import ErrorKind, Failure, Metrics, Ran, logs
-from masticdale_config import ConfigInForce, RenderedEngine
+from masticdale_config import ActiveConfig, RenderedEngine
 from masticdale_peers import ProbeReply, TicketRelease, TicketRequest
 from masticdale_programs import (
     ModelCall,
@@ -49,7 +49,7 @@
     def __init__(
         self,
         cluster: Cluster,
-        in_force: ConfigInForce,
+        in_force: ActiveConfig,
         clients: UpstreamClients,
         desk: TicketDesk,
         homes: Homes,
--- a/apps/masticdaled/src/masticdaled/execution/placement.py
+++ b/apps/masticdaled/src/masticdaled/execution/placement.py
@@ -6,7 +6,7 @@
 from returns.result import Result, Success
 
 from masticdale_common import ErrorKind, Failure
-from masticdale_config import ConfigInForce, RenderedEngine, engines_of
+from masticdale_config import ActiveConfig, RenderedEngine, engines_of
 from masticdale_peers import ProbeReply, ProbeRequest
 from masticdale_routing import (
     Candidate,
@@ -34,7 +34,7 @@
     def __init__(
         self,
         cluster: Cluster,
-        in_force: ConfigInForce,
+        in_force: ActiveConfig,
         directory: UpstreamDirectory,
         keeper: CacheKeeper,
     ) -> None:
--- a/apps/masticdaled/src/masticdaled/following.py
+++ b/apps/masticdaled/src/masticdaled/following.py
@@ -6,7 +6,7 @@
 
 from masticdale_common import Failure, Metrics, hashing
 from masticdale_config import (
-    ConfigInForce,
+    ActiveConfig,
     ConfigWatcher,
     RevisionsExport,
     follow_peers,
@@ -27,7 +27,7 @@
         self,
         cluster: Cluster,
         store: ObjectStore,
-        in_force: ConfigInForce,
+        in_force: ActiveConfig,
         metrics: Metrics,
     ) -> None:
         self._cluster = cluster
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -6,7 +6,7 @@
 
 from returns.result import Failure as Failed
 
-from masticdale_config import ConfigInForce
+from masticdale_config import ActiveConfig
 from masticdale_peers import (
     CopyReply,
     CopyRequest,
@@ -61,7 +61,7 @@
     suspects: SuspectHome
     programs: ProgramsDesk
     copies: CopyDesk
-    in_force: ConfigInForce
+    in_force: ActiveConfig
 
 
 class Handler:
--- a/apps/masticdaled/src/masticdaled/operators/desk.py
+++ b/apps/masticdaled/src/masticdaled/operators/desk.py
@@ -14,7 +14,7 @@
     StateDump,
     hashing,
 )
-from masticdale_config import ConfigInForce, ConfigStore, RenderedEngine
+from masticdale_config import ActiveConfig, ConfigStore, RenderedEngine
 from masticdale_config.messages import (
     DrainReport,
     HostStatus,
@@ -53,7 +53,7 @@
 
     host: str
     config_store: ConfigStore | None
-    in_force: ConfigInForce
+    in_force: ActiveConfig
     metrics: Metrics
     state_dump: StateDump
     cluster: Cluster
--- a/apps/masticdaled/src/masticdaled/operators/models.py
+++ b/apps/masticdaled/src/masticdaled/operators/models.py
@@ -5,7 +5,7 @@
 from returns.result import Result
 
 from masticdale_common import Failure, Metrics, StateDump
-from masticdale_config import ConfigInForce, ConfigStore
+from masticdale_config import ActiveConfig, ConfigStore
 from masticdale_config.messages import (
     DrainReport,
     HostStatus,
@@ -47,7 +47,7 @@
         ...
 
     @property
-    def in_force(self) -> ConfigInForce:
+    def in_force(self) -> ActiveConfig:
         """The configuration in force on this host."""
         ...
 
--- a/apps/masticdaled/src/masticdaled/operators/testing.py
+++ b/apps/masticdaled/src/masticdaled/operators/testing.py
@@ -6,7 +6,7 @@
 from returns.result import Result, Success
 
 from masticdale_common import ErrorKind, Failure, Metrics, StateDump
-from masticdale_config import ConfigInForce, ConfigStore
+from masticdale_config import ActiveConfig, ConfigStore
 from masticdale_config.messages import ProgramSummary
 from masticdale_platform.testing import MemoryStore
 from masticdaled.operators.access import Role, TokenSettings, token_digest
@@ -60,7 +60,7 @@
     """
 
     store: MemoryStore = dataclasses.field(default_factory=MemoryStore)
-    in_force: ConfigInForce = dataclasses.field(default_factory=ConfigInForce)
+    in_force: ActiveConfig = dataclasses.field(default_factory=ActiveConfig)
     metrics: Metrics = dataclasses.field(default_factory=Metrics)
     state_dump: StateDump = dataclasses.field(default_factory=StateDump)
     config_store: ConfigStore | None = None
--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -13,7 +13,7 @@
     Metrics,
     logs,
 )
-from masticdale_config import ConfigInForce, RenderedEngine
+from masticdale_config import ActiveConfig, RenderedEngine
 from masticdale_peers import (
     GrantNotice,
     MembershipChange,
@@ -59,7 +59,7 @@
     def __init__(
         self,
         cluster: Cluster,
-        in_force: ConfigInForce,
+        in_force: ActiveConfig,
         clients: UpstreamClients,
         orders: OrderGiver,
         metrics: Metrics,
--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -16,7 +16,7 @@
     hashing,
     logs,
 )
-from masticdale_config import ConfigInForce, RenderedConfig, RenderedProgram
+from masticdale_config import ActiveConfig, RenderedConfig, RenderedProgram
 from masticdale_peers import MembershipLimits
 from masticdale_platform import ObjectStore
 from masticdale_programs import (
@@ -99,7 +99,7 @@
         cluster: Cluster,
         store: ObjectStore,
         executor: Executor,
-        in_force: ConfigInForce,
+        in_force: ActiveConfig,
         settings: ShardSettings,
         writer: str,
         metrics: Metrics,
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from masticdale_common import Metrics, TimerService
-from masticdale_config import ConfigInForce
+from masticdale_config import ActiveConfig
 from masticdale_peers import Heartbeat, Membership, join
 from masticdale_peers.testing import MemoryNetwork
 from masticdale_platform import ObjectStore
@@ -72,7 +72,7 @@
     names: tuple[str, ...],
     network: MemoryNetwork,
     store: ObjectStore,
-    in_force: ConfigInForce,
+    in_force: ActiveConfig,
     executor: Executor,
     settings: ShardSettings | None = None,
 ) -> MemoryHost:
--- a/libs/config/src/masticdale_config/__init__.py
+++ b/libs/config/src/masticdale_config/__init__.py
@@ -1,7 +1,7 @@
 """Declarations, their rendering and the revision in force."""
 
 from masticdale_config.checks import engines_of
-from masticdale_config.inforce import ConfigInForce, RevisionsExport
+from masticdale_config.inforce import ActiveConfig, RevisionsExport
 from masticdale_config.kinds import (
     Declaration,
     DeclarationKey,
@@ -43,9 +43,9 @@
 __all__ = [
     "ABSENT",
     "Accepted",
+    "ActiveConfig",
     "Budget",
     "Change",
-    "ConfigInForce",
     "ConfigState",
     "ConfigStore",
     "ConfigWatcher",
--- a/libs/config/src/masticdale_config/inforce.py
+++ b/libs/config/src/masticdale_config/inforce.py
@@ -46,7 +46,7 @@
     failure: Failure | None
 
 
-class ConfigInForce:
+class ActiveConfig:
     """Follows revisions in order and never goes back.
 
     A reader takes ``current`` once and uses that object for the whole
--- a/libs/config/src/masticdale_config/peersources.py
+++ b/libs/config/src/masticdale_config/peersources.py
@@ -9,7 +9,7 @@
 from returns.result import Result
 
 from masticdale_common import Failure, logs
-from masticdale_config.inforce import ConfigInForce, RevisionsExport
+from masticdale_config.inforce import ActiveConfig, RevisionsExport
 
 HEDGE_S = 0.2
 MAX_ASKED = 4
@@ -26,7 +26,7 @@
 
 
 async def take_from(
-    in_force: ConfigInForce, host: str, source: RevisionSource
+    in_force: ActiveConfig, host: str, source: RevisionSource
 ) -> bool:
     """Brings what a peer has more into force; returns whether it answered."""
     answer = await source.revisions_after(in_force.number)
@@ -41,7 +41,7 @@
 
 
 async def follow_peers(
-    in_force: ConfigInForce,
+    in_force: ActiveConfig,
     source_by_host: Mapping[str, RevisionSource],
     hedge_s: float = HEDGE_S,
 ) -> bool:
--- a/libs/config/src/masticdale_config/revisions.py
+++ b/libs/config/src/masticdale_config/revisions.py
@@ -11,7 +11,7 @@
 from masticdale_common import ErrorKind, Failure, hashing, logs
 from masticdale_config import checks, storage, trimming
 from masticdale_config import state as states
-from masticdale_config.inforce import ConfigInForce
+from masticdale_config.inforce import ActiveConfig
 from masticdale_config.kinds import Declaration, DeclarationKey
 from masticdale_config.rendered import RenderedConfig
 from masticdale_platform.types import (
@@ -98,7 +98,7 @@
     def __init__(
         self,
         store: ObjectStore,
-        in_force: ConfigInForce,
+        in_force: ActiveConfig,
         snapshot_every: int = SNAPSHOT_EVERY,
         backoff_s: float = BACKOFF_S,
         wall_ms: Callable[[], int] | None = None,
--- a/libs/config/src/masticdale_config/starting.py
+++ b/libs/config/src/masticdale_config/starting.py
@@ -8,7 +8,7 @@
 from returns.result import Success
 
 from masticdale_config import storage
-from masticdale_config.inforce import ConfigInForce
+from masticdale_config.inforce import ActiveConfig
 from masticdale_config.peersources import RevisionSource, take_from
 from masticdale_platform.types import ObjectStore
 
@@ -26,7 +26,7 @@
 
 async def learn_newest(
     store: ObjectStore,
-    in_force: ConfigInForce,
+    in_force: ActiveConfig,
     source_by_host: Mapping[str, RevisionSource],
 ) -> bool:
     """Brings the newest revision that can be found into force.
--- a/libs/config/src/masticdale_config/storage.py
+++ b/libs/config/src/masticdale_config/storage.py
@@ -22,7 +22,7 @@
 from masticdale_common import ErrorKind, Failure, StrictModel
 from masticdale_config import canonical, snapshots, trimming
 from masticdale_config import state as states
-from masticdale_config.inforce import ConfigInForce
+from masticdale_config.inforce import ActiveConfig
 from masticdale_platform.types import MUST_NOT_EXIST, ObjectStore
 
 REVISION_PREFIX = "config/revisions/"
@@ -91,7 +91,7 @@
 
 
 async def catch_up(
-    store: ObjectStore, in_force: ConfigInForce
+    store: ObjectStore, in_force: ActiveConfig
 ) -> Result[int, Failure]:
     """Brings every revision that the platform holds into force.
 
@@ -205,7 +205,7 @@
 
 
 async def _start_from_snapshot(
-    store: ObjectStore, in_force: ConfigInForce
+    store: ObjectStore, in_force: ActiveConfig
 ) -> Result[int, Failure]:
     found = await read_hint(store)
     if isinstance(found, Failed):
@@ -229,7 +229,7 @@
 
 
 async def _skip_trimmed(
-    store: ObjectStore, in_force: ConfigInForce
+    store: ObjectStore, in_force: ActiveConfig
 ) -> Result[int, Failure]:
     before = in_force.number
     begun = await _start_from_snapshot(store, in_force)
--- a/libs/config/src/masticdale_config/testing.py
+++ b/libs/config/src/masticdale_config/testing.py
@@ -4,7 +4,7 @@
 import pydantic
 
 from masticdale_config import state as states
-from masticdale_config.inforce import ConfigInForce
+from masticdale_config.inforce import ActiveConfig
 from masticdale_config.kinds import (
     Declaration,
     caller_key_digest,
@@ -228,7 +228,7 @@
     return Change(change_id, author, "a test", edits)
 
 
-def in_force(*declarations: Declaration) -> ConfigInForce:
+def in_force(*declarations: Declaration) -> ActiveConfig:
     """Returns a host's configuration with the declarations as revision 1."""
     config = rendered(*declarations)
     revision = states.Revision(
@@ -246,6 +246,6 @@
         ),
         digest=config.digest,
     )
-    holder = ConfigInForce()
+    holder = ActiveConfig()
     holder.apply_revisions((states.encode_revision(revision),)).unwrap()
     return holder
--- a/libs/config/src/masticdale_config/watching.py
+++ b/libs/config/src/masticdale_config/watching.py
@@ -7,7 +7,7 @@
 
 from masticdale_common import Failure, Metrics, logs
 from masticdale_config import storage
-from masticdale_config.inforce import ConfigInForce
+from masticdale_config.inforce import ActiveConfig
 from masticdale_platform.types import ObjectStore, WatchBatch
 
 POLL_PERIOD_S = 2.0
@@ -29,7 +29,7 @@
     def __init__(
         self,
         store: ObjectStore,
-        in_force: ConfigInForce,
+        in_force: ActiveConfig,
         metrics: Metrics,
         poll_period_s: float = POLL_PERIOD_S,
         watch_wait_s: float = WATCH_WAIT_S,
--- a/libs/config/tests/test_inforce.py
+++ b/libs/config/tests/test_inforce.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from masticdale_common import ErrorKind
-from masticdale_config import ConfigInForce, ConfigStore, storage, testing
+from masticdale_config import ActiveConfig, ConfigStore, storage, testing
 from masticdale_platform.testing import MemoryStore
 
 REVISION_COUNT = 6
@@ -15,7 +15,7 @@
 
 async def _revisions(count=REVISION_COUNT):
     store = MemoryStore()
-    operator = ConfigStore(store, ConfigInForce())
+    operator = ConfigStore(store, ActiveConfig())
     seen = None
     for number in range(1, count + 1):
         engine = testing.engine("e", "m", port=8000 + number)
@@ -31,13 +31,13 @@
         self.revisions = await _revisions()
 
     async def test_a_gap_is_refused_and_what_came_before_it_holds(self):
-        holder = ConfigInForce()
+        holder = ActiveConfig()
         outcome = holder.apply_revisions([self.revisions[0], self.revisions[2]])
         self.assertIs(outcome.failure().kind, ErrorKind.OUT_OF_ORDER)
         self.assertEqual(holder.number, 1)
 
     async def test_subscribers_hear_of_the_newest_once(self):
-        holder = ConfigInForce()
+        holder = ActiveConfig()
         heard = []
         holder.subscribe(lambda config: heard.append(config.revision))
         holder.apply_revisions(self.revisions)
@@ -45,9 +45,9 @@
         self.assertEqual(heard, [REVISION_COUNT])
 
     async def test_a_peer_catches_up_by_revisions_or_snapshot(self):
-        holder = ConfigInForce()
+        holder = ActiveConfig()
         holder.apply_revisions(self.revisions)
-        behind, fresh = ConfigInForce(), ConfigInForce()
+        behind, fresh = ActiveConfig(), ActiveConfig()
         behind.apply_revisions(self.revisions[:3])
         fresh.apply_snapshot(holder.export_after(-1).snapshot)
         behind.apply_export(holder.export_after(behind.number))
@@ -55,11 +55,11 @@
             self.assertEqual(peer.state, holder.state)
 
     async def test_a_damaged_snapshot_changes_nothing(self):
-        holder = ConfigInForce()
+        holder = ActiveConfig()
         holder.apply_revisions(self.revisions)
         snapshot = holder.export_after(-1).snapshot
         wrong = snapshot.replace(b"8006", b"8007")
-        fresh = ConfigInForce()
+        fresh = ActiveConfig()
         for value in (wrong, snapshot[:-5]):
             outcome = fresh.apply_snapshot(value)
             self.assertIs(outcome.failure().kind, ErrorKind.INTERNAL)
@@ -71,7 +71,7 @@
         The thread's result comes last and is older. It must not replace what
         came into force in the meantime, and nothing may be kept twice.
         """
-        holder = ConfigInForce()
+        holder = ActiveConfig()
         slow = asyncio.create_task(holder.follow_revisions(self.revisions[:2]))
         await asyncio.sleep(0)
         holder.apply_revisions(self.revisions).unwrap()
@@ -84,12 +84,12 @@
         )
 
     async def test_exports_made_off_the_loop_are_the_same(self):
-        holder = ConfigInForce()
+        holder = ActiveConfig()
         holder.apply_revisions(self.revisions)
         for number in (-1, 2, REVISION_COUNT):
             made = await holder.make_export(number)
             self.assertEqual(made, holder.export_after(number))
-            peer = ConfigInForce()
+            peer = ActiveConfig()
             peer.apply_revisions(self.revisions[:2])
             self.assertEqual(
                 (await peer.follow_export(made)).unwrap(),
@@ -103,17 +103,17 @@
         newer one, an accepted change would revert on this host alone.
         """
         revisions = self.revisions
-        whole = ConfigInForce()
+        whole = ActiveConfig()
         whole.apply_revisions(revisions)
 
         @settings(derandomize=True, deadline=None, max_examples=60)
         @given(st.lists(st.integers(0, REVISION_COUNT), max_size=20))
         def check(arrivals):
-            holder = ConfigInForce()
+            holder = ActiveConfig()
             for arrival in arrivals:
                 before = holder.number
                 if arrival == REVISION_COUNT:
-                    peer = ConfigInForce()
+                    peer = ActiveConfig()
                     peer.apply_revisions(revisions[: before // 2 + 2])
                     snapshot = peer.export_after(-1).snapshot
                     holder.apply_snapshot(snapshot)
--- a/libs/config/tests/test_revisions.py
+++ b/libs/config/tests/test_revisions.py
@@ -12,7 +12,7 @@
 
 from masticdale_common import ErrorKind, Failure
 from masticdale_config import (
-    ConfigInForce,
+    ActiveConfig,
     ConfigStore,
     kinds,
     storage,
@@ -25,7 +25,7 @@
 
 
 def _operator(store, snapshot_every=3):
-    return ConfigStore(store, ConfigInForce(), snapshot_every)
+    return ConfigStore(store, ActiveConfig(), snapshot_every)
 
 
 def _engine(slots_port):
@@ -237,7 +237,7 @@
 
 async def _operate(name, store, applied_by_change):
     """Edits two shared engines at once; what may be written is sent again."""
-    operator = ConfigStore(store, ConfigInForce(), 2, backoff_s=0)
+    operator = ConfigStore(store, ActiveConfig(), 2, backoff_s=0)
     for number in range(_CHANGES_EACH):
         await operator.load()
         by_key = operator._in_force.state.declaration_by_key
--- a/libs/config/tests/test_starting.py
+++ b/libs/config/tests/test_starting.py
@@ -7,7 +7,7 @@
 
 from masticdale_common import ErrorKind, Failure
 from masticdale_config import (
-    ConfigInForce,
+    ActiveConfig,
     ConfigStore,
     learn_newest,
     storage,
@@ -22,7 +22,7 @@
     """A peer that holds a revision and can be out of reach."""
 
     def __init__(self, revisions, is_reachable=True):
-        self.in_force = ConfigInForce()
+        self.in_force = ActiveConfig()
         self.in_force.apply_revisions(revisions).unwrap()
         self.is_reachable = is_reachable
         self.sent_bytes = 0
@@ -40,14 +40,14 @@
 class StartingTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.store = MemoryStore()
-        operator = ConfigStore(self.store, ConfigInForce())
+        operator = ConfigStore(self.store, ActiveConfig())
         for number in range(NEWEST):
             engine = testing.engine(f"e{number}", "m")
             change = testing.change(f"c{number}", testing.put(engine))
             (await operator.apply(change)).unwrap()
         stored = (await self.store.list(storage.REVISION_PREFIX)).unwrap()
         self.revisions = [item.value for item in stored]
-        self.restarted = ConfigInForce()
+        self.restarted = ActiveConfig()
 
     def peer(self, number, is_reachable=True):
         return _Peer(self.revisions[:number], is_reachable)
--- a/libs/config/tests/test_trimming.py
+++ b/libs/config/tests/test_trimming.py
@@ -5,7 +5,7 @@
 
 from masticdale_common import ErrorKind
 from masticdale_config import (
-    ConfigInForce,
+    ActiveConfig,
     ConfigStore,
     catch_up,
     storage,
@@ -27,7 +27,7 @@
         self.addCleanup(patch.stop)
         self.store = MemoryStore()
         self.operator = ConfigStore(
-            self.store, ConfigInForce(), SNAPSHOT_EVERY, backoff_s=0.0
+            self.store, ActiveConfig(), SNAPSHOT_EVERY, backoff_s=0.0
         )
         self.seen = None
 
@@ -49,7 +49,7 @@
         self.assertLessEqual(len(stored), KEPT + 2 * SNAPSHOT_EVERY)
         snapshots = (await self.store.list(storage.SNAPSHOT_PREFIX)).unwrap()
         self.assertEqual(len(snapshots), storage.KEPT_SNAPSHOTS)
-        fresh = ConfigInForce()
+        fresh = ActiveConfig()
         self.assertEqual((await catch_up(self.store, fresh)).unwrap(), CHANGES)
         self.assertIsNone((await self.operator.revision(1)).unwrap())
 
@@ -60,7 +60,7 @@
         it would stay at its old revision for good and believe it is newest.
         """
         await self.change(1, 2)
-        paused = ConfigInForce()
+        paused = ActiveConfig()
         await catch_up(self.store, paused)
         await self.change(*range(3, CHANGES + 1))
         self.assertEqual((await catch_up(self.store, paused)).unwrap(), CHANGES)
--- a/libs/config/tests/test_watching.py
+++ b/libs/config/tests/test_watching.py
@@ -5,7 +5,7 @@
 
 from masticdale_common import Metrics
 from masticdale_config import (
-    ConfigInForce,
+    ActiveConfig,
     ConfigStore,
     ConfigWatcher,
     testing,
@@ -24,10 +24,10 @@
 
 class WatcherTest(unittest.IsolatedAsyncioTestCase):
     async def _follow(self, store, poll_period_s):
-        followed = ConfigInForce()
+        followed = ActiveConfig()
         watcher = ConfigWatcher(store, followed, Metrics(), poll_period_s)
         task = asyncio.create_task(watcher.run())
-        operator = ConfigStore(store, ConfigInForce())
+        operator = ConfigStore(store, ActiveConfig())
         arrived = asyncio.Event()
         followed.subscribe(lambda _: arrived.set())
         try:
--- a/scripts/measure_config.py
+++ b/scripts/measure_config.py
@@ -19,7 +19,7 @@
 from typing import TypeVar
 
 from masticdale_config import (
-    ConfigInForce,
+    ActiveConfig,
     ConfigStore,
     Declaration,
     Edit,
@@ -121,8 +121,8 @@
     """One accepting host and one that follows it."""
 
     def __init__(self) -> None:
-        self._accepting = ConfigInForce()
-        self.following = ConfigInForce()
+        self._accepting = ActiveConfig()
+        self.following = ActiveConfig()
         self._operator = ConfigStore(
             MemoryStore(), self._accepting, snapshot_every=10**9
         )
@@ -273,7 +273,7 @@
 
 def _memory_bytes(snapshot: bytes) -> int:
     tracemalloc.start()
-    holder = ConfigInForce()
+    holder = ActiveConfig()
     holder.apply_snapshot(snapshot).unwrap()
     held: RenderedConfig = holder.current
     size, _ = tracemalloc.get_traced_memory()
--- a/tools/standins/src/masticdale_standins/clusters.py
+++ b/tools/standins/src/masticdale_standins/clusters.py
@@ -12,8 +12,8 @@
 from masticdale_common import Metrics
 from masticdale_config import (
     ABSENT,
+    ActiveConfig,
     Change,
-    ConfigInForce,
     ConfigStore,
     Declaration,
     Edit,
@@ -312,7 +312,7 @@
 
 async def _apply(platform_url: str, declarations: list[Declaration]) -> int:
     store = PlatformClient(platform_url, _PLATFORM_TIMEOUT_S, Metrics())
-    in_force = ConfigInForce()
+    in_force = ActiveConfig()
     try:
         (await catch_up(store, in_force)).unwrap()
         seen = in_force.state.declaration_by_key
