--- a/apps/masticdaled/src/masticdaled/following.py
+++ b/apps/masticdaled/src/masticdaled/following.py
@@ -9,8 +9,8 @@
     ActiveConfig,
     ConfigWatcher,
     RevisionsExport,
-    follow_peers,
-    learn_newest,
+    bootstrap_config,
+    catch_up_from_peers,
 )
 from masticdale_peers import RevisionsRequest
 from masticdale_platform import ObjectStore
@@ -50,7 +50,7 @@
         live peers and the platform, and waits until one of them answers.
         """
         members = self._cluster.membership.members()
-        self._started = await learn_newest(
+        self._started = await bootstrap_config(
             self._store,
             self._in_force,
             {m.name: self._source(m.name) for m in members if not m.is_self},
@@ -92,7 +92,7 @@
             if member.beat.revision > own
         }
         if ahead:
-            await follow_peers(self._in_force, ahead)
+            await catch_up_from_peers(self._in_force, ahead)
 
     def _source(self, host: str) -> "_PeerSource":
         return _PeerSource(self._cluster, host)
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -132,7 +132,9 @@
 
     async def revisions(self, request: RevisionsRequest) -> RevisionsReply:
         """See ``PeerHandler.revisions``."""
-        export = await self._parts().in_force.make_export(request.after)
+        export = await self._parts().in_force.export_after_in_thread(
+            request.after
+        )
         return RevisionsReply(export.newest, export.revisions, export.snapshot)
 
     async def put_copy(self, request: CopyRequest) -> CopyReply:
--- a/libs/config/src/masticdale_config/__init__.py
+++ b/libs/config/src/masticdale_config/__init__.py
@@ -13,7 +13,7 @@
     key_of,
     parse,
 )
-from masticdale_config.peersources import RevisionSource, follow_peers
+from masticdale_config.peersources import RevisionSource, catch_up_from_peers
 from masticdale_config.rendered import (
     Budget,
     Limits,
@@ -35,7 +35,7 @@
     Edit,
     Plan,
 )
-from masticdale_config.starting import learn_newest
+from masticdale_config.starting import bootstrap_config
 from masticdale_config.state import ABSENT, ConfigState, Revision
 from masticdale_config.storage import catch_up
 from masticdale_config.watching import ConfigWatcher
@@ -71,11 +71,11 @@
     "UpstreamTable",
     "Workspace",
     "WorkspaceBudget",
+    "bootstrap_config",
     "caller_key_digest",
     "catch_up",
+    "catch_up_from_peers",
     "engines_of",
-    "follow_peers",
     "key_of",
-    "learn_newest",
     "parse",
 ]
--- a/libs/config/src/masticdale_config/inforce.py
+++ b/libs/config/src/masticdale_config/inforce.py
@@ -102,7 +102,7 @@
         """
         return self._take(_follow_all(self._state, revisions))
 
-    async def follow_revisions(
+    async def apply_revisions_in_thread(
         self, revisions: Iterable[bytes]
     ) -> Result[int, Failure]:
         """Does what ``apply_revisions`` does, off the event loop.
@@ -129,21 +129,23 @@
         """
         return self._take_snapshot(snapshots.decode(snapshot))
 
-    async def follow_snapshot(self, snapshot: bytes) -> Result[int, Failure]:
+    async def apply_snapshot_in_thread(
+        self, snapshot: bytes
+    ) -> Result[int, Failure]:
         """Does what ``apply_snapshot`` does, off the event loop."""
         async with self._lock:
             decoded = await asyncio.to_thread(snapshots.decode, snapshot)
             return self._take_snapshot(decoded)
 
-    async def follow_export(
+    async def apply_export_in_thread(
         self, export: RevisionsExport
     ) -> Result[int, Failure]:
         """Does what ``apply_export`` does, off the event loop."""
         if export.snapshot:
-            outcome = await self.follow_snapshot(export.snapshot)
+            outcome = await self.apply_snapshot_in_thread(export.snapshot)
             if isinstance(outcome, Failed):
                 return outcome
-        return await self.follow_revisions(export.revisions)
+        return await self.apply_revisions_in_thread(export.revisions)
 
     def apply_export(self, export: RevisionsExport) -> Result[int, Failure]:
         """Brings what a peer handed over into force."""
@@ -166,7 +168,7 @@
             self._snapshot = snapshots.encode(self._state)
         return RevisionsExport(self.number, (), self._snapshot)
 
-    async def make_export(self, number: int) -> RevisionsExport:
+    async def export_after_in_thread(self, number: int) -> RevisionsExport:
         """Does what ``export_after`` does, encoding off the event loop."""
         state = self._state
         if self._export_kept(number) is None and not self._snapshot:
--- a/libs/config/src/masticdale_config/peersources.py
+++ b/libs/config/src/masticdale_config/peersources.py
@@ -32,7 +32,7 @@
     answer = await source.revisions_after(in_force.number)
     if isinstance(answer, Failed):
         return False
-    followed = await in_force.follow_export(answer.unwrap())
+    followed = await in_force.apply_export_in_thread(answer.unwrap())
     if isinstance(followed, Failed):
         error = str(followed.failure())
         logs.write("revisions_refused", peer=host, error=error)
@@ -40,7 +40,7 @@
     return True
 
 
-async def follow_peers(
+async def catch_up_from_peers(
     in_force: ActiveConfig,
     source_by_host: Mapping[str, RevisionSource],
     hedge_s: float = HEDGE_S,
--- a/libs/config/src/masticdale_config/revisions.py
+++ b/libs/config/src/masticdale_config/revisions.py
@@ -227,7 +227,7 @@
     ) -> Result[Accepted, Failure]:
         # This host's watch may have brought it, and later ones, into force
         # before the write was answered; then this passes over it.
-        applied = await self._in_force.follow_revisions(
+        applied = await self._in_force.apply_revisions_in_thread(
             (states.encode_revision(revision),)
         )
         if isinstance(applied, Failed):
--- a/libs/config/src/masticdale_config/starting.py
+++ b/libs/config/src/masticdale_config/starting.py
@@ -24,7 +24,7 @@
     newest: int
 
 
-async def learn_newest(
+async def bootstrap_config(
     store: ObjectStore,
     in_force: ActiveConfig,
     source_by_host: Mapping[str, RevisionSource],
--- a/libs/config/src/masticdale_config/storage.py
+++ b/libs/config/src/masticdale_config/storage.py
@@ -112,7 +112,7 @@
         if isinstance(outcome, Failed):
             return outcome
         tail = outcome.unwrap()
-        applied = await in_force.follow_revisions(tail.revisions)
+        applied = await in_force.apply_revisions_in_thread(tail.revisions)
         if tail.is_trimmed:
             # This host was paused for so long that revisions it misses are
             # gone. Taken for the end of the sequence, it would lag for good.
@@ -225,7 +225,7 @@
     value = b"".join(chunks)
     if snapshots.digest(value) != hint.digest:
         return _broken(hint, "its digest does not come out")
-    return await in_force.follow_snapshot(value)
+    return await in_force.apply_snapshot_in_thread(value)
 
 
 async def _skip_trimmed(
--- a/libs/config/src/masticdale_config/watching.py
+++ b/libs/config/src/masticdale_config/watching.py
@@ -84,7 +84,7 @@
         changed = sorted(batch.changed, key=lambda stored: stored.key)
         if not changed:
             return
-        applied = await self._in_force.follow_revisions(
+        applied = await self._in_force.apply_revisions_in_thread(
             stored.value for stored in changed
         )
         if isinstance(applied, Failed):
--- a/libs/config/tests/test_inforce.py
+++ b/libs/config/tests/test_inforce.py
@@ -72,7 +72,9 @@
         came into force in the meantime, and nothing may be kept twice.
         """
         holder = ActiveConfig()
-        slow = asyncio.create_task(holder.follow_revisions(self.revisions[:2]))
+        slow = asyncio.create_task(
+            holder.apply_revisions_in_thread(self.revisions[:2])
+        )
         await asyncio.sleep(0)
         holder.apply_revisions(self.revisions).unwrap()
         await slow
@@ -87,12 +89,12 @@
         holder = ActiveConfig()
         holder.apply_revisions(self.revisions)
         for number in (-1, 2, REVISION_COUNT):
-            made = await holder.make_export(number)
+            made = await holder.export_after_in_thread(number)
             self.assertEqual(made, holder.export_after(number))
             peer = ActiveConfig()
             peer.apply_revisions(self.revisions[:2])
             self.assertEqual(
-                (await peer.follow_export(made)).unwrap(),
+                (await peer.apply_export_in_thread(made)).unwrap(),
                 2 if number > 2 else REVISION_COUNT,
             )
 
--- a/libs/config/tests/test_peersources.py
+++ b/libs/config/tests/test_peersources.py
@@ -7,7 +7,7 @@
 from returns.result import Success
 
 from masticdale_common import ErrorKind, Failure
-from masticdale_config import ActiveConfig, follow_peers, testing
+from masticdale_config import ActiveConfig, catch_up_from_peers, testing
 
 PATIENCE_S = 20.0
 
@@ -37,7 +37,7 @@
     async def follow(self, **source_by_host):
         self.in_force = ActiveConfig()
         async with asyncio.timeout(PATIENCE_S):
-            return await follow_peers(
+            return await catch_up_from_peers(
                 self.in_force, source_by_host, hedge_s=0.001
             )
 
--- a/libs/config/tests/test_starting.py
+++ b/libs/config/tests/test_starting.py
@@ -9,7 +9,7 @@
 from masticdale_config import (
     ActiveConfig,
     ConfigStore,
-    learn_newest,
+    bootstrap_config,
     storage,
     testing,
 )
@@ -53,7 +53,9 @@
         return _Peer(self.revisions[:number], is_reachable)
 
     async def learn(self, **source_by_host):
-        return await learn_newest(self.store, self.restarted, source_by_host)
+        return await bootstrap_config(
+            self.store, self.restarted, source_by_host
+        )
 
     async def test_a_restart_in_an_outage_takes_the_newest_peer(self):
         """A host restarts while the platform is down.
--- a/scripts/measure_config.py
+++ b/scripts/measure_config.py
@@ -172,7 +172,7 @@
         stalls = asyncio.create_task(_longest_stall())
         await asyncio.sleep(STALL_PROBE_S)
         start = time.process_time()
-        (await self.following.follow_export(export)).unwrap()
+        (await self.following.apply_export_in_thread(export)).unwrap()
         elapsed = (time.process_time() - start) * MS_PER_S
         stalls.cancel()
         return [
