--- a/apps/masticdaled/src/masticdaled/execution/placement.py
+++ b/apps/masticdaled/src/masticdaled/execution/placement.py
@@ -6,7 +6,7 @@
 from returns.result import Result, Success
 
 from masticdale_common import ErrorKind, Failure
-from masticdale_config import ActiveConfig, RenderedEngine, engines_of
+from masticdale_config import ActiveConfig, RenderedEngine, eligible_engines
 from masticdale_peers import ProbeReply, ProbeRequest
 from masticdale_routing import (
     Candidate,
@@ -99,7 +99,7 @@
             return []
         engines = [
             engine
-            for engine in engines_of(workspace, run.call.model, config)
+            for engine in eligible_engines(workspace, run.call.model, config)
             if self._directory.may_get_work(engine)
         ]
         untried = [e for e in engines if e.name not in run.failed_replicas]
--- a/libs/config/src/masticdale_config/__init__.py
+++ b/libs/config/src/masticdale_config/__init__.py
@@ -1,6 +1,6 @@
 """Declarations, their rendering and the revision in force."""
 
-from masticdale_config.checks import engines_of
+from masticdale_config.checks import eligible_engines
 from masticdale_config.inforce import ActiveConfig, RevisionsExport
 from masticdale_config.kinds import (
     Declaration,
@@ -75,7 +75,7 @@
     "caller_key_digest",
     "catch_up",
     "catch_up_from_peers",
-    "engines_of",
+    "eligible_engines",
     "key_of",
     "parse",
 ]
--- a/libs/config/src/masticdale_config/checks.py
+++ b/libs/config/src/masticdale_config/checks.py
@@ -29,7 +29,7 @@
 _HOUR_S = 3600
 
 
-def check_whole(
+def check_declarations(
     declaration_by_key: DeclarationByKey, revision: int
 ) -> Result[RenderedConfig, Failure]:
     """Checks and renders all declarations.
@@ -238,7 +238,7 @@
     return found
 
 
-def engines_of(
+def eligible_engines(
     workspace: RenderedWorkspace, model: str, config: RenderedConfig
 ) -> tuple[RenderedEngine, ...]:
     """Returns the engines that may serve a model for a workspace."""
--- a/libs/config/tests/test_checks.py
+++ b/libs/config/tests/test_checks.py
@@ -11,7 +11,7 @@
 
 def _check(*declarations):
     by_key = {kinds.key_of(d): d for d in declarations}
-    return checks.check_whole(by_key, 1)
+    return checks.check_declarations(by_key, 1)
 
 
 def _workspace(name="w", key="k", **fields):
--- a/libs/config/tests/test_rendering.py
+++ b/libs/config/tests/test_rendering.py
@@ -114,7 +114,7 @@
         for number, change in enumerate(sequence, 2):
             after = {k: d for k, d in (by_key | change).items() if d}
             step = checks.check_change(after, number, config, change)
-            whole = checks.check_whole(after, number)
+            whole = checks.check_declarations(after, number)
             self.assertEqual(type(step), type(whole), (step, whole))
             if is_successful(step):
                 by_key, config = after, step.unwrap()
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -14,7 +14,7 @@
         declaration_by_key = {}
         for folder in folders:
             declaration_by_key |= read_folder(str(EXAMPLES / folder))
-        return checks.check_whole(declaration_by_key, 1).unwrap()
+        return checks.check_declarations(declaration_by_key, 1).unwrap()
 
     def test_both_deployments_are_accepted_together(self):
         config = self.check("tengri-trails", "halvorsen")
