--- a/apps/masticdaled/src/masticdaled/operators/listener.py
+++ b/apps/masticdaled/src/masticdaled/operators/listener.py
@@ -49,7 +49,7 @@
     StoredDeclaration,
     TakeoverReport,
 )
-from masticdale_config.rollback import restoring_edits
+from masticdale_config.rollback import compute_rollback_edits
 from masticdaled import answers
 from masticdaled.operators.access import Access
 from masticdaled.operators.change_schema import ChangeOperation
@@ -195,8 +195,8 @@
 
     @get("/v1/revisions/{number:int}/rollback")
     async def rollback(number: FromPath[int]) -> RollbackEdits:
-        found = _value(await restoring_edits(_store(context), number))
-        edits = tuple(EditRequest.of(edit) for edit in found)
+        found = _value(await compute_rollback_edits(_store(context), number))
+        edits = tuple(EditRequest.from_edit(edit) for edit in found)
         return RollbackEdits(number, edits)
 
     return [list_revisions, show_revision, rollback]
--- a/apps/masticdaled/src/masticdaled/replicas/orders.py
+++ b/apps/masticdaled/src/masticdaled/replicas/orders.py
@@ -149,7 +149,7 @@
         self, engine: RenderedEngine, record: OrderRecord, version: int
     ) -> bool:
         is_free = record.released or record.holder == self._holder
-        if is_free or engine.obeys_fencing:
+        if is_free or engine.enforces_fencing:
             return True
         seen = self._seen_by_replica.get(engine.name)
         if seen is None or seen.version != version:
--- a/apps/masticdaled/tests/test_operators.py
+++ b/apps/masticdaled/tests/test_operators.py
@@ -34,7 +34,7 @@
 
 def change(change_id, *declarations, seen=ABSENT):
     edits = tuple(
-        EditRequest.of(Edit(key_of(d), seen, d)) for d in declarations
+        EditRequest.from_edit(Edit(key_of(d), seen, d)) for d in declarations
     )
     return ChangeRequest(change_id=change_id, edits=edits).model_dump_json()
 
--- a/apps/masticdaled/tests/test_orders.py
+++ b/apps/masticdaled/tests/test_orders.py
@@ -15,7 +15,7 @@
     address="127.0.0.1:1",
     failure_domain="domain-1",
     replica="permit-1",
-    obeys_fencing=True,
+    enforces_fencing=True,
     draining=False,
     model="permit-70b",
     slots=8,
@@ -27,7 +27,7 @@
         RenderedOrder("load_adapter", "zones"),
     ),
 )
-IGNORES = dataclasses.replace(ENGINE, obeys_fencing=False)
+IGNORES = dataclasses.replace(ENGINE, enforces_fencing=False)
 
 
 class OrdersTest(unittest.IsolatedAsyncioTestCase):
--- a/libs/config/src/masticdale_config/messages.py
+++ b/libs/config/src/masticdale_config/messages.py
@@ -35,7 +35,7 @@
     after: AnyDeclaration | None = None
 
     @classmethod
-    def of(cls, edit: Edit) -> Self:
+    def from_edit(cls, edit: Edit) -> Self:
         """Returns an edit as it is sent."""
         return cls(
             kind=edit.key.kind,
--- a/libs/config/src/masticdale_config/rendered.py
+++ b/libs/config/src/masticdale_config/rendered.py
@@ -117,7 +117,7 @@
     address: str
     failure_domain: str
     replica: str
-    obeys_fencing: bool
+    enforces_fencing: bool
     draining: bool
     model: str
     slots: int
@@ -141,7 +141,7 @@
     address: str
     failure_domain: str
     replica: str
-    obeys_fencing: bool
+    enforces_fencing: bool
     draining: bool
     repeatable_by_operation: Mapping[str, bool]
     lookup: bool
--- a/libs/config/src/masticdale_config/rollback.py
+++ b/libs/config/src/masticdale_config/rollback.py
@@ -11,7 +11,7 @@
 MAX_UNDONE_REVISIONS = 500
 
 
-async def restoring_edits(
+async def compute_rollback_edits(
     config_store: ConfigStore, number: int
 ) -> Result[tuple[Edit, ...], Failure]:
     """Returns what would restore the declarations of an earlier revision.
--- a/libs/config/src/masticdale_config/upstreams.py
+++ b/libs/config/src/masticdale_config/upstreams.py
@@ -36,7 +36,7 @@
         address=spec.address,
         failure_domain=spec.failure_domain,
         replica=spec.replica or upstream.name,
-        obeys_fencing=spec.fencing is Fencing.OBEYED,
+        enforces_fencing=spec.fencing is Fencing.OBEYED,
         draining=spec.draining,
         model=spec.model,
         slots=spec.slots,
@@ -56,7 +56,7 @@
         address=spec.address,
         failure_domain=spec.failure_domain,
         replica=spec.replica or upstream.name,
-        obeys_fencing=spec.fencing is Fencing.OBEYED,
+        enforces_fencing=spec.fencing is Fencing.OBEYED,
         draining=spec.draining,
         repeatable_by_operation={
             name: operation.repeatable
--- a/scripts/measure_in_force.py
+++ b/scripts/measure_in_force.py
@@ -112,7 +112,7 @@
         )
 
     async def _apply(self, server: DaemonHandle, after: Declaration) -> int:
-        edit = EditRequest.of(Edit(key_of(after), self._seen, after))
+        edit = EditRequest.from_edit(Edit(key_of(after), self._seen, after))
         change = ChangeRequest(change_id=uuid.uuid4().hex, edits=(edit,))
         answer = await self._http.post(
             f"{server.operators_url}/v1/config/apply",
