--- a/apps/masticdaled/tests/test_callers.py
+++ b/apps/masticdaled/tests/test_callers.py
@@ -20,7 +20,7 @@
 
 class CallersTestCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        in_force = config_testing.in_force(
+        in_force = config_testing.active_config(
             *config_testing.tengri_trails(), *config_testing.halvorsen()
         )
         self.host = create_memory_host(
--- a/apps/masticdaled/tests/test_homes.py
+++ b/apps/masticdaled/tests/test_homes.py
@@ -48,7 +48,7 @@
 
 class LeavingTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        in_force = config_testing.in_force(*config_testing.tengri_trails())
+        in_force = config_testing.active_config(*config_testing.tengri_trails())
         store = MemoryStore()
         self.host = create_memory_host(
             "host-1",
--- a/apps/masticdaled/tests/test_service_calls.py
+++ b/apps/masticdaled/tests/test_service_calls.py
@@ -34,7 +34,7 @@
 
 class ServiceCallerTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        in_force = config_testing.in_force(*config_testing.tengri_trails())
+        in_force = config_testing.active_config(*config_testing.tengri_trails())
         self.host = create_memory_host(
             "host-1",
             ("host-1",),
--- a/libs/config/src/masticdale_config/__init__.py
+++ b/libs/config/src/masticdale_config/__init__.py
@@ -1,7 +1,8 @@
 """Declarations, their rendering and the revision in force."""
 
+from masticdale_config.active_config import ActiveConfig, RevisionsExport
+from masticdale_config.bootstrap import bootstrap_config
 from masticdale_config.checks import eligible_engines
-from masticdale_config.inforce import ActiveConfig, RevisionsExport
 from masticdale_config.kinds import (
     Declaration,
     DeclarationKey,
@@ -13,7 +14,7 @@
     key_of,
     parse,
 )
-from masticdale_config.peersources import RevisionSource, catch_up_from_peers
+from masticdale_config.peer_sync import RevisionSource, catch_up_from_peers
 from masticdale_config.rendered import (
     Budget,
     Limits,
@@ -35,7 +36,6 @@
     Edit,
     Plan,
 )
-from masticdale_config.starting import bootstrap_config
 from masticdale_config.state import ABSENT, ConfigState, Revision
 from masticdale_config.storage import catch_up
 from masticdale_config.watching import ConfigWatcher
--- a/libs/config/src/masticdale_config/starting.py
+++ b/libs/config/src/masticdale_config/bootstrap.py
@@ -8,8 +8,8 @@
 from returns.result import Success
 
 from masticdale_config import storage
-from masticdale_config.inforce import ActiveConfig
-from masticdale_config.peersources import RevisionSource, take_from
+from masticdale_config.active_config import ActiveConfig
+from masticdale_config.peer_sync import RevisionSource, take_from
 from masticdale_platform.types import ObjectStore
 
 # Higher than any revision, so a peer answers with its number alone. Asked for
--- a/libs/config/src/masticdale_config/peersources.py
+++ b/libs/config/src/masticdale_config/peer_sync.py
@@ -9,7 +9,7 @@
 from returns.result import Result
 
 from masticdale_common import Failure, logs
-from masticdale_config.inforce import ActiveConfig, RevisionsExport
+from masticdale_config.active_config import ActiveConfig, RevisionsExport
 
 HEDGE_S = 0.2
 MAX_ASKED = 4
--- a/libs/config/src/masticdale_config/revisions.py
+++ b/libs/config/src/masticdale_config/revisions.py
@@ -11,7 +11,7 @@
 from masticdale_common import ErrorKind, Failure, hashing, logs
 from masticdale_config import checks, storage, trimming
 from masticdale_config import state as states
-from masticdale_config.inforce import ActiveConfig
+from masticdale_config.active_config import ActiveConfig
 from masticdale_config.kinds import Declaration, DeclarationKey
 from masticdale_config.rendered import RenderedConfig
 from masticdale_platform.types import (
--- a/libs/config/src/masticdale_config/storage.py
+++ b/libs/config/src/masticdale_config/storage.py
@@ -22,7 +22,7 @@
 from masticdale_common import ErrorKind, Failure, StrictModel
 from masticdale_config import canonical, snapshots, trimming
 from masticdale_config import state as states
-from masticdale_config.inforce import ActiveConfig
+from masticdale_config.active_config import ActiveConfig
 from masticdale_platform.types import MUST_NOT_EXIST, ObjectStore
 
 REVISION_PREFIX = "config/revisions/"
--- a/libs/config/src/masticdale_config/testing.py
+++ b/libs/config/src/masticdale_config/testing.py
@@ -4,7 +4,7 @@
 import pydantic
 
 from masticdale_config import state as states
-from masticdale_config.inforce import ActiveConfig
+from masticdale_config.active_config import ActiveConfig
 from masticdale_config.kinds import (
     Declaration,
     caller_key_digest,
@@ -228,7 +228,7 @@
     return Change(change_id, author, "a test", edits)
 
 
-def in_force(*declarations: Declaration) -> ActiveConfig:
+def active_config(*declarations: Declaration) -> ActiveConfig:
     """Returns a host's configuration with the declarations as revision 1."""
     config = rendered(*declarations)
     revision = states.Revision(
--- a/libs/config/src/masticdale_config/watching.py
+++ b/libs/config/src/masticdale_config/watching.py
@@ -7,7 +7,7 @@
 
 from masticdale_common import Failure, Metrics, logs
 from masticdale_config import storage
-from masticdale_config.inforce import ActiveConfig
+from masticdale_config.active_config import ActiveConfig
 from masticdale_platform.types import ObjectStore, WatchBatch
 
 POLL_PERIOD_S = 2.0
--- a/libs/config/tests/test_peersources.py
+++ b/libs/config/tests/test_peer_sync.py
@@ -16,7 +16,7 @@
     """A peer at revision 1 that answers, refuses or hangs."""
 
     def __init__(self, is_paused=False, is_down=False):
-        self.in_force = testing.in_force(testing.engine("e", "m"))
+        self.in_force = testing.active_config(testing.engine("e", "m"))
         self.is_paused = is_paused
         self.is_down = is_down
         self.was_cancelled = False
