--- a/libs/config/src/masticdale_config/__init__.py
+++ b/libs/config/src/masticdale_config/__init__.py
@@ -30,7 +30,7 @@
     WorkspaceBudget,
 )
 from masticdale_config.revisions import (
-    Accepted,
+    AcceptedChange,
     Change,
     ConfigStore,
     Edit,
@@ -42,7 +42,7 @@
 
 __all__ = [
     "ABSENT",
-    "Accepted",
+    "AcceptedChange",
     "ActiveConfig",
     "Budget",
     "Change",
--- a/libs/config/src/masticdale_config/active_config.py
+++ b/libs/config/src/masticdale_config/active_config.py
@@ -13,7 +13,7 @@
 from masticdale_config import state as states
 from masticdale_config.rendered import RenderedConfig
 
-KEPT_REVISIONS = 256
+BACKLOG_REVISIONS = 256
 
 Subscriber = Callable[[RenderedConfig], None]
 
@@ -55,8 +55,8 @@
 
     def __init__(self) -> None:
         self._state = states.EMPTY_STATE
-        self._kept: collections.deque[bytes] = collections.deque(
-            maxlen=KEPT_REVISIONS
+        self._backlog: collections.deque[bytes] = collections.deque(
+            maxlen=BACKLOG_REVISIONS
         )
         self._subscribers: list[Subscriber] = []
         self._snapshot = b""
@@ -100,7 +100,7 @@
             The number in force; OUT_OF_ORDER at a gap and INTERNAL at a
             revision that cannot be read, with those before it in force.
         """
-        return self._take(_follow_all(self._state, revisions))
+        return self._apply_progress(_render_revisions(self._state, revisions))
 
     async def apply_revisions_in_thread(
         self, revisions: Iterable[bytes]
@@ -113,9 +113,9 @@
         """
         async with self._lock:
             progress = await asyncio.to_thread(
-                _follow_all, self._state, tuple(revisions)
+                _render_revisions, self._state, tuple(revisions)
             )
-            return self._take(progress)
+            return self._apply_progress(progress)
 
     def apply_snapshot(self, snapshot: bytes) -> Result[int, Failure]:
         """Brings a whole state into force if it is newer.
@@ -127,7 +127,7 @@
             The number in force, or INTERNAL where the digest does not come
             out; then nothing has changed.
         """
-        return self._take_snapshot(snapshots.decode(snapshot))
+        return self._apply_decoded_snapshot(snapshots.decode(snapshot))
 
     async def apply_snapshot_in_thread(
         self, snapshot: bytes
@@ -135,7 +135,7 @@
         """Does what ``apply_snapshot`` does, off the event loop."""
         async with self._lock:
             decoded = await asyncio.to_thread(snapshots.decode, snapshot)
-            return self._take_snapshot(decoded)
+            return self._apply_decoded_snapshot(decoded)
 
     async def apply_export_in_thread(
         self, export: RevisionsExport
@@ -161,7 +161,7 @@
         Args:
             number: The revision in force at the peer.
         """
-        export = self._export_kept(number)
+        export = self._export_backlog(number)
         if export is not None:
             return export
         if not self._snapshot:
@@ -171,7 +171,7 @@
     async def export_after_in_thread(self, number: int) -> RevisionsExport:
         """Does what ``export_after`` does, encoding off the event loop."""
         state = self._state
-        if self._export_kept(number) is None and not self._snapshot:
+        if self._export_backlog(number) is None and not self._snapshot:
             encoded = await asyncio.to_thread(snapshots.encode, state)
             if self._state is not state:
                 return RevisionsExport(state.number, (), encoded)
@@ -185,44 +185,46 @@
             "digest": self.current.digest,
             "workspaces": len(self.current.workspace_by_name),
             "upstreams": len(self.current.upstreams.by_name),
-            "kept_revisions": len(self._kept),
+            "kept_revisions": len(self._backlog),
         }
 
-    def _export_kept(self, number: int) -> RevisionsExport | None:
+    def _export_backlog(self, number: int) -> RevisionsExport | None:
         missing = self.number - number
         if missing <= 0:
             return RevisionsExport(self.number, (), b"")
-        if missing > len(self._kept):
+        if missing > len(self._backlog):
             return None
-        return RevisionsExport(self.number, tuple(self._kept)[-missing:], b"")
+        return RevisionsExport(
+            self.number, tuple(self._backlog)[-missing:], b""
+        )
 
-    def _take(self, progress: _Progress) -> Result[int, Failure]:
+    def _apply_progress(self, progress: _Progress) -> Result[int, Failure]:
         before = self.number
         for step in progress.steps:
             # Another way may have brought it while this one was rendered.
             if step.state.number <= self.number:
                 continue
-            self._kept.append(step.stored)
-            self._set(step.state)
+            self._backlog.append(step.stored)
+            self._set_state(step.state)
         if self.number > before:
             self._notify()
         if progress.failure is not None:
             return Failed(progress.failure)
         return Success(self.number)
 
-    def _take_snapshot(
+    def _apply_decoded_snapshot(
         self, decoded: Result[states.ConfigState, Failure]
     ) -> Result[int, Failure]:
         if isinstance(decoded, Failed):
             return decoded
         state = decoded.unwrap()
         if state.number > self.number:
-            self._kept.clear()
-            self._set(state)
+            self._backlog.clear()
+            self._set_state(state)
             self._notify()
         return Success(self.number)
 
-    def _set(self, state: states.ConfigState) -> None:
+    def _set_state(self, state: states.ConfigState) -> None:
         self._snapshot = b""
         self._state = state
 
@@ -234,7 +236,7 @@
                 logs.write("config_subscriber_failed", error=repr(error))
 
 
-def _follow_all(
+def _render_revisions(
     state: states.ConfigState, revisions: Iterable[bytes]
 ) -> _Progress:
     # Runs on a thread too, so it touches immutable values only.
@@ -246,7 +248,7 @@
         revision = decoded.unwrap()
         if revision.number <= state.number:
             continue
-        followed = states.follow(state, revision)
+        followed = states.apply_revision(state, revision)
         if isinstance(followed, Failed):
             return _Progress(tuple(steps), followed.failure())
         state = followed.unwrap()
--- a/libs/config/src/masticdale_config/bootstrap.py
+++ b/libs/config/src/masticdale_config/bootstrap.py
@@ -9,7 +9,7 @@
 
 from masticdale_config import storage
 from masticdale_config.active_config import ActiveConfig
-from masticdale_config.peer_sync import RevisionSource, take_from
+from masticdale_config.peer_sync import RevisionSource, pull_from
 from masticdale_platform.types import ObjectStore
 
 # Higher than any revision, so a peer answers with its number alone. Asked for
@@ -26,7 +26,7 @@
 
 async def bootstrap_config(
     store: ObjectStore,
-    in_force: ActiveConfig,
+    active_config: ActiveConfig,
     source_by_host: Mapping[str, RevisionSource],
 ) -> bool:
     """Brings the newest revision that can be found into force.
@@ -38,7 +38,7 @@
 
     Args:
         store: The platform's service.
-        in_force: Where revisions come into force.
+        active_config: Where revisions come into force.
         source_by_host: Every peer that membership holds for live.
 
     Returns:
@@ -50,15 +50,15 @@
         *(_ask_newest(host, source) for host, source in source_by_host.items())
     )
     peers = [peer for peer in asked if peer is not None]
-    platform = await storage.catch_up(store, in_force)
+    platform = await storage.catch_up(store, active_config)
     newest = max((peer.newest for peer in peers), default=0)
     for peer in sorted(peers, key=_newest_first):
-        if in_force.number >= newest:
+        if active_config.number >= newest:
             break
-        await take_from(in_force, peer.host, peer.source)
+        await pull_from(active_config, peer.host, peer.source)
     peers_know = newest > 0 and len(peers) == len(source_by_host)
     is_complete = isinstance(platform, Success) or peers_know
-    return is_complete and in_force.number >= newest
+    return is_complete and active_config.number >= newest
 
 
 async def _ask_newest(host: str, source: RevisionSource) -> _Peer | None:
--- a/libs/config/src/masticdale_config/checks.py
+++ b/libs/config/src/masticdale_config/checks.py
@@ -66,13 +66,13 @@
         touched: Every declaration that the change puts or deletes.
 
     Returns:
-        What ``check_whole`` returns for the same declarations.
+        What ``check_declarations`` returns for the same declarations.
     """
     found: list[FieldProblem] = []
     for key in touched:
         if key not in declaration_by_key:
             continue
-        for problem in check_alone(declaration_by_key[key]):
+        for problem in check_declaration(declaration_by_key[key]):
             path = f"{key}.{problem.path}"
             found.append(FieldProblem(path, problem.message))
     outcome = rendering.render_change(
@@ -82,7 +82,7 @@
         found.extend(outcome.failure())
         return Failed(problems.to_failure(found))
     config = outcome.unwrap()
-    for workspace in _reached(declaration_by_key, config, touched):
+    for workspace in _affected_workspaces(declaration_by_key, config, touched):
         found.extend(_check_workspace(workspace, config))
         found.extend(_check_caller_keys(workspace, config))
     if any(key.kind is Kind.UPSTREAM for key in touched):
@@ -92,7 +92,7 @@
     return Success(config)
 
 
-def _reached(
+def _affected_workspaces(
     declaration_by_key: DeclarationByKey,
     config: RenderedConfig,
     touched: Collection[DeclarationKey],
@@ -107,12 +107,12 @@
 
 
 @functools.singledispatch
-def check_alone(declaration: Declaration) -> list[FieldProblem]:
+def check_declaration(declaration: Declaration) -> list[FieldProblem]:
     """Returns what is wrong with a declaration whatever the others say."""
     raise TypeError(f"no check for {type(declaration)}")
 
 
-@check_alone.register
+@check_declaration.register
 def _(declaration: Template) -> list[FieldProblem]:
     spec = declaration.spec
     found = []
@@ -121,7 +121,7 @@
     if found:
         return found
     programs, found = workspaces.render_programs(
-        spec, placeholders.samples(spec)
+        spec, placeholders.sample_values(spec)
     )
     names = [program.kind.name for program in programs]
     if len(set(names)) < len(names):
@@ -129,7 +129,7 @@
     return found
 
 
-@check_alone.register
+@check_declaration.register
 def _(declaration: Workspace) -> list[FieldProblem]:
     keys = declaration.spec.caller_keys
     found = []
@@ -140,7 +140,7 @@
     return found
 
 
-@check_alone.register
+@check_declaration.register
 def _(declaration: Upstream) -> list[FieldProblem]:
     del declaration  # Its model alone says what is right.
     return []
--- a/libs/config/src/masticdale_config/kinds.py
+++ b/libs/config/src/masticdale_config/kinds.py
@@ -19,7 +19,7 @@
 from masticdale_common import ErrorKind, Failure, StrictModel
 from masticdale_config import canonical, problems
 
-FIRST_CLASS = 0
+HIGHEST_PRIORITY = 0
 LOWEST_PRIORITY = 3
 DEFAULT_PRIORITY = 1
 MAX_DECLARATION_BYTES = 400_000
@@ -64,7 +64,7 @@
         return f"{self.kind}/{self.name}"
 
 
-class _Strict(StrictModel):
+class _InputModel(StrictModel):
     model_config = pydantic.ConfigDict(
         extra="forbid", frozen=True, strict=True, allow_inf_nan=False
     )
@@ -79,7 +79,7 @@
     BOOLEAN = "boolean"
 
 
-class Parameter(_Strict):
+class Parameter(_InputModel):
     """One parameter of a template.
 
     Attributes:
@@ -99,7 +99,7 @@
     choices: tuple[ParameterValue, ...] = ()
 
 
-class ProgramBudget(_Strict):
+class ProgramBudget(_InputModel):
     """What one program may use at most.
 
     Attributes:
@@ -115,7 +115,7 @@
     wall_time_s: Seconds
 
 
-class ProgramKind(_Strict):
+class ProgramKind(_InputModel):
     """A kind of program that a workspace runs, after substitution.
 
     Attributes:
@@ -132,14 +132,14 @@
     model: ModelName
     system_prompt: str = ""
     priority: int = Field(
-        default=DEFAULT_PRIORITY, ge=FIRST_CLASS, le=LOWEST_PRIORITY
+        default=DEFAULT_PRIORITY, ge=HIGHEST_PRIORITY, le=LOWEST_PRIORITY
     )
     budget: ProgramBudget
     tools: tuple[OperationName, ...] = ()
     max_tokens: Count = 1024
 
 
-class TemplateSpec(_Strict):
+class TemplateSpec(_InputModel):
     """A template's body.
 
     Attributes:
@@ -151,7 +151,7 @@
     programs: tuple[dict[str, pydantic.JsonValue], ...] = Field(min_length=1)
 
 
-class WorkspaceBudget(_Strict):
+class WorkspaceBudget(_InputModel):
     """What one workspace may use at a time.
 
     Attributes:
@@ -165,7 +165,7 @@
     tokens_per_hour: Count | None = None
 
 
-class WorkspaceLimits(_Strict):
+class WorkspaceLimits(_InputModel):
     """Bounds on single requests and programs.
 
     Attributes:
@@ -179,7 +179,7 @@
     requests_per_s: Count = 500
 
 
-class CallerKey(_Strict):
+class CallerKey(_InputModel):
     """A caller's key, stored as its digest.
 
     Attributes:
@@ -191,7 +191,7 @@
     sha256: Sha256Hex
 
 
-class WorkspaceSpec(_Strict):
+class WorkspaceSpec(_InputModel):
     """A workspace: one brand with its own callers.
 
     Attributes:
@@ -236,7 +236,7 @@
 Address = Annotated[str, pydantic.AfterValidator(_check_address)]
 
 
-class _UpstreamBase(_Strict):
+class _UpstreamBase(_InputModel):
     address: Address
     failure_domain: Name
     replica: str = ""
@@ -244,7 +244,7 @@
     draining: bool = False
 
 
-class EngineOrder(_Strict):
+class EngineOrder(_InputModel):
     """Something an engine is told to load or to be.
 
     Attributes:
@@ -287,7 +287,7 @@
     orders: tuple[EngineOrder, ...] = Field(default=(), max_length=32)
 
 
-class Operation(_Strict):
+class Operation(_InputModel):
     """One operation of a service.
 
     Attributes:
@@ -321,7 +321,7 @@
 UpstreamSpec = Annotated[EngineSpec | ServiceSpec, Field(discriminator="role")]
 
 
-class _Declaration(_Strict):
+class _Declaration(_InputModel):
     @functools.cached_property
     def digest(self) -> str:
         """The digest by which an operator names what was seen."""
@@ -393,13 +393,13 @@
     try:
         value = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        return _wrong("(whole)", f"not JSON: {error}")
+        return _invalid("(whole)", f"not JSON: {error}")
     if not isinstance(value, dict):
-        return _wrong("(whole)", "must be an object with kind, name and spec")
+        return _invalid("(whole)", "must be an object with kind, name and spec")
     kind = value.get("kind")
     model = _MODEL_BY_KIND.get(kind) if isinstance(kind, str) else None
     if model is None:
-        return _wrong("kind", f"must be one of {', '.join(Kind)}")
+        return _invalid("kind", f"must be one of {', '.join(Kind)}")
     prefix = f"{kind}/{value.get('name', '?')}"
     try:
         return Success(model.model_validate_json(text))
@@ -408,5 +408,5 @@
         return Failed(problems.to_failure(found))
 
 
-def _wrong(path: str, message: str) -> Failed[Failure]:
+def _invalid(path: str, message: str) -> Failed[Failure]:
     return Failed(problems.to_failure([problems.FieldProblem(path, message)]))
--- a/libs/config/src/masticdale_config/messages.py
+++ b/libs/config/src/masticdale_config/messages.py
@@ -22,11 +22,11 @@
 _Seen = Annotated[str, pydantic.StringConstraints(max_length=64)]
 
 
-class _Strict(StrictModel):
+class _RequestModel(StrictModel):
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True, strict=True)
 
 
-class EditRequest(_Strict):
+class EditRequest(_RequestModel):
     """One declaration to put or delete; see ``revisions.Edit``."""
 
     kind: Kind
@@ -45,7 +45,7 @@
         )
 
 
-class ChangeRequest(_Strict):
+class ChangeRequest(_RequestModel):
     """A change to plan or apply.
 
     Attributes:
@@ -213,7 +213,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ApplyReport:
-    """An accepted change; see ``revisions.Accepted``."""
+    """An accepted change; see ``revisions.AcceptedChange``."""
 
     revision: int
     digest: str
--- a/libs/config/src/masticdale_config/peer_sync.py
+++ b/libs/config/src/masticdale_config/peer_sync.py
@@ -11,8 +11,8 @@
 from masticdale_common import Failure, logs
 from masticdale_config.active_config import ActiveConfig, RevisionsExport
 
-HEDGE_S = 0.2
-MAX_ASKED = 4
+HEDGE_DELAY_S = 0.2
+MAX_PEERS_ASKED = 4
 
 
 class RevisionSource(Protocol):
@@ -25,14 +25,14 @@
         ...
 
 
-async def take_from(
-    in_force: ActiveConfig, host: str, source: RevisionSource
+async def pull_from(
+    active_config: ActiveConfig, host: str, source: RevisionSource
 ) -> bool:
     """Brings what a peer has more into force; returns whether it answered."""
-    answer = await source.revisions_after(in_force.number)
+    answer = await source.revisions_after(active_config.number)
     if isinstance(answer, Failed):
         return False
-    followed = await in_force.apply_export_in_thread(answer.unwrap())
+    followed = await active_config.apply_export_in_thread(answer.unwrap())
     if isinstance(followed, Failed):
         error = str(followed.failure())
         logs.write("revisions_refused", peer=host, error=error)
@@ -41,9 +41,9 @@
 
 
 async def catch_up_from_peers(
-    in_force: ActiveConfig,
+    active_config: ActiveConfig,
     source_by_host: Mapping[str, RevisionSource],
-    hedge_s: float = HEDGE_S,
+    hedge_delay_s: float = HEDGE_DELAY_S,
 ) -> bool:
     """Catches up with peers that have reported a higher revision.
 
@@ -53,22 +53,22 @@
     drawn, so that hundreds of hosts do not all ask the same one.
 
     Args:
-        in_force: Where revisions come into force.
+        active_config: Where revisions come into force.
         source_by_host: The peers with a higher revision.
-        hedge_s: How long one is waited for before the next is asked too.
+        hedge_delay_s: Delay before the next peer is asked as well.
 
     Returns:
         Whether one of them answered.
     """
     hosts = random.sample(
-        sorted(source_by_host), min(MAX_ASKED, len(source_by_host))
+        sorted(source_by_host), min(MAX_PEERS_ASKED, len(source_by_host))
     )
     asked: set[asyncio.Task[bool]] = set()
     try:
         for host in hosts:
-            taking = take_from(in_force, host, source_by_host[host])
+            taking = pull_from(active_config, host, source_by_host[host])
             asked.add(asyncio.create_task(taking))
-            if await _any_answered(asked, hedge_s):
+            if await _any_answered(asked, hedge_delay_s):
                 return True
         while asked:
             if await _any_answered(asked, None):
--- a/libs/config/src/masticdale_config/placeholders.py
+++ b/libs/config/src/masticdale_config/placeholders.py
@@ -26,7 +26,7 @@
 }
 
 
-def names_in(value: pydantic.JsonValue) -> set[str]:
+def referenced_names(value: pydantic.JsonValue) -> set[str]:
     """Returns the names of the parameters a value refers to."""
     if isinstance(value, str):
         if _OPENING not in value:
@@ -34,9 +34,9 @@
         found = _PLACEHOLDER.finditer(value)
         return {match[2] for match in found if not match[1]}
     if isinstance(value, list):
-        return set().union(*(names_in(item) for item in value))
+        return set().union(*(referenced_names(item) for item in value))
     if isinstance(value, dict):
-        return set().union(*(names_in(item) for item in value.values()))
+        return set().union(*(referenced_names(item) for item in value.values()))
     return set()
 
 
@@ -91,21 +91,27 @@
 
 
 def check_value(
-    parameter: Parameter, value: ParameterValue | None, any_choice: bool = False
+    parameter: Parameter,
+    value: ParameterValue | None,
+    ignore_choices: bool = False,
 ) -> str:
     """Checks a value against a parameter.
 
     Args:
         parameter: The parameter.
         value: The value.
-        any_choice: True to leave ``choices`` out of it.
+        ignore_choices: True to skip the check against ``choices``.
 
     Returns:
         What is wrong; empty if nothing is.
     """
     if not _has_type(parameter.type, value):
         return f"must be of type {parameter.type}"
-    if parameter.choices and not any_choice and value not in parameter.choices:
+    if (
+        parameter.choices
+        and not ignore_choices
+        and value not in parameter.choices
+    ):
         return f"must be one of {list(parameter.choices)}"
     if isinstance(value, bool) or value is None:
         return ""
@@ -148,15 +154,15 @@
     return value_by_name, found
 
 
-def samples(template: TemplateSpec) -> dict[str, ParameterValue]:
+def sample_values(template: TemplateSpec) -> dict[str, ParameterValue]:
     """Returns an allowed or at least well-typed value for each parameter."""
     return {
-        name: _sample(parameter)
+        name: _sample_value(parameter)
         for name, parameter in template.parameters.items()
     }
 
 
-def _sample(parameter: Parameter) -> ParameterValue:
+def _sample_value(parameter: Parameter) -> ParameterValue:
     if parameter.default is not None:
         return parameter.default
     if parameter.choices:
--- a/libs/config/src/masticdale_config/rendering.py
+++ b/libs/config/src/masticdale_config/rendering.py
@@ -89,11 +89,13 @@
         revision=revision,
         digest="",
         workspace_by_name=workspace_by_name,
-        workspace_by_caller_digest=_callers(previous, workspace_by_name, names),
-        upstreams=_upstreams(declaration_by_key, previous, touched),
+        workspace_by_caller_digest=_workspaces_by_caller_digest(
+            previous, workspace_by_name, names
+        ),
+        upstreams=_upstream_table(declaration_by_key, previous, touched),
         template_digest_by_name=templates,
     )
-    digest = _digest_after(previous, config, names, touched)
+    digest = _update_digest(previous, config, names, touched)
     return Success(dataclasses.replace(config, digest=digest))
 
 
@@ -118,7 +120,7 @@
     return sorted(names)
 
 
-def _callers(
+def _workspaces_by_caller_digest(
     previous: RenderedConfig,
     workspace_by_name: Mapping[str, RenderedWorkspace],
     names: Iterable[str],
@@ -136,7 +138,7 @@
     return workspace_by_digest
 
 
-def _upstreams(
+def _upstream_table(
     declaration_by_key: DeclarationByKey,
     previous: RenderedConfig,
     touched: Collection[DeclarationKey],
@@ -169,7 +171,7 @@
     return digest_by_name
 
 
-def _digest_after(
+def _update_digest(
     previous: RenderedConfig,
     config: RenderedConfig,
     names: Iterable[str],
--- a/libs/config/src/masticdale_config/revisions.py
+++ b/libs/config/src/masticdale_config/revisions.py
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Accepted:
+class AcceptedChange:
     """An accepted change.
 
     Attributes:
@@ -98,22 +98,22 @@
     def __init__(
         self,
         store: ObjectStore,
-        in_force: ActiveConfig,
+        active_config: ActiveConfig,
         snapshot_every: int = SNAPSHOT_EVERY,
         backoff_s: float = BACKOFF_S,
         wall_ms: Callable[[], int] | None = None,
     ) -> None:
         self._store = store
-        self._in_force = in_force
+        self._active_config = active_config
         self._snapshot_every = snapshot_every
         self._backoff_s = backoff_s
-        self._wall_ms = wall_ms or _wall_ms
+        self._wall_ms = wall_ms or _now_ms
         self._lock = asyncio.Lock()
 
     async def load(self) -> Result[states.ConfigState, Failure]:
         """Returns the newest state the platform holds."""
-        loaded = await storage.catch_up(self._store, self._in_force)
-        return loaded.map(lambda _: self._in_force.state)
+        loaded = await storage.catch_up(self._store, self._active_config)
+        return loaded.map(lambda _: self._active_config.state)
 
     async def plan(self, change: Change) -> Result[Plan, Failure]:
         """Says what a change would do, writing nothing.
@@ -127,9 +127,9 @@
         loaded = await self.load()
         if isinstance(loaded, Failed):
             return loaded
-        return await asyncio.to_thread(_prepare, loaded.unwrap(), change)
+        return await asyncio.to_thread(_build_plan, loaded.unwrap(), change)
 
-    async def apply(self, change: Change) -> Result[Accepted, Failure]:
+    async def apply(self, change: Change) -> Result[AcceptedChange, Failure]:
         """Accepts a change as the next revision, whole or not at all.
 
         Args:
@@ -158,11 +158,11 @@
         if isinstance(read, Failed):
             return read
         stored = read.unwrap()
-        if stored is None or stored.value == trimming.TRIMMED:
+        if stored is None or stored.value == trimming.TOMBSTONE:
             return Success(None)
         return states.decode_revision(stored.value)
 
-    async def _apply(self, change: Change) -> Result[Accepted, Failure]:
+    async def _apply(self, change: Change) -> Result[AcceptedChange, Failure]:
         unknown = 0
         failure = Failure(ErrorKind.PLATFORM_UNAVAILABLE, "gave up")
         for attempt in range(MAX_ATTEMPTS):
@@ -170,24 +170,24 @@
                 await asyncio.sleep(_backoff_s(self._backoff_s, attempt))
             loaded = await self.load()
             if isinstance(loaded, Failed):
-                return _refuse(loaded.failure(), unknown)
+                return _resolve_failure(loaded.failure(), unknown)
             state = loaded.unwrap()
             if state.number >= unknown:
                 unknown = 0
-            known = _recognise(state, change)
+            known = _find_duplicate(state, change)
             if known is not None:
                 return known
             # Off the event loop: a template's change may reach thousands of
             # workspaces.
-            prepared = await asyncio.to_thread(_prepare, state, change)
+            prepared = await asyncio.to_thread(_build_plan, state, change)
             if isinstance(prepared, Failed):
-                return _refuse(prepared.failure(), unknown)
+                return _resolve_failure(prepared.failure(), unknown)
             plan = prepared.unwrap()
             if not plan.edits:
                 return Success(_unchanged(state))
             written = await self._commit(change, plan)
             if isinstance(written, Success):
-                return await self._accepted(written.unwrap())
+                return await self._apply_accepted(written.unwrap())
             failure = written.failure()
             if failure.kind is ErrorKind.WRITE_UNKNOWN:
                 # The write may still take effect. Until that number is taken
@@ -195,8 +195,8 @@
                 # create the same number again settles it.
                 unknown = plan.after.revision
             elif failure.kind is not ErrorKind.CONFLICT:
-                return _refuse(failure, unknown)
-        return _refuse(failure, unknown)
+                return _resolve_failure(failure, unknown)
+        return _resolve_failure(failure, unknown)
 
     async def _commit(
         self, change: Change, plan: Plan
@@ -222,23 +222,23 @@
         written = await self._store.write(key, value, MUST_NOT_EXIST)
         return written.map(lambda _: revision)
 
-    async def _accepted(
+    async def _apply_accepted(
         self, revision: states.Revision
-    ) -> Result[Accepted, Failure]:
+    ) -> Result[AcceptedChange, Failure]:
         # This host's watch may have brought it, and later ones, into force
         # before the write was answered; then this passes over it.
-        applied = await self._in_force.apply_revisions_in_thread(
+        applied = await self._active_config.apply_revisions_in_thread(
             (states.encode_revision(revision),)
         )
         if isinstance(applied, Failed):
             return applied
         if revision.number % self._snapshot_every == 0:
             written = await storage.write_snapshot(
-                self._store, self._in_force.state
+                self._store, self._active_config.state
             )
             if isinstance(written, Failed):
                 logs.write("snapshot_failed", error=str(written.failure()))
-        return Success(Accepted(revision.number, revision.digest, True))
+        return Success(AcceptedChange(revision.number, revision.digest, True))
 
 
 def _check_change(change: Change) -> Failure | None:
@@ -251,9 +251,9 @@
     return None
 
 
-def _recognise(
+def _find_duplicate(
     state: states.ConfigState, change: Change
-) -> Result[Accepted, Failure] | None:
+) -> Result[AcceptedChange, Failure] | None:
     known = state.change(change.change_id)
     if known is None:
         return None
@@ -265,10 +265,10 @@
         return Failed(Failure(ErrorKind.REQUEST_ID_REUSED, detail))
     is_newest = known.revision == state.number
     digest = state.rendered.digest if is_newest else ""
-    return Success(Accepted(known.revision, digest, True))
+    return Success(AcceptedChange(known.revision, digest, True))
 
 
-def _prepare(
+def _build_plan(
     state: states.ConfigState, change: Change
 ) -> Result[Plan, Failure]:
     edits: list[states.RecordedEdit] = []
@@ -291,7 +291,7 @@
     if conflicts:
         detail = "\n".join(conflicts)
         return Failed(Failure(ErrorKind.CONFLICT, detail))
-    after_by_key = states.edited(state.declaration_by_key, tuple(edits))
+    after_by_key = states.apply_edits(state.declaration_by_key, tuple(edits))
     touched = [edit.key for edit in edits]
     checked = checks.check_change(
         after_by_key, state.number + 1, state.rendered, touched
@@ -312,11 +312,11 @@
     )
 
 
-def _unchanged(state: states.ConfigState) -> Accepted:
-    return Accepted(state.number, state.rendered.digest, False)
+def _unchanged(state: states.ConfigState) -> AcceptedChange:
+    return AcceptedChange(state.number, state.rendered.digest, False)
 
 
-def _refuse(failure: Failure, unknown: int) -> Failed[Failure]:
+def _resolve_failure(failure: Failure, unknown: int) -> Failed[Failure]:
     if not unknown:
         return Failed(failure)
     detail = (
@@ -338,5 +338,5 @@
     return float(min(_MAX_BACKOFF_S, first_s * 2**attempt))
 
 
-def _wall_ms() -> int:
+def _now_ms() -> int:
     return time.time_ns() // 1_000_000
--- a/libs/config/src/masticdale_config/snapshots.py
+++ b/libs/config/src/masticdale_config/snapshots.py
@@ -73,14 +73,16 @@
         snapshot = _SnapshotModel.model_validate_json(value)
     except pydantic.ValidationError as error:
         found = problems.from_validation(error, "snapshot")
-        return states.unreadable(problems.to_failure(found).detail)
+        return states.internal_failure(problems.to_failure(found).detail)
     declaration_by_key = {key_of(d): d for d in snapshot.declarations}
     outcome = rendering.render(declaration_by_key, snapshot.number)
     if isinstance(outcome, Failed):
-        return states.unreadable(problems.to_failure(outcome.failure()).detail)
+        return states.internal_failure(
+            problems.to_failure(outcome.failure()).detail
+        )
     rendered = outcome.unwrap()
     if rendered.digest != snapshot.digest:
-        return states.unreadable(
+        return states.internal_failure(
             f"snapshot {snapshot.number} renders to {rendered.digest},"
             f" written as {snapshot.digest}"
         )
--- a/libs/config/src/masticdale_config/state.py
+++ b/libs/config/src/masticdale_config/state.py
@@ -178,10 +178,10 @@
         return Success(Revision.model_validate_json(value))
     except pydantic.ValidationError as error:
         found = problems.from_validation(error, "revision")
-        return unreadable(problems.to_failure(found).detail)
+        return internal_failure(problems.to_failure(found).detail)
 
 
-def follow(
+def apply_revision(
     state: ConfigState, revision: Revision
 ) -> Result[ConfigState, Failure]:
     """Returns the state after the next revision.
@@ -198,7 +198,7 @@
     if revision.number != state.number + 1:
         detail = f"revision {revision.number} does not follow {state.number}"
         return Failed(Failure(ErrorKind.OUT_OF_ORDER, detail))
-    declaration_by_key = edited(state.declaration_by_key, revision.edits)
+    declaration_by_key = apply_edits(state.declaration_by_key, revision.edits)
     outcome = rendering.render_change(
         declaration_by_key,
         revision.number,
@@ -206,10 +206,10 @@
         [edit.key for edit in revision.edits],
     )
     if isinstance(outcome, Failed):
-        return unreadable(problems.to_failure(outcome.failure()).detail)
+        return internal_failure(problems.to_failure(outcome.failure()).detail)
     rendered = outcome.unwrap()
     if rendered.digest != revision.digest:
-        return unreadable(
+        return internal_failure(
             f"revision {revision.number} renders to {rendered.digest},"
             f" accepted as {revision.digest}"
         )
@@ -217,7 +217,7 @@
     return Success(ConfigState(declaration_by_key, recent, rendered))
 
 
-def edited(
+def apply_edits(
     declaration_by_key: Mapping[DeclarationKey, Declaration],
     edits: tuple[RecordedEdit, ...],
 ) -> dict[DeclarationKey, Declaration]:
@@ -285,6 +285,6 @@
         _collect_differences(before.get(name), after.get(name), inner, found)
 
 
-def unreadable(detail: str) -> Failed[Failure]:
+def internal_failure(detail: str) -> Failed[Failure]:
     """Returns the failure for stored bytes that make no sense."""
     return Failed(Failure(ErrorKind.INTERNAL, detail))
--- a/libs/config/src/masticdale_config/storage.py
+++ b/libs/config/src/masticdale_config/storage.py
@@ -71,7 +71,7 @@
 class _Tail:
     revisions: tuple[bytes, ...]
     is_trimmed: bool
-    is_whole: bool
+    is_complete: bool
 
 
 def revision_key(number: int) -> str:
@@ -91,33 +91,33 @@
 
 
 async def catch_up(
-    store: ObjectStore, in_force: ActiveConfig
+    store: ObjectStore, active_config: ActiveConfig
 ) -> Result[int, Failure]:
     """Brings every revision that the platform holds into force.
 
     Args:
         store: The platform's service.
-        in_force: Where they come into force.
+        active_config: Where they come into force.
 
     Returns:
         The number then in force. A read that fails ends it; what was read
         before that is in force.
     """
-    if in_force.number == 0:
-        begun = await _start_from_snapshot(store, in_force)
+    if active_config.number == 0:
+        begun = await _load_snapshot(store, active_config)
         if isinstance(begun, Failed):
             return begun
     while True:
-        outcome = await _read_tail(store, in_force.number)
+        outcome = await _read_tail(store, active_config.number)
         if isinstance(outcome, Failed):
             return outcome
         tail = outcome.unwrap()
-        applied = await in_force.apply_revisions_in_thread(tail.revisions)
+        applied = await active_config.apply_revisions_in_thread(tail.revisions)
         if tail.is_trimmed:
             # This host was paused for so long that revisions it misses are
             # gone. Taken for the end of the sequence, it would lag for good.
-            applied = await _skip_trimmed(store, in_force)
-        if isinstance(applied, Failed) or tail.is_whole:
+            applied = await _skip_trimmed(store, active_config)
+        if isinstance(applied, Failed) or tail.is_complete:
             return applied
 
 
@@ -157,7 +157,9 @@
     ref = SnapshotRef(number=state.number, digest=digest, parts=len(parts))
     for part, chunk in enumerate(parts):
         written = await store.write(part_key(ref, part), chunk, MUST_NOT_EXIST)
-        if isinstance(written, Failed) and not _stands(written.failure()):
+        if isinstance(written, Failed) and not _already_exists(
+            written.failure()
+        ):
             return written
     found = await read_hint(store)
     if isinstance(found, Failed):
@@ -199,20 +201,20 @@
     )
 
 
-def _stands(failure: Failure) -> bool:
+def _already_exists(failure: Failure) -> bool:
     # The key holds the content's digest: whoever created it wrote the same.
     return failure.kind is ErrorKind.CONFLICT
 
 
-async def _start_from_snapshot(
-    store: ObjectStore, in_force: ActiveConfig
+async def _load_snapshot(
+    store: ObjectStore, active_config: ActiveConfig
 ) -> Result[int, Failure]:
     found = await read_hint(store)
     if isinstance(found, Failed):
         return found
     hint, _ = found.unwrap()
     if hint is None:
-        return Success(in_force.number)
+        return Success(active_config.number)
     reads = [store.read(part_key(hint, part)) for part in range(hint.parts)]
     chunks = []
     for outcome in await asyncio.gather(*reads):
@@ -220,20 +222,20 @@
             return outcome
         stored = outcome.unwrap()
         if stored is None:
-            return _broken(hint, "a part is missing")
+            return _corrupt_snapshot(hint, "a part is missing")
         chunks.append(stored.value)
     value = b"".join(chunks)
     if snapshots.digest(value) != hint.digest:
-        return _broken(hint, "its digest does not come out")
-    return await in_force.apply_snapshot_in_thread(value)
+        return _corrupt_snapshot(hint, "its digest does not come out")
+    return await active_config.apply_snapshot_in_thread(value)
 
 
 async def _skip_trimmed(
-    store: ObjectStore, in_force: ActiveConfig
+    store: ObjectStore, active_config: ActiveConfig
 ) -> Result[int, Failure]:
-    before = in_force.number
-    begun = await _start_from_snapshot(store, in_force)
-    if isinstance(begun, Success) and in_force.number == before:
+    before = active_config.number
+    begun = await _load_snapshot(store, active_config)
+    if isinstance(begun, Success) and active_config.number == before:
         detail = f"revision {before + 1} is trimmed and no snapshot is newer"
         return Failed(Failure(ErrorKind.INTERNAL, detail))
     return begun
@@ -249,12 +251,12 @@
         stored = outcome.unwrap()
         if stored is None:
             return Success(_Tail(tuple(revisions), False, True))
-        if stored.value == trimming.TRIMMED:
+        if stored.value == trimming.TOMBSTONE:
             return Success(_Tail(tuple(revisions), True, False))
         revisions.append(stored.value)
     return Success(_Tail(tuple(revisions), False, False))
 
 
-def _broken(hint: SnapshotRef, message: str) -> Failed[Failure]:
+def _corrupt_snapshot(hint: SnapshotRef, message: str) -> Failed[Failure]:
     detail = f"snapshot {hint.number}: {message}"
     return Failed(Failure(ErrorKind.INTERNAL, detail))
--- a/libs/config/src/masticdale_config/trimming.py
+++ b/libs/config/src/masticdale_config/trimming.py
@@ -15,10 +15,10 @@
 from masticdale_common import logs
 from masticdale_platform.types import ObjectStore
 
-TRIMMED = b"{}"
+TOMBSTONE = b"{}"
 KEPT_REVISIONS = 5000
 MAX_TRIMMED_AT_ONCE = 400
-_CALLS_AT_ONCE = 8
+_MAX_CONCURRENT_CALLS = 8
 
 
 async def trim_revisions(
@@ -37,8 +37,8 @@
         How many of them, from the first on, are trimmed for certain.
     """
     done = 0
-    for start in range(0, len(numbers), _CALLS_AT_ONCE):
-        batch = numbers[start : start + _CALLS_AT_ONCE]
+    for start in range(0, len(numbers), _MAX_CONCURRENT_CALLS):
+        batch = numbers[start : start + _MAX_CONCURRENT_CALLS]
         trims = [_overwrite(store, key_of(number)) for number in batch]
         if not all(await asyncio.gather(*trims)):
             logs.write("revision_trim_failed", first=batch[0])
@@ -58,9 +58,9 @@
     if isinstance(found, Failed):
         return False
     stored = found.unwrap()
-    if stored is None or stored.value == TRIMMED:
+    if stored is None or stored.value == TOMBSTONE:
         return True
-    written = await store.write(key, TRIMMED, stored.version)
+    written = await store.write(key, TOMBSTONE, stored.version)
     return isinstance(written, Success)
 
 
--- a/libs/config/src/masticdale_config/watching.py
+++ b/libs/config/src/masticdale_config/watching.py
@@ -12,7 +12,7 @@
 
 POLL_PERIOD_S = 2.0
 WATCH_WAIT_S = 20.0
-_PROGRESS_GRACE_S = 2.0
+_WATCH_GRACE_S = 2.0
 _RETRY_S = 0.5
 
 
@@ -29,13 +29,13 @@
     def __init__(
         self,
         store: ObjectStore,
-        in_force: ActiveConfig,
+        active_config: ActiveConfig,
         metrics: Metrics,
         poll_period_s: float = POLL_PERIOD_S,
         watch_wait_s: float = WATCH_WAIT_S,
     ) -> None:
         self._store = store
-        self._in_force = in_force
+        self._active_config = active_config
         self._metrics = metrics
         self._poll_period_s = poll_period_s
         self._watch_wait_s = watch_wait_s
@@ -55,7 +55,7 @@
         prefix = ""
         position = 0
         while True:
-            wanted = storage.block_prefix(self._in_force.number + 1)
+            wanted = storage.block_prefix(self._active_config.number + 1)
             if wanted != prefix:
                 prefix, position = wanted, 0
             outcome = await self._watch_once(prefix, position)
@@ -66,12 +66,12 @@
                 continue
             batch = outcome.unwrap()
             position = batch.position
-            await self._take(batch)
+            await self._apply_batch(batch)
 
     async def _watch_once(
         self, prefix: str, position: int
     ) -> Result[WatchBatch, Failure] | None:
-        limit_s = self._watch_wait_s + _PROGRESS_GRACE_S
+        limit_s = self._watch_wait_s + _WATCH_GRACE_S
         try:
             async with asyncio.timeout(limit_s):
                 return await self._store.watch(
@@ -80,18 +80,18 @@
         except TimeoutError:
             return None
 
-    async def _take(self, batch: WatchBatch) -> None:
+    async def _apply_batch(self, batch: WatchBatch) -> None:
         changed = sorted(batch.changed, key=lambda stored: stored.key)
         if not changed:
             return
-        applied = await self._in_force.apply_revisions_in_thread(
+        applied = await self._active_config.apply_revisions_in_thread(
             stored.value for stored in changed
         )
         if isinstance(applied, Failed):
             await self._catch_up()
 
     async def _catch_up(self) -> None:
-        caught_up = await storage.catch_up(self._store, self._in_force)
+        caught_up = await storage.catch_up(self._store, self._active_config)
         if isinstance(caught_up, Failed):
             self._metrics.count("config_read_failures_total")
             logs.write("config_read_failed", error=str(caught_up.failure()))
--- a/libs/config/src/masticdale_config/workspaces.py
+++ b/libs/config/src/masticdale_config/workspaces.py
@@ -64,7 +64,7 @@
         try:
             filled = placeholders.substitute(body, value_by_name)
         except KeyError:
-            unknown = placeholders.names_in(body) - set(value_by_name)
+            unknown = placeholders.referenced_names(body) - set(value_by_name)
             names = ", ".join(sorted(unknown))
             found.append(FieldProblem(path, f"unknown parameters: {names}"))
             continue
--- a/libs/config/tests/test_bootstrap.py
+++ b/libs/config/tests/test_bootstrap.py
@@ -22,15 +22,15 @@
     """A peer that holds a revision and can be out of reach."""
 
     def __init__(self, revisions, is_reachable=True):
-        self.in_force = ActiveConfig()
-        self.in_force.apply_revisions(revisions).unwrap()
+        self.active_config = ActiveConfig()
+        self.active_config.apply_revisions(revisions).unwrap()
         self.is_reachable = is_reachable
         self.sent_bytes = 0
 
     async def revisions_after(self, number):
         if not self.is_reachable:
             return Failed(Failure(ErrorKind.PEER_UNAVAILABLE))
-        export = self.in_force.export_after(number)
+        export = self.active_config.export_after(number)
         self.sent_bytes += len(export.snapshot) + sum(
             map(len, export.revisions)
         )
--- a/libs/config/tests/test_peer_sync.py
+++ b/libs/config/tests/test_peer_sync.py
@@ -16,7 +16,7 @@
     """A peer at revision 1 that answers, refuses or hangs."""
 
     def __init__(self, is_paused=False, is_down=False):
-        self.in_force = testing.active_config(testing.engine("e", "m"))
+        self.active_config = testing.active_config(testing.engine("e", "m"))
         self.is_paused = is_paused
         self.is_down = is_down
         self.was_cancelled = False
@@ -30,15 +30,15 @@
                 raise
         if self.is_down:
             return Failed(Failure(ErrorKind.PEER_UNAVAILABLE))
-        return Success(self.in_force.export_after(number))
+        return Success(self.active_config.export_after(number))
 
 
 class FollowPeersTest(unittest.IsolatedAsyncioTestCase):
     async def follow(self, **source_by_host):
-        self.in_force = ActiveConfig()
+        self.active_config = ActiveConfig()
         async with asyncio.timeout(PATIENCE_S):
             return await catch_up_from_peers(
-                self.in_force, source_by_host, hedge_s=0.001
+                self.active_config, source_by_host, hedge_delay_s=0.001
             )
 
     async def test_a_paused_peer_does_not_hold_up_a_change(self):
@@ -53,7 +53,7 @@
                 a=paused[0], b=paused[1], c=paused[2], d=_Peer()
             )
             self.assertTrue(answered)
-            self.assertEqual(self.in_force.number, 1)
+            self.assertEqual(self.active_config.number, 1)
             pending = asyncio.all_tasks() - {asyncio.current_task()}
             self.assertEqual(pending, set())
 
--- a/libs/config/tests/test_revisions.py
+++ b/libs/config/tests/test_revisions.py
@@ -167,7 +167,7 @@
             stored = (await self.store.read(key)).unwrap()
             await self.store.delete(key, stored.version)
         state = (await _operator(self.store).load()).unwrap()
-        self.assertEqual(state, self.operator._in_force.state)
+        self.assertEqual(state, self.operator._active_config.state)
 
 
 class _Fault(enum.Enum):
@@ -240,7 +240,7 @@
     operator = ConfigStore(store, ActiveConfig(), 2, backoff_s=0)
     for number in range(_CHANGES_EACH):
         await operator.load()
-        by_key = operator._in_force.state.declaration_by_key
+        by_key = operator._active_config.state.declaration_by_key
         port = 8000 + 100 * (name == "b") + number
         wanted = [testing.engine(e, "m", port=port) for e in ("e1", "e2")]
         seen = tuple(by_key.get(kinds.key_of(engine)) for engine in wanted)
--- a/libs/config/tests/test_trimming.py
+++ b/libs/config/tests/test_trimming.py
@@ -41,7 +41,7 @@
 
     async def stored_revisions(self):
         listed = (await self.store.list(storage.REVISION_PREFIX)).unwrap()
-        return [i for i in listed if i.value != trimming.TRIMMED]
+        return [i for i in listed if i.value != trimming.TOMBSTONE]
 
     async def test_what_is_stored_is_bounded(self):
         await self.change(*range(1, CHANGES + 1))
