--- a/libs/config/src/masticdale_config/__init__.py
+++ b/libs/config/src/masticdale_config/__init__.py
@@ -1,4 +1,4 @@
-"""Declarations, their rendering and the revision in force."""
+"""Declarations, their rendering and the active configuration."""
 
 from masticdale_config.active_config import ActiveConfig, RevisionsExport
 from masticdale_config.bootstrap import bootstrap_config
--- a/libs/config/src/masticdale_config/active_config.py
+++ b/libs/config/src/masticdale_config/active_config.py
@@ -1,4 +1,4 @@
-"""The revision in force on this host."""
+"""The configuration that is active on this host."""
 
 import asyncio
 import collections
@@ -20,13 +20,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RevisionsExport:
-    """What one host hands to another that lags.
+    """Revisions or a snapshot that bring a lagging peer up to date.
 
     Attributes:
-        newest: Number of the revision in force here.
-        revisions: The stored bytes of the revisions after the one asked for,
-            in order; empty where a snapshot is needed instead.
-        snapshot: The whole state as bytes; empty where revisions suffice.
+        newest: Number of the active revision on the exporting host.
+        revisions: Stored bytes of the revisions after the requested number,
+            in ascending order; empty if a snapshot is sent instead.
+        snapshot: The encoded state; empty if the revisions suffice.
     """
 
     newest: int
@@ -47,10 +47,10 @@
 
 
 class ActiveConfig:
-    """Follows revisions in order and never goes back.
+    """Applies revisions in ascending order and never reverts to an older one.
 
-    A reader takes ``current`` once and uses that object for the whole
-    request; it never changes.
+    ``current`` is immutable. A request reads it once and uses the same object
+    until it ends.
     """
 
     def __init__(self) -> None:
@@ -64,52 +64,53 @@
 
     @property
     def state(self) -> states.ConfigState:
-        """The declarations and recent changes, for operators' requests."""
+        """The declarations and recent changes."""
         return self._state
 
     @property
     def current(self) -> RenderedConfig:
-        """The configuration in force; immutable."""
+        """The active configuration; immutable."""
         return self._state.rendered
 
     @property
     def number(self) -> int:
-        """Number of the revision in force; 0 before the first."""
+        """Number of the active revision; 0 before the first."""
         return self._state.number
 
     def subscribe(self, subscriber: Subscriber) -> None:
-        """Calls a function with each configuration that comes into force.
+        """Registers a function to call with each newly active configuration.
 
         Args:
-            subscriber: Must not block; an exception is logged.
+            subscriber: Must not block; its exceptions are logged.
         """
         self._subscribers.append(subscriber)
 
     def apply_revisions(
         self, revisions: Iterable[bytes]
     ) -> Result[int, Failure]:
-        """Brings revisions into force, in order and without a gap.
+        """Applies revisions in order and without a gap.
 
-        Revisions already in force are passed over, so a stale read or a peer
-        that lags never takes this host back.
+        Revisions that are already applied are skipped, so a stale read or a
+        lagging peer never reverts this host.
 
         Args:
             revisions: Stored bytes, in ascending order.
 
         Returns:
-            The number in force; OUT_OF_ORDER at a gap and INTERNAL at a
-            revision that cannot be read, with those before it in force.
+            The number of the active revision; OUT_OF_ORDER at a gap and
+            INTERNAL at a revision that cannot be read. The revisions before
+            the failing one are applied.
         """
         return self._apply_progress(_render_revisions(self._state, revisions))
 
     async def apply_revisions_in_thread(
         self, revisions: Iterable[bytes]
     ) -> Result[int, Failure]:
-        """Does what ``apply_revisions`` does, off the event loop.
+        """Applies revisions like ``apply_revisions``, rendering on a thread.
 
-        A template that thousands of workspaces share takes over a second to
-        render. On the loop that would hold up every stream and heartbeat of
-        this host, and its peers would think it dead.
+        Rendering a template that thousands of workspaces share on the event
+        loop would delay every stream and heartbeat of this host, and its
+        peers would declare it dead.
         """
         async with self._lock:
             progress = await asyncio.to_thread(
@@ -118,21 +119,21 @@
             return self._apply_progress(progress)
 
     def apply_snapshot(self, snapshot: bytes) -> Result[int, Failure]:
-        """Brings a whole state into force if it is newer.
+        """Replaces the state by a snapshot if the snapshot is newer.
 
         Args:
-            snapshot: Bytes of ``RevisionsExport`` or the platform.
+            snapshot: Snapshot bytes from ``RevisionsExport`` or the platform.
 
         Returns:
-            The number in force, or INTERNAL where the digest does not come
-            out; then nothing has changed.
+            The number of the active revision, or INTERNAL if the digest does
+            not match, in which case nothing changes.
         """
         return self._apply_decoded_snapshot(snapshots.decode(snapshot))
 
     async def apply_snapshot_in_thread(
         self, snapshot: bytes
     ) -> Result[int, Failure]:
-        """Does what ``apply_snapshot`` does, off the event loop."""
+        """Applies a snapshot like ``apply_snapshot``, decoding on a thread."""
         async with self._lock:
             decoded = await asyncio.to_thread(snapshots.decode, snapshot)
             return self._apply_decoded_snapshot(decoded)
@@ -140,7 +141,7 @@
     async def apply_export_in_thread(
         self, export: RevisionsExport
     ) -> Result[int, Failure]:
-        """Does what ``apply_export`` does, off the event loop."""
+        """Applies an export like ``apply_export``, decoding on a thread."""
         if export.snapshot:
             outcome = await self.apply_snapshot_in_thread(export.snapshot)
             if isinstance(outcome, Failed):
@@ -148,7 +149,7 @@
         return await self.apply_revisions_in_thread(export.revisions)
 
     def apply_export(self, export: RevisionsExport) -> Result[int, Failure]:
-        """Brings what a peer handed over into force."""
+        """Applies the snapshot and the revisions of a peer's export."""
         if export.snapshot:
             outcome = self.apply_snapshot(export.snapshot)
             if isinstance(outcome, Failed):
@@ -156,10 +157,10 @@
         return self.apply_revisions(export.revisions)
 
     def export_after(self, number: int) -> RevisionsExport:
-        """Returns what a peer at a lower revision needs.
+        """Returns the export that brings a peer up to date.
 
         Args:
-            number: The revision in force at the peer.
+            number: Number of the peer's active revision.
         """
         export = self._export_backlog(number)
         if export is not None:
@@ -169,7 +170,7 @@
         return RevisionsExport(self.number, (), self._snapshot)
 
     async def export_after_in_thread(self, number: int) -> RevisionsExport:
-        """Does what ``export_after`` does, encoding off the event loop."""
+        """Returns ``export_after``, with the snapshot encoded on a thread."""
         state = self._state
         if self._export_backlog(number) is None and not self._snapshot:
             encoded = await asyncio.to_thread(snapshots.encode, state)
@@ -179,7 +180,7 @@
         return self.export_after(number)
 
     def dump(self) -> JsonValue:
-        """Returns what a state dump shows."""
+        """Returns this object's part of a state dump."""
         return {
             "revision": self.number,
             "digest": self.current.digest,
@@ -201,7 +202,8 @@
     def _apply_progress(self, progress: _Progress) -> Result[int, Failure]:
         before = self.number
         for step in progress.steps:
-            # Another way may have brought it while this one was rendered.
+            # The watch, the poll or a peer may have applied this revision
+            # while it was rendered here.
             if step.state.number <= self.number:
                 continue
             self._backlog.append(step.stored)
@@ -239,7 +241,7 @@
 def _render_revisions(
     state: states.ConfigState, revisions: Iterable[bytes]
 ) -> _Progress:
-    # Runs on a thread too, so it touches immutable values only.
+    # May run on a thread, so it uses immutable values only.
     steps: list[_Step] = []
     for stored in revisions:
         decoded = states.decode_revision(stored)
--- a/libs/config/src/masticdale_config/bootstrap.py
+++ b/libs/config/src/masticdale_config/bootstrap.py
@@ -1,4 +1,4 @@
-"""What a host learns before it serves."""
+"""Finding the newest revision before a host serves."""
 
 import asyncio
 import dataclasses
@@ -12,8 +12,9 @@
 from masticdale_config.peer_sync import RevisionSource, pull_from
 from masticdale_platform.types import ObjectStore
 
-# Higher than any revision, so a peer answers with its number alone. Asked for
-# all it has, each of hundreds of peers would send the whole configuration.
+# Higher than any revision, so that a peer returns its newest number without
+# revisions. Otherwise each of hundreds of peers would send the whole
+# configuration.
 NEWEST_ONLY = 2**62
 
 
@@ -29,36 +30,36 @@
     active_config: ActiveConfig,
     source_by_host: Mapping[str, RevisionSource],
 ) -> bool:
-    """Brings the newest revision that can be found into force.
+    """Applies the newest revision known to the platform and the live peers.
 
-    A host keeps nothing over a restart. If it served from the first answer,
-    a stale read or one peer that lags would take the configuration back for
-    its callers, below what this host itself applied before. So it asks the
-    platform and every live peer, and takes the highest.
+    A host keeps no configuration across a restart. After a stale read or an
+    answer from a lagging peer it would serve an older configuration than it
+    did before the restart. It therefore asks the platform and every live peer
+    and applies the highest revision.
 
     Args:
-        store: The platform's service.
-        active_config: Where revisions come into force.
-        source_by_host: Every peer that membership holds for live.
+        store: The platform's object store.
+        active_config: The configuration to apply revisions to.
+        source_by_host: Every peer that is live according to membership.
 
     Returns:
-        Whether this host may serve: the platform answered, or every live
-        peer did and one of them holds a revision; and the highest number
-        heard of is in force here.
+        Whether this host may serve: the platform answered, or every live peer
+        answered and one of them holds a revision; and the highest reported
+        revision is active on this host.
     """
-    asked = await asyncio.gather(
+    answers = await asyncio.gather(
         *(_ask_newest(host, source) for host, source in source_by_host.items())
     )
-    peers = [peer for peer in asked if peer is not None]
+    peers = [peer for peer in answers if peer is not None]
     platform = await storage.catch_up(store, active_config)
     newest = max((peer.newest for peer in peers), default=0)
-    for peer in sorted(peers, key=_newest_first):
+    for peer in sorted(peers, key=_negated_newest):
         if active_config.number >= newest:
             break
         await pull_from(active_config, peer.host, peer.source)
-    peers_know = newest > 0 and len(peers) == len(source_by_host)
-    is_complete = isinstance(platform, Success) or peers_know
-    return is_complete and active_config.number >= newest
+    peers_suffice = newest > 0 and len(peers) == len(source_by_host)
+    knows_newest = isinstance(platform, Success) or peers_suffice
+    return knows_newest and active_config.number >= newest
 
 
 async def _ask_newest(host: str, source: RevisionSource) -> _Peer | None:
@@ -68,5 +69,5 @@
     return _Peer(host, source, answer.unwrap().newest)
 
 
-def _newest_first(peer: _Peer) -> int:
+def _negated_newest(peer: _Peer) -> int:
     return -peer.newest
--- a/libs/config/src/masticdale_config/canonical.py
+++ b/libs/config/src/masticdale_config/canonical.py
@@ -1,4 +1,4 @@
-"""Canonical JSON and digests, the same on each host."""
+"""Canonical JSON and its digests, identical on every host."""
 
 from typing import Any
 
@@ -9,16 +9,16 @@
 
 
 def to_bytes(value: Any) -> bytes:
-    """Returns JSON with sorted keys and no white space."""
+    """Encodes a value as JSON with sorted keys and no white space."""
     return orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
 
 
 def dump(model: pydantic.BaseModel) -> Any:
-    """Returns a model's JSON values without those equal to the defaults.
+    """Returns a model's JSON values, without fields at their defaults.
 
-    A field left out and one set to its default are the same declaration, and
-    a release that adds a field with a default leaves all digests as they
-    were, so hosts of two releases agree while an upgrade is rolling.
+    A declaration with an omitted field therefore equals one with the default
+    written out. A release that adds a field with a default changes no digest,
+    so hosts of two releases agree during a rolling upgrade.
     """
     return model.model_dump(mode="json", exclude_defaults=True)
 
--- a/libs/config/src/masticdale_config/peer_sync.py
+++ b/libs/config/src/masticdale_config/peer_sync.py
@@ -1,4 +1,4 @@
-"""Taking revisions from peers."""
+"""Catching up on revisions from peers."""
 
 import asyncio
 import random
@@ -16,19 +16,19 @@
 
 
 class RevisionSource(Protocol):
-    """A peer that can be asked for revisions."""
+    """A peer that serves revisions."""
 
     async def revisions_after(
         self, number: int
     ) -> Result[RevisionsExport, Failure]:
-        """Returns what a host at a revision needs."""
+        """Returns the export for a host at the given revision number."""
         ...
 
 
 async def pull_from(
     active_config: ActiveConfig, host: str, source: RevisionSource
 ) -> bool:
-    """Brings what a peer has more into force; returns whether it answered."""
+    """Applies a peer's newer revisions; returns whether the peer answered."""
     answer = await source.revisions_after(active_config.number)
     if isinstance(answer, Failed):
         return False
@@ -47,14 +47,14 @@
 ) -> bool:
     """Catches up with peers that have reported a higher revision.
 
-    A peer may have been paused or cut off since its last heartbeat, and
-    waiting for its timeout would hold up a change for seconds. So another is
-    asked as well soon after, whoever answers first ends it, and the order is
-    drawn, so that hundreds of hosts do not all ask the same one.
+    Requests are hedged: a peer may have been paused or cut off since its last
+    heartbeat, and waiting for its timeout would delay a change by seconds.
+    The first answer cancels the other requests. Peers are asked in random
+    order, so that hundreds of hosts do not all ask the same one.
 
     Args:
-        active_config: Where revisions come into force.
-        source_by_host: The peers with a higher revision.
+        active_config: The configuration to apply revisions to.
+        source_by_host: Peers that reported a higher revision.
         hedge_delay_s: Delay before the next peer is asked as well.
 
     Returns:
@@ -63,28 +63,28 @@
     hosts = random.sample(
         sorted(source_by_host), min(MAX_PEERS_ASKED, len(source_by_host))
     )
-    asked: set[asyncio.Task[bool]] = set()
+    pending: set[asyncio.Task[bool]] = set()
     try:
         for host in hosts:
-            taking = pull_from(active_config, host, source_by_host[host])
-            asked.add(asyncio.create_task(taking))
-            if await _any_answered(asked, hedge_delay_s):
+            pull = pull_from(active_config, host, source_by_host[host])
+            pending.add(asyncio.create_task(pull))
+            if await _any_answered(pending, hedge_delay_s):
                 return True
-        while asked:
-            if await _any_answered(asked, None):
+        while pending:
+            if await _any_answered(pending, None):
                 return True
         return False
     finally:
-        for task in asked:
+        for task in pending:
             task.cancel()
-        await asyncio.gather(*asked, return_exceptions=True)
+        await asyncio.gather(*pending, return_exceptions=True)
 
 
 async def _any_answered(
-    asked: set[asyncio.Task[bool]], wait_s: float | None
+    pending: set[asyncio.Task[bool]], wait_s: float | None
 ) -> bool:
     done, _ = await asyncio.wait(
-        asked, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED
+        pending, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED
     )
-    asked -= done
+    pending -= done
     return any(task.result() for task in done)
