--- a/libs/config/src/masticdale_config/checks.py
+++ b/libs/config/src/masticdale_config/checks.py
@@ -1,4 +1,4 @@
-"""Whether a set of declarations can be accepted: checked whole."""
+"""Validation of a complete set of declarations."""
 
 import functools
 import math
@@ -32,14 +32,14 @@
 def check_declarations(
     declaration_by_key: DeclarationByKey, revision: int
 ) -> Result[RenderedConfig, Failure]:
-    """Checks and renders all declarations.
+    """Validates and renders all declarations.
 
     Args:
-        declaration_by_key: Every declaration as it would be.
-        revision: Number the rendered configuration carries.
+        declaration_by_key: Every declaration.
+        revision: Revision number of the rendered configuration.
 
     Returns:
-        The configuration, or BAD_REQUEST with the path of each wrong field.
+        The configuration, or BAD_REQUEST with the path of each invalid field.
     """
     return check_change(
         declaration_by_key,
@@ -55,18 +55,19 @@
     previous: RenderedConfig,
     touched: Collection[DeclarationKey],
 ) -> Result[RenderedConfig, Failure]:
-    """Checks and renders declarations of which few have changed.
+    """Validates and renders declarations incrementally.
 
-    What the change cannot reach was checked when it was accepted.
+    Declarations that the change does not affect were validated when they were
+    accepted, so they are skipped.
 
     Args:
         declaration_by_key: Every declaration after the change.
-        revision: Number the rendered configuration carries.
+        revision: Revision number of the rendered configuration.
         previous: The configuration before the change.
-        touched: Every declaration that the change puts or deletes.
+        touched: Keys of the declarations that the change puts or deletes.
 
     Returns:
-        What ``check_declarations`` returns for the same declarations.
+        The same as ``check_declarations`` for these declarations.
     """
     found: list[FieldProblem] = []
     for key in touched:
@@ -108,8 +109,8 @@
 
 @functools.singledispatch
 def check_declaration(declaration: Declaration) -> list[FieldProblem]:
-    """Returns what is wrong with a declaration whatever the others say."""
-    raise TypeError(f"no check for {type(declaration)}")
+    """Returns the problems of a declaration regardless of the others."""
+    raise TypeError(f"no check is registered for {type(declaration)}")
 
 
 @check_declaration.register
@@ -125,7 +126,9 @@
     )
     names = [program.kind.name for program in programs]
     if len(set(names)) < len(names):
-        found.append(FieldProblem("spec.programs", "two have the same name"))
+        found.append(
+            FieldProblem("spec.programs", "two programs have the same name")
+        )
     return found
 
 
@@ -134,15 +137,19 @@
     keys = declaration.spec.caller_keys
     found = []
     if len({key.name for key in keys}) < len(keys):
-        found.append(FieldProblem("spec.caller_keys", "two have the same name"))
+        found.append(
+            FieldProblem("spec.caller_keys", "two keys have the same name")
+        )
     if len({key.sha256 for key in keys}) < len(keys):
-        found.append(FieldProblem("spec.caller_keys", "two hold the same key"))
+        found.append(
+            FieldProblem("spec.caller_keys", "two entries hold the same key")
+        )
     return found
 
 
 @check_declaration.register
 def _(declaration: Upstream) -> list[FieldProblem]:
-    del declaration  # Its model alone says what is right.
+    del declaration  # The model already validates every field.
     return []
 
 
@@ -172,13 +179,15 @@
     model = program.body.model
     engines = config.upstreams.by_model.get(model, ())
     if not any(e.name in workspace.upstreams for e in engines):
-        message = f"none serves model {model!r} of program {program.name!r}"
+        message = (
+            f"no engine serves model {model!r} of program {program.name!r}"
+        )
         found.append(FieldProblem(path, message))
     for tool in program.body.tools:
         services = config.upstreams.by_operation.get(tool, ())
         if any(s.name in workspace.upstreams for s in services):
             continue
-        message = f"none offers tool {tool!r} of program {program.name!r}"
+        message = f"no service offers tool {tool!r} of program {program.name!r}"
         found.append(FieldProblem(path, message))
     return found
 
@@ -190,17 +199,17 @@
     path = f"{prefix}: program {program.name!r}"
     found = []
     if program.body.max_tokens > budget.tokens:
-        message = "max_tokens exceeds the budget, so no turn could begin"
+        message = "is less than max_tokens, so no turn could start"
         found.append(FieldProblem(f"{path}: budget.tokens", message))
     if budget.turns > budget.calls:
-        message = "is less than turns, and each turn is a call"
+        message = "is less than budget.turns, and each turn is a call"
         found.append(FieldProblem(f"{path}: budget.calls", message))
     hourly = workspace.budget.tokens_per_hour
     if hourly is None:
         return found
     hours = math.ceil(budget.wall_time_s / _HOUR_S)
     if budget.tokens > hourly * hours:
-        message = f"allows fewer tokens than the budget of {program.name!r}"
+        message = f"is too low for the token budget of program {program.name!r}"
         field = f"{prefix}.budget.tokens_per_hour"
         found.append(FieldProblem(field, message))
     return found
@@ -209,7 +218,7 @@
 def _check_caller_keys(
     workspace: RenderedWorkspace, config: RenderedConfig
 ) -> list[FieldProblem]:
-    # A key in two workspaces would open either: a caller could get answers
+    # A key shared by two workspaces would give a caller access to the answers
     # of another brand.
     path = f"{Kind.WORKSPACE}/{workspace.name}.spec.caller_keys"
     found = []
@@ -217,20 +226,20 @@
         holder = config.workspace_by_caller_digest[digest]
         if holder.name == workspace.name:
             continue
-        message = f"is in use in workspace {holder.name!r}"
+        message = f"is already used by workspace {holder.name!r}"
         found.append(FieldProblem(f"{path}.{index}.sha256", message))
     return found
 
 
 def _check_repeatable(config: RenderedConfig) -> list[FieldProblem]:
-    # Replicas of one service must agree: a call deemed repeatable at one
-    # replica would be sent again to another that charges twice.
+    # Replicas must agree: a call that one replica declares repeatable would be
+    # retried on another that runs it twice, for example charges a card twice.
     found = []
     for operation, services in config.upstreams.by_operation.items():
         first = services[0]
         for service in services[1:]:
-            mine = service.repeatable_by_operation[operation]
-            if mine == first.repeatable_by_operation[operation]:
+            repeatable = service.repeatable_by_operation[operation]
+            if repeatable == first.repeatable_by_operation[operation]:
                 continue
             path = f"Upstream/{service.name}.spec.operations.{operation}"
             message = f"repeatable differs from upstream {first.name!r}"
@@ -241,6 +250,6 @@
 def eligible_engines(
     workspace: RenderedWorkspace, model: str, config: RenderedConfig
 ) -> tuple[RenderedEngine, ...]:
-    """Returns the engines that may serve a model for a workspace."""
+    """Returns the engines that serve a model and that a workspace may use."""
     engines = config.upstreams.by_model.get(model, ())
     return tuple(e for e in engines if e.name in workspace.upstreams)
--- a/libs/config/src/masticdale_config/problems.py
+++ b/libs/config/src/masticdale_config/problems.py
@@ -1,4 +1,4 @@
-"""Wrong fields of declarations, collected before anything is refused."""
+"""Invalid fields of declarations, collected into one failure."""
 
 import dataclasses
 from collections.abc import Iterable
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class FieldProblem:
-    """One wrong field.
+    """One invalid field.
 
     Attributes:
-        path: Declaration and field, as ``Workspace/name.spec.weight``.
-        message: What is wrong and what would be right.
+        path: Declaration and field, such as ``Workspace/name.spec.weight``.
+        message: What is wrong with the field.
     """
 
     path: str
@@ -27,7 +27,7 @@
 
 
 def to_failure(problems: Iterable[FieldProblem]) -> Failure:
-    """Returns BAD_REQUEST with one line for each wrong field."""
+    """Returns BAD_REQUEST with one line for each invalid field."""
     lines = [f"{p.path}: {p.message}" for p in sorted(set(problems))]
     return Failure(ErrorKind.BAD_REQUEST, "\n".join(lines))
 
@@ -37,16 +37,16 @@
     prefix: str,
     union_tags: frozenset[str] = frozenset(),
 ) -> list[FieldProblem]:
-    """Converts pydantic's report.
+    """Converts a pydantic validation error.
 
     Args:
-        error: What the validation said.
+        error: The validation error.
         prefix: Path of the validated value.
         union_tags: Location parts directly below ``spec`` that name a member
-            of a union and no field.
+            of a union rather than a field. They are left out of the paths.
 
     Returns:
-        One problem for each wrong field.
+        One problem for each invalid field.
     """
     problems = []
     for item in error.errors(include_url=False, include_input=False):
