--- a/libs/config/src/masticdale_config/kinds.py
+++ b/libs/config/src/masticdale_config/kinds.py
@@ -1,6 +1,7 @@
 """The declarations operators write: templates, workspaces and upstreams.
 
-These are border models: strict, without unknown fields, read from JSON only.
+The models validate external input: they are strict, reject unknown fields and
+are read from JSON only.
 """
 
 import dataclasses
@@ -50,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class DeclarationKey:
-    """Kind and name of a declaration, unique among all.
+    """Kind and name of a declaration, which together are unique.
 
     Attributes:
         kind: Its kind.
@@ -84,11 +85,12 @@
 
     Attributes:
         type: Type of its value.
-        description: For the operator who fills it in.
-        default: Value where a workspace gives none; without one it must.
+        description: Help text for operators.
+        default: Value if a workspace sets none; without it the parameter is
+            required.
         minimum: Smallest number or shortest string allowed.
         maximum: Largest number or longest string allowed.
-        choices: Where not empty, the only values allowed.
+        choices: If not empty, the only values allowed.
     """
 
     type: ParameterType
@@ -100,13 +102,13 @@
 
 
 class ProgramBudget(_InputModel):
-    """What one program may use at most.
+    """Resource limits of one program.
 
     Attributes:
         tokens: Prompt and generated tokens together.
         calls: Calls of models and services together.
         turns: Calls of models.
-        wall_time_s: Seconds from its start to its end.
+        wall_time_s: Time from its start to its end.
     """
 
     tokens: Count
@@ -119,13 +121,13 @@
     """A kind of program that a workspace runs, after substitution.
 
     Attributes:
-        name: Name callers start it by.
+        name: Name by which callers start it.
         model: Model that serves its turns.
         system_prompt: Text before each program's history.
-        priority: 0 is first class, 3 is shed first.
+        priority: 0 is the highest; 3 is the lowest and is shed first.
         budget: Budget of each program.
         tools: Service operations it may call.
-        max_tokens: Tokens a turn may generate where the call names no limit.
+        max_tokens: Tokens a turn may generate if the call sets no limit.
     """
 
     name: Name
@@ -140,11 +142,11 @@
 
 
 class TemplateSpec(_InputModel):
-    """A template's body.
+    """The body of a template.
 
     Attributes:
-        parameters: What a workspace may fill in, by name.
-        programs: Program kinds; any value may be or hold ``${parameter}``.
+        parameters: Parameters that a workspace sets, by name.
+        programs: Program kinds; any value may be or contain ``${parameter}``.
     """
 
     parameters: dict[ParameterName, Parameter] = Field(default_factory=dict)
@@ -152,12 +154,12 @@
 
 
 class WorkspaceBudget(_InputModel):
-    """What one workspace may use at a time.
+    """Concurrency and token limits of one workspace.
 
     Attributes:
-        programs: Programs under way at once.
+        programs: Programs running at once.
         turns: Turns queued or running at once.
-        tokens_per_hour: Tokens in any hour; no limit where left out.
+        tokens_per_hour: Tokens in any hour; unlimited if omitted.
     """
 
     programs: Count = 1000
@@ -166,11 +168,11 @@
 
 
 class WorkspaceLimits(_InputModel):
-    """Bounds on single requests and programs.
+    """Limits on single requests and programs.
 
     Attributes:
-        request_bytes: Size of one caller request.
-        branches_per_program: Sub-agents of one program.
+        request_bytes: Maximum size of one caller request.
+        branches_per_program: Maximum number of sub-agents of one program.
         requests_per_s: Caller requests admitted in a second on each host.
     """
 
@@ -180,11 +182,11 @@
 
 
 class CallerKey(_InputModel):
-    """A caller's key, stored as its digest.
+    """A caller key, stored as its digest.
 
     Attributes:
-        name: Shown in logs in place of the key.
-        sha256: What ``caller_key_digest`` returns for the key.
+        name: Shown in logs instead of the key.
+        sha256: SHA-256 digest of the key, in hexadecimal.
     """
 
     name: Name
@@ -195,13 +197,13 @@
     """A workspace: one brand with its own callers.
 
     Attributes:
-        template: Template that it fills in.
+        template: Name of its template.
         parameters: Values for the template's parameters.
         upstreams: Names of the upstreams it may use.
-        budget: What it may use at a time.
-        weight: Its share within one priority, relative to the others'.
-        caller_keys: Keys its callers show.
-        limits: Bounds on single requests and programs.
+        budget: Concurrency and token limits of the workspace.
+        weight: Its share within one priority, relative to other workspaces.
+        caller_keys: Keys that authenticate its callers.
+        limits: Limits on single requests and programs.
     """
 
     template: Name
@@ -216,7 +218,7 @@
 
 
 class Fencing(enum.StrEnum):
-    """What an upstream does with an order whose fencing number is old."""
+    """Whether an upstream rejects requests with a stale fencing token."""
 
     OBEYED = "obeyed"
     IGNORED = "ignored"
@@ -229,7 +231,7 @@
     else:
         ipaddress.IPv4Address(host)
     if not (port.isascii() and port.isdigit() and 0 < int(port) < 2**16):
-        raise ValueError("the port must lie between 1 and 65535")
+        raise ValueError("the port must be between 1 and 65535")
     return address
 
 
@@ -245,11 +247,11 @@
 
 
 class EngineOrder(_InputModel):
-    """Something an engine is told to load or to be.
+    """A command that is sent to an engine.
 
     Attributes:
-        kind: What to do.
-        argument: Model, adapter, version or role.
+        kind: What the engine loads or changes.
+        argument: Name of the model, adapter, version or role.
     """
 
     kind: Literal["load_model", "load_adapter", "load_version", "change_role"]
@@ -261,20 +263,21 @@
 
     Attributes:
         role: ``model``.
-        address: IP number and port; an IPv6 number in brackets.
-        failure_domain: Where it stands.
-        replica: Its name on the platform's list; the declaration's by default.
-        fencing: Whether it refuses orders with an old fencing number.
-        draining: True to give it no new work.
+        address: IP address and port; an IPv6 address in brackets.
+        failure_domain: Failure domain that it belongs to.
+        replica: Its name in the platform's replica list; the declaration's
+            name by default.
+        fencing: Whether it rejects commands with a stale fencing token.
+        draining: True to send it no new work.
         model: Model it serves.
-        slots: Calls in flight to begin with.
-        prefill_tokens_per_s: Speed at which it reads a prompt not cached.
-        restore_interval: Tokens between the boundaries at which a cached
-            prefix can be resumed; 1 where any token will do.
-        cache_tokens: Tokens its prefix cache holds.
+        slots: Initial limit on calls in flight.
+        prefill_tokens_per_s: Prefill speed for prompt tokens not in the cache.
+        restore_interval: Distance between the positions at which a cached
+            prefix can be resumed; 1 if it can be resumed at any token.
+        cache_tokens: Capacity of its prefix cache.
         transfer_tokens_per_s: Speed at which it exports and imports cached
-            prefixes; 0 where it can't.
-        orders: What it is told after each of its starts, in this order.
+            prefixes; 0 if it cannot.
+        orders: Commands sent after each of its starts, in this order.
     """
 
     role: Literal["model"]
@@ -291,25 +294,27 @@
     """One operation of a service.
 
     Attributes:
-        repeatable: False where running it twice does harm.
+        repeatable: False if running it twice is harmful.
     """
 
     repeatable: bool
 
 
 class ServiceSpec(_UpstreamBase):
-    """One replica of a plain service.
+    """One replica of a service that is not a model.
 
     Attributes:
         role: ``service``.
-        address: IP number and port; an IPv6 number in brackets.
-        failure_domain: Where it stands.
-        replica: Its name on the platform's list; the declaration's by default.
-        fencing: Whether it refuses calls with an old fencing number.
-        draining: True to give it no new work.
-        operations: What it offers, by name.
-        lookup: True where it can tell what was done under a key.
-        timeout_s: Longest wait for one call's answer.
+        address: IP address and port; an IPv6 address in brackets.
+        failure_domain: Failure domain that it belongs to.
+        replica: Its name in the platform's replica list; the declaration's
+            name by default.
+        fencing: Whether it rejects calls with a stale fencing token.
+        draining: True to send it no new work.
+        operations: Operations it offers, by name.
+        lookup: True if it can look up the outcome of a call by its
+            idempotency key.
+        timeout_s: Timeout of one call.
     """
 
     role: Literal["service"]
@@ -324,9 +329,9 @@
 class _Declaration(_InputModel):
     @functools.cached_property
     def digest(self) -> str:
-        """The digest by which an operator names what was seen."""
-        # Kept, because rendering asks for the digest of every declaration at
-        # each revision, and computing thousands would take most of a second.
+        """Digest of the declaration, used to detect conflicting edits."""
+        # Cached, because each rendering reads the digests of thousands of
+        # declarations.
         return canonical.digest(self)
 
 
@@ -366,26 +371,26 @@
 
 
 def key_of(declaration: Declaration) -> DeclarationKey:
-    """Returns the declaration's kind and name."""
+    """Returns the key of a declaration."""
     return DeclarationKey(Kind(declaration.kind), declaration.name)
 
 
 def caller_key_digest(key: str) -> str:
     """Returns the digest under which a caller's key is stored.
 
-    Keys are long random strings, so a plain hash cannot be searched.
+    Keys are long random strings, so an unsalted hash resists guessing.
     """
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def parse(text: bytes | str) -> Result[Declaration, Failure]:
-    """Reads one declaration.
+    """Parses one declaration.
 
     Args:
         text: A JSON object with ``kind``, ``name`` and ``spec``.
 
     Returns:
-        The declaration, or BAD_REQUEST with the path of each wrong field.
+        The declaration, or BAD_REQUEST with the path of each invalid field.
     """
     if len(text) > MAX_DECLARATION_BYTES:
         detail = f"a declaration has at most {MAX_DECLARATION_BYTES} bytes"
