--- a/libs/config/src/masticdale_config/placeholders.py
+++ b/libs/config/src/masticdale_config/placeholders.py
@@ -1,4 +1,4 @@
-"""Filling ``${parameter}`` placeholders and checking parameters' values."""
+"""Substitutes ``${parameter}`` placeholders and checks parameter values."""
 
 import re
 from collections.abc import Mapping
@@ -13,10 +13,10 @@
 )
 from masticdale_config.problems import FieldProblem
 
-# ``$${name}`` stands for the text ``${name}``.
+# ``$${name}`` is an escape for the literal text ``${name}``.
 _PLACEHOLDER = re.compile(r"(\$?)\$\{([^}]*)\}")
-# Looked for first: a regular expression over the prompts of thousands of
-# workspaces took most of a second at each start.
+# A cheap test before the regular expression, which is slow on the prompts of
+# thousands of workspaces.
 _OPENING = "${"
 _SAMPLE_BY_TYPE: dict[ParameterType, ParameterValue] = {
     ParameterType.STRING: "sample",
@@ -27,7 +27,7 @@
 
 
 def referenced_names(value: pydantic.JsonValue) -> set[str]:
-    """Returns the names of the parameters a value refers to."""
+    """Returns the names of the parameters that a value refers to."""
     if isinstance(value, str):
         if _OPENING not in value:
             return set()
@@ -43,16 +43,16 @@
 def substitute(
     value: pydantic.JsonValue, value_by_name: Mapping[str, ParameterValue]
 ) -> pydantic.JsonValue:
-    """Returns a value with its placeholders filled.
+    """Returns a value with its placeholders substituted.
 
     Args:
-        value: A value of a template's body. A string that is one placeholder
-            takes the parameter's value with its type; within a longer string
-            the value is written as text.
+        value: A value of a template's body. A string that consists of one
+            placeholder becomes the parameter's value, with its type. Within a
+            longer string the parameter's value is inserted as text.
         value_by_name: A value for each parameter that is referred to.
 
     Raises:
-        KeyError: A parameter that is referred to has no value.
+        KeyError: If a parameter that is referred to has no value.
     """
     if isinstance(value, list):
         return [substitute(item, value_by_name) for item in value]
@@ -73,7 +73,7 @@
 
 
 def check_parameter(name: str, parameter: Parameter) -> list[FieldProblem]:
-    """Returns what is wrong with a parameter's own default and choices."""
+    """Returns the problems of a parameter's default, choices and bounds."""
     path = f"spec.parameters.{name}"
     found = []
     given = [("default", parameter.default)] if _has_default(parameter) else []
@@ -86,7 +86,7 @@
     if None not in bounds and bounds[0] > bounds[1]:  # type: ignore[operator]
         found.append(FieldProblem(f"{path}.minimum", "exceeds maximum"))
     if parameter.type is ParameterType.BOOLEAN and bounds != (None, None):
-        found.append(FieldProblem(path, "a boolean has no bounds"))
+        found.append(FieldProblem(path, "a boolean cannot have bounds"))
     return found
 
 
@@ -103,7 +103,7 @@
         ignore_choices: True to skip the check against ``choices``.
 
     Returns:
-        What is wrong; empty if nothing is.
+        The problem, or an empty string if the value is valid.
     """
     if not _has_type(parameter.type, value):
         return f"must be of type {parameter.type}"
@@ -126,18 +126,20 @@
 def resolve(
     template: TemplateSpec, given_by_name: Mapping[str, ParameterValue]
 ) -> tuple[dict[str, ParameterValue], list[FieldProblem]]:
-    """Joins a workspace's values with the template's defaults.
+    """Merges a workspace's values with the template's defaults.
 
     Args:
         template: The template.
-        given_by_name: What the workspace fills in.
+        given_by_name: The values that the workspace sets.
 
     Returns:
-        The value of each parameter, and what is wrong with those given.
+        The value of each parameter, and the problems found.
     """
     value_by_name: dict[str, ParameterValue] = {}
     found = [
-        FieldProblem(f"spec.parameters.{name}", "the template has none such")
+        FieldProblem(
+            f"spec.parameters.{name}", "the template has no such parameter"
+        )
         for name in given_by_name
         if name not in template.parameters
     ]
@@ -155,7 +157,7 @@
 
 
 def sample_values(template: TemplateSpec) -> dict[str, ParameterValue]:
-    """Returns an allowed or at least well-typed value for each parameter."""
+    """Returns a value of the right type, valid if possible, per parameter."""
     return {
         name: _sample_value(parameter)
         for name, parameter in template.parameters.items()
--- a/libs/config/src/masticdale_config/rendered.py
+++ b/libs/config/src/masticdale_config/rendered.py
@@ -1,4 +1,4 @@
-"""What declarations mean after rendering: immutable, read without locks."""
+"""The rendered configuration: immutable, so it is read without locks."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Budget:
-    """What one program may use; see ``kinds.ProgramBudget``."""
+    """Resource limits of one program; see ``kinds.ProgramBudget``."""
 
     tokens: int
     calls: int
@@ -16,19 +16,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProgramBody:
-    """What a program keeps from its start to its end.
+    """The part of a program that is fixed from its start to its end.
 
-    A prompt or a set of tools that changed between two turns would make the
-    history contradict itself and lose the whole cached prefix. So a program
-    keeps the body it began with: its owner stores the body with the program,
-    once for each digest, and needs no old configuration after a takeover.
+    If the prompt or the tools changed between two turns, the history would
+    contradict itself and the cached prefix would be lost. A program therefore
+    keeps the body it started with. Its owner stores each distinct body with
+    the programs, so a takeover needs no old configuration.
 
     Attributes:
-        digest: The same for equal bodies on every host.
+        digest: Digest of the body; equal on every host.
         model: Model that serves its turns.
         system_prompt: Text before its history.
         tools: Service operations it may call.
-        max_tokens: Tokens a turn may generate where the call names no limit.
+        max_tokens: Tokens a turn may generate if the call sets no limit.
     """
 
     digest: str
@@ -43,10 +43,10 @@
     """One kind of program of one workspace.
 
     Attributes:
-        name: Name callers start it by.
-        body: Kept by programs under way.
-        priority: 0 is first class; a change holds at once.
-        budget: Budget of each program; a change holds at once.
+        name: Name by which callers start it.
+        body: Running programs keep the body they started with.
+        priority: 0 is the highest; a change takes effect immediately.
+        budget: Budget of each program; a change takes effect immediately.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkspaceBudget:
-    """What a workspace may use; see ``kinds.WorkspaceBudget``."""
+    """Limits of one workspace; see ``kinds.WorkspaceBudget``."""
 
     programs: int
     turns: int
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on single requests; see ``kinds.WorkspaceLimits``."""
+    """Limits on single requests; see ``kinds.WorkspaceLimits``."""
 
     request_bytes: int
     branches_per_program: int
@@ -75,18 +75,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RenderedWorkspace:
-    """One workspace with its template filled in.
+    """One workspace with its template rendered.
 
     Attributes:
         name: Its name.
         template: Name of its template.
-        digest: Digest of what it means.
-        program_by_name: Its kinds of programs.
+        digest: Digest of the rendered workspace.
+        program_by_name: Its program kinds.
         upstreams: Names of the upstreams it may use.
-        budget: What it may use at a time.
+        budget: Concurrency and token limits.
         weight: Its share within one priority.
-        caller_name_by_digest: Names of its callers by their keys' digests.
-        limits: Bounds on single requests.
+        caller_name_by_digest: Names of its callers by key digest.
+        limits: Limits on single requests.
     """
 
     name: str
@@ -102,7 +102,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RenderedOrder:
-    """Something an engine is told; see ``kinds.EngineOrder``."""
+    """A command that is sent to an engine; see ``kinds.EngineOrder``."""
 
     kind: str
     argument: str
@@ -133,7 +133,7 @@
     """One replica of a service; see ``kinds.ServiceSpec``.
 
     Attributes:
-        repeatable_by_operation: Whether each operation may be run twice.
+        repeatable_by_operation: Whether an operation may be run twice.
     """
 
     name: str
@@ -153,12 +153,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamTable:
-    """All upstreams, sorted by name within each entry.
+    """Indexes of all upstreams; each entry is sorted by name.
 
     Attributes:
         by_name: Every upstream.
-        by_model: Engines by the model they serve.
-        by_operation: Services by each operation they offer.
+        by_model: Engines by model.
+        by_operation: Services by operation.
     """
 
     by_name: Mapping[str, RenderedUpstream]
@@ -171,10 +171,10 @@
     """The whole configuration of one revision.
 
     Attributes:
-        revision: Its number; 0 before the first change.
-        digest: The same on each host that rendered this revision.
+        revision: Revision number; 0 before the first change.
+        digest: Digest of the configuration; equal on every host.
         workspace_by_name: All workspaces.
-        workspace_by_caller_digest: The workspace that a key's digest opens.
+        workspace_by_caller_digest: Workspaces by the digest of a caller key.
         upstreams: All upstreams.
         template_digest_by_name: Digests of the templates.
     """
--- a/libs/config/src/masticdale_config/rendering.py
+++ b/libs/config/src/masticdale_config/rendering.py
@@ -1,7 +1,7 @@
-"""Turning declarations into the configuration that the daemon reads.
+"""Renders declarations into the configuration that the daemon reads.
 
-Rendering is deterministic: the order of declarations and of their fields has
-no influence, so equal declarations have one digest on every host.
+Rendering is deterministic: it does not depend on the order of declarations or
+of their fields, so equal declarations have the same digest on every host.
 """
 
 import dataclasses
@@ -38,10 +38,10 @@
 
     Args:
         declaration_by_key: Every declaration.
-        revision: Number the result carries.
+        revision: Revision number of the result.
 
     Returns:
-        The configuration, or every field that could not be rendered.
+        The configuration, or a problem for each field that cannot be rendered.
     """
     return render_change(
         declaration_by_key, revision, EMPTY, declaration_by_key.keys()
@@ -54,20 +54,19 @@
     previous: RenderedConfig,
     touched: Collection[DeclarationKey],
 ) -> Result[RenderedConfig, tuple[FieldProblem, ...]]:
-    """Renders declarations of which few differ from an earlier result's.
+    """Renders declarations incrementally.
 
-    At thousands of workspaces rendering all of them would hold up every
-    stream of the host at each change, so only what the change reaches is
-    rendered again.
+    Only the workspaces that the change affects are rendered again. Rendering
+    thousands of workspaces at each change would stall the host's streams.
 
     Args:
         declaration_by_key: Every declaration after the change.
-        revision: Number the result carries.
-        previous: The result for the declarations before the change.
-        touched: Every declaration that the change puts or deletes.
+        revision: Revision number of the result.
+        previous: The configuration before the change.
+        touched: Keys of the declarations that the change puts or deletes.
 
     Returns:
-        What ``render`` returns for the same declarations.
+        The same as ``render`` for these declarations.
     """
     found: list[FieldProblem] = []
     names = affected_workspaces(declaration_by_key, touched)
@@ -102,11 +101,11 @@
 def affected_workspaces(
     declaration_by_key: DeclarationByKey, touched: Collection[DeclarationKey]
 ) -> list[str]:
-    """Returns the workspaces that a change renders anew, sorted.
+    """Returns the sorted names of the workspaces that a change affects.
 
     Args:
         declaration_by_key: Every declaration after the change.
-        touched: Every declaration that the change puts or deletes.
+        touched: Keys of the declarations that the change puts or deletes.
     """
     names = {key.name for key in touched if key.kind is Kind.WORKSPACE}
     templates = {key.name for key in touched if key.kind is Kind.TEMPLATE}
@@ -133,7 +132,7 @@
     for name in names:
         after = workspace_by_name.get(name)
         for digest in after.caller_name_by_digest if after else ():
-            # The first holder keeps the key; checks refuse a second one.
+            # The first workspace keeps the key; checks reject a second one.
             workspace_by_digest.setdefault(digest, workspace_by_name[name])
     return workspace_by_digest
 
@@ -177,8 +176,9 @@
     names: Iterable[str],
     touched: Collection[DeclarationKey],
 ) -> str:
-    # A sum over the declarations, so that its cost follows the change and
-    # not the number of workspaces, and no order has an influence.
+    # The digest is a sum over the declarations. An update therefore costs as
+    # much as the change, whatever the number of workspaces, and does not
+    # depend on their order.
     keys = {key for key in touched if key.kind is not Kind.WORKSPACE}
     keys.update(_workspace_key(name) for name in names)
     total = int(previous.digest, 16)
--- a/libs/config/src/masticdale_config/snapshots.py
+++ b/libs/config/src/masticdale_config/snapshots.py
@@ -1,4 +1,4 @@
-"""Whole states as bytes, for hosts that start or lag far behind."""
+"""Encodes states as snapshots, for hosts that start or lag far behind."""
 
 import pydantic
 from returns.result import Failure as Failed
@@ -37,7 +37,7 @@
 
 
 def encode(state: states.ConfigState) -> bytes:
-    """Returns a state as bytes, the same on every host."""
+    """Encodes a state; equal states give equal bytes on every host."""
     declarations = [
         state.declaration_by_key[key]
         for key in sorted(state.declaration_by_key)
@@ -68,7 +68,7 @@
 
 
 def decode(value: bytes) -> Result[states.ConfigState, Failure]:
-    """Reads a state; INTERNAL where its digest does not come out."""
+    """Decodes a state; INTERNAL if it is invalid or its digest differs."""
     try:
         snapshot = _SnapshotModel.model_validate_json(value)
     except pydantic.ValidationError as error:
@@ -84,7 +84,7 @@
     if rendered.digest != snapshot.digest:
         return states.internal_failure(
             f"snapshot {snapshot.number} renders to {rendered.digest},"
-            f" written as {snapshot.digest}"
+            f" but was written as {snapshot.digest}"
         )
     recent = tuple(
         states.ChangeSummary(
@@ -105,5 +105,5 @@
 
 
 def digest(value: bytes) -> str:
-    """Returns the digest by which stored bytes are checked."""
+    """Returns the digest of stored bytes."""
     return hashing.digest(value.hex())
--- a/libs/config/src/masticdale_config/upstreams.py
+++ b/libs/config/src/masticdale_config/upstreams.py
@@ -1,4 +1,4 @@
-"""Rendering upstreams, and the table by which they are found."""
+"""Renders upstreams and indexes them by name, model and operation."""
 
 import functools
 from collections.abc import Iterable
@@ -19,13 +19,13 @@
 
 
 def render_upstream(upstream: Upstream) -> RenderedUpstream:
-    """Returns what an upstream's declaration means."""
+    """Renders the declaration of an upstream."""
     return _render_spec(upstream.spec, upstream)
 
 
 @functools.singledispatch
 def _render_spec(spec: object, upstream: Upstream) -> RenderedUpstream:
-    raise TypeError(f"{upstream.name}: no rendering for {type(spec)}")
+    raise TypeError(f"{upstream.name}: cannot render a {type(spec)}")
 
 
 @_render_spec.register
@@ -68,7 +68,7 @@
 
 
 def table(upstreams: Iterable[RenderedUpstream]) -> UpstreamTable:
-    """Returns the table of upstreams, sorted by name in each entry."""
+    """Returns the indexes of upstreams; each entry is sorted by name."""
     by_name = {u.name: u for u in sorted(upstreams, key=_name)}
     by_model: dict[str, tuple[RenderedEngine, ...]] = {}
     by_operation: dict[str, tuple[RenderedService, ...]] = {}
--- a/libs/config/src/masticdale_config/workspaces.py
+++ b/libs/config/src/masticdale_config/workspaces.py
@@ -1,4 +1,4 @@
-"""Rendering one workspace: its template filled in with its parameters."""
+"""Renders a workspace: its template with its parameters substituted."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -37,7 +37,7 @@
     """A program kind after substitution.
 
     Attributes:
-        digest: Digest of the filled body.
+        digest: Digest of the body after substitution.
         kind: The program kind.
     """
 
@@ -48,14 +48,14 @@
 def render_programs(
     template: TemplateSpec, value_by_name: Mapping[str, ParameterValue]
 ) -> tuple[list[FilledProgram], list[FieldProblem]]:
-    """Fills a template's body.
+    """Substitutes parameters in a template and validates its programs.
 
     Args:
         template: The template.
         value_by_name: A value for each of its parameters.
 
     Returns:
-        The program kinds, and what is wrong with those that did not fit.
+        The valid program kinds and the problems of the invalid ones.
     """
     programs = []
     found = []
@@ -84,11 +84,11 @@
     """Renders one workspace.
 
     Args:
-        workspace: Its declaration.
-        declaration_by_key: Where its template is found.
+        workspace: The declaration of the workspace.
+        declaration_by_key: All declarations, its template among them.
 
     Returns:
-        The workspace, or every field that could not be rendered.
+        The workspace, or a problem for each field that cannot be rendered.
     """
     prefix = f"{Kind.WORKSPACE}/{workspace.name}"
     spec = workspace.spec
