--- a/libs/config/src/masticdale_config/state.py
+++ b/libs/config/src/masticdale_config/state.py
@@ -1,4 +1,4 @@
-"""Revisions, and the state that following them in order gives."""
+"""Revisions and the state that results from applying them in order."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -27,7 +27,7 @@
 
 
 class StoredModel(StrictModel):
-    """A model of what the platform stores, read from JSON only."""
+    """Base of the models stored on the platform, read from JSON only."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True, strict=True)
 
@@ -38,8 +38,8 @@
     Attributes:
         kind: Its kind.
         name: Its name.
-        before: None where it was created.
-        after: None where it was deleted.
+        before: None if the revision created it.
+        after: None if the revision deleted it.
     """
 
     kind: Kind
@@ -57,14 +57,14 @@
     """One accepted change, stored as one immutable object.
 
     Attributes:
-        number: Its place in the one sequence.
-        change_id: Chosen by the operator; an apply sent again carries it.
-        change_digest: Digest of what was asked for under that id.
-        author: Who applied it.
-        reason: Why, in the operator's words.
-        accepted_at_ms: Wall clock of the accepting host, for people only.
+        number: Its position in the sequence of revisions.
+        change_id: Id chosen by the operator; a retry carries the same id.
+        change_digest: Digest of the change requested under that id.
+        author: Operator who applied it.
+        reason: Reason stated by the operator.
+        accepted_at_ms: Wall clock of the accepting host; informational only.
         edits: Every declaration it touched.
-        digest: Digest of the whole rendered configuration after it.
+        digest: Digest of the rendered configuration after it.
     """
 
     number: int = Field(ge=1)
@@ -82,9 +82,9 @@
     """One field that differs between two JSON values.
 
     Attributes:
-        path: Names of the fields that lead to it, joined by dots.
-        before: Its earlier value; None where there was none.
-        after: Its later value; None where there is none.
+        path: Names of the enclosing fields and the field, joined by dots.
+        before: Earlier value; None if there was none.
+        after: Later value; None if there is none.
     """
 
     path: str
@@ -94,11 +94,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TouchedDeclaration:
-    """What one change did to one declaration.
+    """The fields that one change modified in one declaration.
 
     Attributes:
         key: The declaration.
-        fields: Paths of the fields that it changed, the first few.
+        fields: Paths of the modified fields, at most a few.
     """
 
     key: DeclarationKey
@@ -107,7 +107,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeSummary:
-    """What is remembered of a recent revision; see ``Revision``."""
+    """The summary of a recent revision; see ``Revision``."""
 
     revision: int
     change_id: str
@@ -116,7 +116,7 @@
     touched: tuple[TouchedDeclaration, ...]
 
     def touched_fields(self, key: DeclarationKey) -> tuple[str, ...] | None:
-        """Returns the fields it changed in a declaration, if it did."""
+        """Returns the fields modified in a declaration; None if untouched."""
         for touched in self.touched:
             if touched.key == key:
                 return touched.fields
@@ -125,14 +125,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigState:
-    """Everything known after a revision; immutable.
+    """The state after a revision; immutable.
 
     Attributes:
         declaration_by_key: Every declaration.
         recent: Summaries of the last ``RECENT_CHANGES`` revisions, oldest
-            first; they recognise changes sent again and name the winner of a
+            first. They detect retried changes and name the change that won a
             conflict.
-        rendered: What the declarations mean.
+        rendered: The rendered declarations.
     """
 
     declaration_by_key: Mapping[DeclarationKey, Declaration]
@@ -141,18 +141,18 @@
 
     @property
     def number(self) -> int:
-        """The revision's number."""
+        """Number of the revision."""
         return self.rendered.revision
 
     def change(self, change_id: str) -> ChangeSummary | None:
-        """Returns the recent change with an id."""
+        """Returns the recent change with the given id, if any."""
         for summary in reversed(self.recent):
             if summary.change_id == change_id:
                 return summary
         return None
 
     def last_change_of(self, key: DeclarationKey) -> ChangeSummary | None:
-        """Returns the latest recent change that touched a declaration."""
+        """Returns the latest recent change to a declaration, if any."""
         for summary in reversed(self.recent):
             if summary.touched_fields(key) is not None:
                 return summary
@@ -168,12 +168,12 @@
 
 
 def encode_revision(revision: Revision) -> bytes:
-    """Returns the bytes under which a revision is stored."""
+    """Encodes a revision as its stored bytes."""
     return canonical.to_bytes(canonical.dump(revision))
 
 
 def decode_revision(value: bytes) -> Result[Revision, Failure]:
-    """Reads a stored revision; INTERNAL where it cannot be read."""
+    """Decodes a stored revision; INTERNAL if it is invalid."""
     try:
         return Success(Revision.model_validate_json(value))
     except pydantic.ValidationError as error:
@@ -187,13 +187,13 @@
     """Returns the state after the next revision.
 
     Args:
-        state: The state before.
+        state: The state before the revision.
         revision: The revision with the next number.
 
     Returns:
-        The new state; OUT_OF_ORDER unless the number is the next one;
-        INTERNAL where this host renders it to another digest than the host
-        that accepted it, in which case the state before stays in force.
+        The new state; OUT_OF_ORDER if the number is not the next one; INTERNAL
+        if this host renders the revision to another digest than the host that
+        accepted it.
     """
     if revision.number != state.number + 1:
         detail = f"revision {revision.number} does not follow {state.number}"
@@ -211,7 +211,7 @@
     if rendered.digest != revision.digest:
         return internal_failure(
             f"revision {revision.number} renders to {rendered.digest},"
-            f" accepted as {revision.digest}"
+            f" but was accepted as {revision.digest}"
         )
     recent = (*state.recent, summarize(revision))[-RECENT_CHANGES:]
     return Success(ConfigState(declaration_by_key, recent, rendered))
@@ -221,7 +221,7 @@
     declaration_by_key: Mapping[DeclarationKey, Declaration],
     edits: tuple[RecordedEdit, ...],
 ) -> dict[DeclarationKey, Declaration]:
-    """Returns the declarations after edits."""
+    """Returns the declarations with edits applied."""
     after_by_key = dict(declaration_by_key)
     for edit in edits:
         if edit.after is None:
@@ -232,7 +232,7 @@
 
 
 def summarize(revision: Revision) -> ChangeSummary:
-    """Returns what is remembered of a revision."""
+    """Returns the summary of a revision."""
     return ChangeSummary(
         revision.number,
         revision.change_id,
@@ -252,12 +252,13 @@
     after: Declaration | None,
     limit: int = MAX_NAMED_FIELDS,
 ) -> tuple[str, ...]:
-    """Returns the paths of the fields that differ, the first few.
+    """Returns the paths of the fields in which two declarations differ.
 
     Args:
         before: The earlier declaration.
-        after: The later one; where either is None the one path is ``spec``.
-        limit: Most paths returned.
+        after: The later declaration. If either is None, the only path is
+            ``spec``.
+        limit: Maximum number of paths.
     """
     if before is None or after is None:
         return ("spec",)
@@ -286,5 +287,5 @@
 
 
 def internal_failure(detail: str) -> Failed[Failure]:
-    """Returns the failure for stored bytes that make no sense."""
+    """Returns an INTERNAL failure, for invalid or mismatching stored data."""
     return Failed(Failure(ErrorKind.INTERNAL, detail))
--- a/libs/config/src/masticdale_config/storage.py
+++ b/libs/config/src/masticdale_config/storage.py
@@ -1,15 +1,15 @@
-"""Where revisions and snapshots lie in the platform's service.
+"""Layout of revisions and snapshots in the platform's object store.
 
     config/revisions/{n}               one revision, immutable until it is
                                        trimmed
     config/snapshots/{n}/{digest}/{p}  the state after revision n, in parts
-    config/head                        a hint at the newest whole snapshot,
-                                       and at what of the older is left
+    config/head                        a hint: the newest complete snapshot
+                                       and the older ones still stored
 
-Creating ``config/revisions/{n+1}`` is the commit point of a change of any
-number of declarations: the platform lets exactly one writer create it, so
-there is one sequence and nothing is ever half applied. All else is a hint
-that may lag or be lost.
+Creating ``config/revisions/{n+1}`` commits a change of any number of
+declarations. The platform lets exactly one writer create the key, so there is
+one sequence of revisions and no change is applied in part. The other keys are
+hints that may lag or be lost.
 """
 
 import asyncio
@@ -29,8 +29,8 @@
 SNAPSHOT_PREFIX = "config/snapshots/"
 HEAD_KEY = "config/head"
 PART_BYTES = 900_000
-# Revisions whose numbers differ in the last digits only, so that a watch or
-# a list of one block is bounded however long the sequence has grown.
+# A block holds the revisions whose numbers differ in these last digits only,
+# which bounds the size of a watch or a list.
 BLOCK_DIGITS = 2
 _DIGITS = 10
 _TAIL_BATCH = 64
@@ -38,16 +38,16 @@
 
 
 class SnapshotRef(StrictModel):
-    """Names one snapshot.
+    """A reference to one snapshot.
 
     Attributes:
-        number: Revision the snapshot was taken after.
+        number: Number of the last revision in the snapshot.
         digest: Digest of the snapshot's bytes.
         parts: Number of its parts.
     """
 
-    # While an upgrade is rolling, a host of the earlier release must read
-    # what one of the later release wrote.
+    # During a rolling upgrade, hosts of the earlier release read what hosts of
+    # the later release write.
     model_config = pydantic.ConfigDict(extra="ignore", frozen=True)
 
     number: int
@@ -56,7 +56,7 @@
 
 
 class SnapshotHint(SnapshotRef):
-    """What ``config/head`` holds: the newest snapshot, and what is kept.
+    """The content of ``config/head``: the newest snapshot and what is retained.
 
     Attributes:
         earlier: Older snapshots that are still stored, newest first.
@@ -80,7 +80,7 @@
 
 
 def block_prefix(number: int) -> str:
-    """Returns the prefix of the block of revisions a number lies in."""
+    """Returns the key prefix of the block that contains a revision."""
     return revision_key(number)[:-BLOCK_DIGITS]
 
 
@@ -93,20 +93,20 @@
 async def catch_up(
     store: ObjectStore, active_config: ActiveConfig
 ) -> Result[int, Failure]:
-    """Brings every revision that the platform holds into force.
+    """Applies every revision that the platform holds.
 
     Args:
-        store: The platform's service.
-        active_config: Where they come into force.
+        store: The platform's object store.
+        active_config: The configuration to apply revisions to.
 
     Returns:
-        The number then in force. A read that fails ends it; what was read
-        before that is in force.
+        The number of the active revision, or the failure of a read. Revisions
+        read before the failure stay applied.
     """
     if active_config.number == 0:
-        begun = await _load_snapshot(store, active_config)
-        if isinstance(begun, Failed):
-            return begun
+        loaded = await _load_snapshot(store, active_config)
+        if isinstance(loaded, Failed):
+            return loaded
     while True:
         outcome = await _read_tail(store, active_config.number)
         if isinstance(outcome, Failed):
@@ -114,8 +114,9 @@
         tail = outcome.unwrap()
         applied = await active_config.apply_revisions_in_thread(tail.revisions)
         if tail.is_trimmed:
-            # This host was paused for so long that revisions it misses are
-            # gone. Taken for the end of the sequence, it would lag for good.
+            # This host was paused until the next revisions were trimmed. If a
+            # tombstone counted as the end of the sequence, it would lag
+            # forever.
             applied = await _skip_trimmed(store, active_config)
         if isinstance(applied, Failed) or tail.is_complete:
             return applied
@@ -124,7 +125,7 @@
 async def read_hint(
     store: ObjectStore,
 ) -> Result[tuple[SnapshotHint | None, int], Failure]:
-    """Returns the hint and its version; None where it is of no use."""
+    """Returns the hint, None if it is absent or invalid, and its version."""
     outcome = await store.read(HEAD_KEY)
     if isinstance(outcome, Failed):
         return outcome
@@ -141,12 +142,14 @@
 async def write_snapshot(
     store: ObjectStore, state: states.ConfigState
 ) -> Result[None, Failure]:
-    """Writes a snapshot and points the hint at it, unless one is newer.
+    """Writes a snapshot and updates the hint, unless it names a newer one.
+
+    All parts are written before the hint is updated, and readers check the
+    digest of the complete snapshot.
 
     Args:
-        store: The platform's service.
-        state: What to write. All parts stand before the hint is moved, and a
-            reader checks the digest of the whole.
+        store: The platform's object store.
+        state: The state to write.
     """
     value = await asyncio.to_thread(snapshots.encode, state)
     parts = [
@@ -164,30 +167,30 @@
     found = await read_hint(store)
     if isinstance(found, Failed):
         return found
-    present, version = found.unwrap()
-    if present is not None and present.number >= ref.number:
+    current, version = found.unwrap()
+    if current is not None and current.number >= ref.number:
         return Success(None)
-    hint = await _next_hint(store, ref, present)
+    hint = await _next_hint(store, ref, current)
     encoded = canonical.to_bytes(hint.model_dump())
     return (await store.write(HEAD_KEY, encoded, version)).map(lambda _: None)
 
 
 async def _next_hint(
-    store: ObjectStore, ref: SnapshotRef, present: SnapshotHint | None
+    store: ObjectStore, ref: SnapshotRef, current: SnapshotHint | None
 ) -> SnapshotHint:
-    # What is removed here follows from the hint that stands already, so a
-    # reader always finds a snapshot that is newer than whatever is gone.
-    if present is None:
+    # Data is removed according to the hint that is already stored, so a reader
+    # always finds a snapshot newer than the removed data.
+    if current is None:
         return SnapshotHint(**ref.model_dump())
-    first = present.trimmed + 1
-    last = present.number - trimming.KEPT_REVISIONS
+    first = current.trimmed + 1
+    last = current.number - trimming.KEPT_REVISIONS
     numbers = range(first, last + 1)[: trimming.MAX_TRIMMED_AT_ONCE]
     trimmed = await trimming.trim_revisions(store, numbers, revision_key)
     earlier = [
         SnapshotRef(
-            number=present.number, digest=present.digest, parts=present.parts
+            number=current.number, digest=current.digest, parts=current.parts
         ),
-        *present.earlier,
+        *current.earlier,
     ]
     kept = earlier[: KEPT_SNAPSHOTS - 1]
     for old in earlier[KEPT_SNAPSHOTS - 1 :]:
@@ -197,12 +200,12 @@
     return SnapshotHint(
         **ref.model_dump(),
         earlier=tuple(kept),
-        trimmed=present.trimmed + trimmed,
+        trimmed=current.trimmed + trimmed,
     )
 
 
 def _already_exists(failure: Failure) -> bool:
-    # The key holds the content's digest: whoever created it wrote the same.
+    # The key contains the digest of the content, so an existing part is equal.
     return failure.kind is ErrorKind.CONFLICT
 
 
@@ -226,7 +229,7 @@
         chunks.append(stored.value)
     value = b"".join(chunks)
     if snapshots.digest(value) != hint.digest:
-        return _corrupt_snapshot(hint, "its digest does not come out")
+        return _corrupt_snapshot(hint, "its digest does not match")
     return await active_config.apply_snapshot_in_thread(value)
 
 
@@ -234,11 +237,13 @@
     store: ObjectStore, active_config: ActiveConfig
 ) -> Result[int, Failure]:
     before = active_config.number
-    begun = await _load_snapshot(store, active_config)
-    if isinstance(begun, Success) and active_config.number == before:
-        detail = f"revision {before + 1} is trimmed and no snapshot is newer"
+    loaded = await _load_snapshot(store, active_config)
+    if isinstance(loaded, Success) and active_config.number == before:
+        detail = (
+            f"revision {before + 1} is trimmed and no newer snapshot exists"
+        )
         return Failed(Failure(ErrorKind.INTERNAL, detail))
-    return begun
+    return loaded
 
 
 async def _read_tail(store: ObjectStore, after: int) -> Result[_Tail, Failure]:
--- a/libs/config/src/masticdale_config/trimming.py
+++ b/libs/config/src/masticdale_config/trimming.py
@@ -1,9 +1,9 @@
-"""Bounding what old revisions and snapshots take in the platform's service.
+"""Retention of old revisions and snapshots in the platform's object store.
 
-An old revision is overwritten and not deleted. A host paused for days between
-reading the newest revision and creating the next would otherwise find its key
-free again, and its change would be accepted into a sequence that has long
-gone on: its operator would be told that it holds, and no host would apply it.
+An old revision is overwritten by a tombstone rather than deleted. If its key
+were free again, a host that was paused between reading the newest revision and
+creating the next one could still create it: the operator would be told that
+the change is accepted, but no host would apply it.
 """
 
 import asyncio
@@ -26,15 +26,15 @@
     numbers: range,
     key_of: Callable[[int], str],
 ) -> int:
-    """Overwrites old revisions.
+    """Overwrites old revisions by tombstones.
 
     Args:
-        store: The platform's service.
-        numbers: Numbers of the revisions to trim, in order.
+        store: The platform's object store.
+        numbers: Numbers of the revisions to trim, in ascending order.
         key_of: Returns the key of a revision.
 
     Returns:
-        How many of them, from the first on, are trimmed for certain.
+        How many revisions, counted from the first, are certain to be trimmed.
     """
     done = 0
     for start in range(0, len(numbers), _MAX_CONCURRENT_CALLS):
@@ -48,7 +48,7 @@
 
 
 async def delete_keys(store: ObjectStore, keys: Iterable[str]) -> bool:
-    """Deletes objects; returns whether all are gone for certain."""
+    """Deletes objects; returns whether all are certain to be deleted."""
     outcomes = [await _delete(store, key) for key in keys]
     return all(outcomes)
 
--- a/libs/config/src/masticdale_config/watching.py
+++ b/libs/config/src/masticdale_config/watching.py
@@ -1,4 +1,4 @@
-"""Following the platform's revisions on the few hosts that watch."""
+"""Applying new revisions from the platform on the few watching hosts."""
 
 import asyncio
 
@@ -17,13 +17,13 @@
 
 
 class ConfigWatcher:
-    """Brings revisions into force as soon as they are written.
+    """Applies revisions as soon as they are written.
 
-    Two ways run side by side. The watch brings a revision within
-    milliseconds, but its connection can go silent for good while new ones
-    work: accepted changes would then never arrive. So each ``POLL_PERIOD_S``
-    the next revision is read as well, on another connection, and a watch
-    that outlives its own wait is given up and begun anew.
+    A watch and a poll run concurrently. The watch delivers a revision within
+    milliseconds, but its connection can hang forever while new connections
+    work, and accepted changes would then never arrive. The poll therefore
+    reads the next revision over another connection every ``POLL_PERIOD_S``,
+    and a watch that exceeds its own wait time is cancelled and restarted.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self._watch_wait_s = watch_wait_s
 
     async def run(self) -> None:
-        """Watches and polls until it is cancelled."""
+        """Watches and polls until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._watch(), name="config-watch")
             tasks.create_task(self._poll(), name="config-poll")
