--- a/libs/config/src/masticdale_config/reports.py
+++ b/libs/config/src/masticdale_config/reports.py
@@ -1,4 +1,4 @@
-"""What plans and revisions look like to operators."""
+"""Builds the reports of plans and revisions for operators."""
 
 from collections.abc import Iterable
 
@@ -26,7 +26,7 @@
 
 
 def plan_report(plan: Plan) -> PlanReport:
-    """Returns what a plan does, with the workspaces it has an effect on."""
+    """Returns the report of a plan, with the workspaces that it affects."""
     effects = _effects(plan)
     return PlanReport(
         base=plan.base,
@@ -39,7 +39,7 @@
 def planned_edits(
     edits: Iterable[states.RecordedEdit],
 ) -> tuple[PlannedEdit, ...]:
-    """Returns edits with the fields that differ."""
+    """Returns edits with their changed fields, sorted by declaration."""
     return tuple(
         PlannedEdit(
             kind=edit.kind,
@@ -54,7 +54,7 @@
 def field_changes(
     before: Declaration | None, after: Declaration | None
 ) -> tuple[FieldChange, ...]:
-    """Returns the fields in which two declarations differ, the first few."""
+    """Returns the first fields in which two declarations differ."""
     if before is None or after is None:
         return ()
     found = states.differences(canonical.dump(before), canonical.dump(after))
@@ -65,7 +65,7 @@
 
 
 def revision_report(revision: states.Revision) -> RevisionReport:
-    """Returns a stored revision as operators see it."""
+    """Returns the report of a stored revision."""
     return RevisionReport(
         revision=revision.number,
         change_id=revision.change_id,
@@ -78,7 +78,7 @@
 
 
 def revision_summary(summary: states.ChangeSummary) -> RevisionSummary:
-    """Returns a remembered revision as a line of a list."""
+    """Returns the list entry of a recent revision."""
     touched = tuple(
         TouchedReport(t.key.kind, t.key.name, t.fields) for t in summary.touched
     )
@@ -112,15 +112,15 @@
     after: RenderedConfig,
     upstreams: set[str],
 ) -> str:
-    was: RenderedWorkspace | None = before.workspace_by_name.get(name)
-    becomes: RenderedWorkspace | None = after.workspace_by_name.get(name)
-    if was is None:
+    old: RenderedWorkspace | None = before.workspace_by_name.get(name)
+    new: RenderedWorkspace | None = after.workspace_by_name.get(name)
+    if old is None:
         return "created"
-    if becomes is None:
+    if new is None:
         return "deleted"
-    if was.digest != becomes.digest:
+    if old.digest != new.digest:
         return "changed"
-    return "" if upstreams.isdisjoint(becomes.upstreams) else "upstream changed"
+    return "" if upstreams.isdisjoint(new.upstreams) else "upstream changed"
 
 
 def _shorten(value: object) -> str:
--- a/libs/config/src/masticdale_config/revisions.py
+++ b/libs/config/src/masticdale_config/revisions.py
@@ -1,4 +1,4 @@
-"""Accepting changes: one sequence of revisions under racing operators."""
+"""Accepts concurrent changes as one sequence of revisions."""
 
 import asyncio
 import dataclasses
@@ -28,13 +28,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Edit:
-    """One declaration an operator wants to put or delete.
+    """A put or a delete of one declaration.
 
     Attributes:
-        key: The declaration.
+        key: Key of the declaration.
         seen: Digest of the declaration as the operator last saw it, or
-            ``ABSENT``.
-        after: What it is to be; None to delete it.
+            ``ABSENT``. The edit conflicts if it is not the current digest.
+        after: The new declaration; None to delete it.
     """
 
     key: DeclarationKey
@@ -44,13 +44,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """What an operator applies, accepted as one revision or not at all.
+    """A set of edits, accepted atomically as one revision.
 
     Attributes:
-        change_id: Unique; the same when the apply is sent again.
-        author: Who applies it.
-        reason: Why.
-        edits: The declarations it touches, each once.
+        change_id: Unique id; a retry carries the same id.
+        author: Operator who applies it.
+        reason: Reason stated by the operator.
+        edits: Edits of distinct declarations.
     """
 
     change_id: str
@@ -64,10 +64,10 @@
     """An accepted change.
 
     Attributes:
-        revision: Its number; the present one where nothing would change.
-        digest: Digest of the configuration in force with it; empty where it
-            was recognised and later revisions are in force.
-        changed: False where every declaration was already as wanted.
+        revision: Its number; the current number if nothing would change.
+        digest: Digest of the configuration after it; empty if it is a retry
+            and later revisions are active.
+        changed: False if every declaration was already as requested.
     """
 
     revision: int
@@ -77,13 +77,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What a change would do if it were applied now.
+    """The effect that a change would have if it were applied now.
 
     Attributes:
-        base: Revision it was computed against.
-        edits: Declarations that would differ, before and after.
-        before: The configuration now.
-        after: The configuration as it would be.
+        base: Number of the revision that the plan is based on.
+        edits: Declarations that would change, before and after.
+        before: The current configuration.
+        after: The configuration after the change.
     """
 
     base: int
@@ -93,7 +93,7 @@
 
 
 class ConfigStore:
-    """Applies operators' changes; several may run on several hosts."""
+    """Applies operators' changes; safe to use from several hosts at once."""
 
     def __init__(
         self,
@@ -111,18 +111,18 @@
         self._lock = asyncio.Lock()
 
     async def load(self) -> Result[states.ConfigState, Failure]:
-        """Returns the newest state the platform holds."""
+        """Catches up with the platform and returns the newest state."""
         loaded = await storage.catch_up(self._store, self._active_config)
         return loaded.map(lambda _: self._active_config.state)
 
     async def plan(self, change: Change) -> Result[Plan, Failure]:
-        """Says what a change would do, writing nothing.
+        """Computes the effect of a change without writing anything.
 
         Args:
             change: The change.
 
         Returns:
-            The plan; else what ``apply`` would answer.
+            The plan, or the failure that ``apply`` would return.
         """
         loaded = await self.load()
         if isinstance(loaded, Failed):
@@ -130,19 +130,20 @@
         return await asyncio.to_thread(_build_plan, loaded.unwrap(), change)
 
     async def apply(self, change: Change) -> Result[AcceptedChange, Failure]:
-        """Accepts a change as the next revision, whole or not at all.
+        """Accepts a change atomically as the next revision.
 
         Args:
-            change: The change. Its base may be old: only a declaration that
-                it touches and that another change touched since is a
-                conflict.
+            change: The change. Its base may be outdated. It conflicts only if
+                another change has since modified a declaration that it
+                touches.
 
         Returns:
-            The revision. CONFLICT names the declaration, its fields and the
-            change that won; BAD_REQUEST each wrong field; TOO_LARGE a change
-            over the platform's size; PLATFORM_UNAVAILABLE when surely
-            nothing was written; WRITE_UNKNOWN when it may have been: send it
-            again under the same ``change_id``.
+            The accepted change. CONFLICT names the declaration, its fields
+            and the change that won; BAD_REQUEST names each invalid field;
+            TOO_LARGE means that the change exceeds the platform's size limit;
+            PLATFORM_UNAVAILABLE means that nothing was written; WRITE_UNKNOWN
+            means that it may have been written: retry it under the same
+            ``change_id``.
         """
         refused = _check_change(change)
         if refused is not None:
@@ -153,7 +154,7 @@
     async def revision(
         self, number: int
     ) -> Result[states.Revision | None, Failure]:
-        """Returns a revision, or None where none is stored any more."""
+        """Returns a revision, or None if it is not stored or was trimmed."""
         read = await self._store.read(storage.revision_key(number))
         if isinstance(read, Failed):
             return read
@@ -163,26 +164,28 @@
         return states.decode_revision(stored.value)
 
     async def _apply(self, change: Change) -> Result[AcceptedChange, Failure]:
-        unknown = 0
-        failure = Failure(ErrorKind.PLATFORM_UNAVAILABLE, "gave up")
+        unresolved = 0
+        failure = Failure(
+            ErrorKind.PLATFORM_UNAVAILABLE, "no attempt succeeded"
+        )
         for attempt in range(MAX_ATTEMPTS):
             if attempt:
                 await asyncio.sleep(_backoff_s(self._backoff_s, attempt))
             loaded = await self.load()
             if isinstance(loaded, Failed):
-                return _resolve_failure(loaded.failure(), unknown)
+                return _resolve_failure(loaded.failure(), unresolved)
             state = loaded.unwrap()
-            if state.number >= unknown:
-                unknown = 0
-            known = _find_duplicate(state, change)
-            if known is not None:
-                return known
-            # Off the event loop: a template's change may reach thousands of
-            # workspaces.
-            prepared = await asyncio.to_thread(_build_plan, state, change)
-            if isinstance(prepared, Failed):
-                return _resolve_failure(prepared.failure(), unknown)
-            plan = prepared.unwrap()
+            if state.number >= unresolved:
+                unresolved = 0
+            duplicate = _find_duplicate(state, change)
+            if duplicate is not None:
+                return duplicate
+            # On a thread, because a change of a template may affect thousands
+            # of workspaces.
+            planned = await asyncio.to_thread(_build_plan, state, change)
+            if isinstance(planned, Failed):
+                return _resolve_failure(planned.failure(), unresolved)
+            plan = planned.unwrap()
             if not plan.edits:
                 return Success(_unchanged(state))
             written = await self._commit(change, plan)
@@ -190,13 +193,13 @@
                 return await self._apply_accepted(written.unwrap())
             failure = written.failure()
             if failure.kind is ErrorKind.WRITE_UNKNOWN:
-                # The write may still take effect. Until that number is taken
-                # nothing may be refused as surely not written; trying to
-                # create the same number again settles it.
-                unknown = plan.after.revision
+                # The write may still take effect. Until that revision exists,
+                # no failure may claim that nothing was written. Creating the
+                # same revision again resolves it.
+                unresolved = plan.after.revision
             elif failure.kind is not ErrorKind.CONFLICT:
-                return _resolve_failure(failure, unknown)
-        return _resolve_failure(failure, unknown)
+                return _resolve_failure(failure, unresolved)
+        return _resolve_failure(failure, unresolved)
 
     async def _commit(
         self, change: Change, plan: Plan
@@ -214,8 +217,8 @@
         value = states.encode_revision(revision)
         if len(value) > MAX_VALUE_BYTES:
             detail = (
-                f"the change takes {len(value)} bytes of {MAX_VALUE_BYTES};"
-                " split it into several"
+                f"the change has {len(value)} bytes, at most {MAX_VALUE_BYTES}"
+                " are allowed; split it into several changes"
             )
             return Failed(Failure(ErrorKind.TOO_LARGE, detail))
         key = storage.revision_key(revision.number)
@@ -225,8 +228,8 @@
     async def _apply_accepted(
         self, revision: states.Revision
     ) -> Result[AcceptedChange, Failure]:
-        # This host's watch may have brought it, and later ones, into force
-        # before the write was answered; then this passes over it.
+        # This host's watch may already have applied this and later revisions
+        # before the write returned; they are then skipped here.
         applied = await self._active_config.apply_revisions_in_thread(
             (states.encode_revision(revision),)
         )
@@ -246,7 +249,7 @@
     if not change.change_id:
         return Failure(ErrorKind.BAD_REQUEST, "change_id: must not be empty")
     if len(set(keys)) < len(keys):
-        detail = "edits: a declaration may be touched once only"
+        detail = "edits: each declaration may appear only once"
         return Failure(ErrorKind.BAD_REQUEST, detail)
     return None
 
@@ -254,18 +257,18 @@
 def _find_duplicate(
     state: states.ConfigState, change: Change
 ) -> Result[AcceptedChange, Failure] | None:
-    known = state.change(change.change_id)
-    if known is None:
+    summary = state.change(change.change_id)
+    if summary is None:
         return None
-    if known.change_digest != _change_digest(change):
+    if summary.change_digest != _change_digest(change):
         detail = (
-            f"change_id {change.change_id!r} is that of revision"
-            f" {known.revision}, which holds another change"
+            f"change_id {change.change_id!r} was already used for another"
+            f" change, accepted as revision {summary.revision}"
         )
         return Failed(Failure(ErrorKind.REQUEST_ID_REUSED, detail))
-    is_newest = known.revision == state.number
+    is_newest = summary.revision == state.number
     digest = state.rendered.digest if is_newest else ""
-    return Success(AcceptedChange(known.revision, digest, True))
+    return Success(AcceptedChange(summary.revision, digest, True))
 
 
 def _build_plan(
@@ -304,7 +307,7 @@
 def _describe_conflict(state: states.ConfigState, edit: Edit) -> str:
     winner = state.last_change_of(edit.key)
     if winner is None:
-        return f"{edit.key}: is not what was last seen, or never was"
+        return f"{edit.key}: has changed since last seen, or never existed"
     fields = ", ".join(winner.touched_fields(edit.key) or ())
     return (
         f"{edit.key}: {fields or 'spec'}: changed by revision"
@@ -316,11 +319,11 @@
     return AcceptedChange(state.number, state.rendered.digest, False)
 
 
-def _resolve_failure(failure: Failure, unknown: int) -> Failed[Failure]:
-    if not unknown:
+def _resolve_failure(failure: Failure, unresolved: int) -> Failed[Failure]:
+    if not unresolved:
         return Failed(failure)
     detail = (
-        f"revision {unknown} may or may not have been written"
+        f"revision {unresolved} may or may not have been written"
         f" ({failure.kind}); send the change again under the same change_id"
     )
     return Failed(Failure(ErrorKind.WRITE_UNKNOWN, detail))
--- a/libs/config/src/masticdale_config/rollback.py
+++ b/libs/config/src/masticdale_config/rollback.py
@@ -14,18 +14,18 @@
 async def compute_rollback_edits(
     config_store: ConfigStore, number: int
 ) -> Result[tuple[Edit, ...], Failure]:
-    """Returns what would restore the declarations of an earlier revision.
+    """Computes edits that restore the declarations of an earlier revision.
 
-    They are applied as a change like any other, so a rollback gets a new
-    number, conflicts with a racing change, and never lowers the revision.
+    The edits are applied like any other change, so a rollback becomes a new
+    revision and conflicts with concurrent changes.
 
     Args:
         config_store: Reads the revisions to undo.
-        number: Revision whose declarations are to hold again.
+        number: Number of the revision to restore.
 
     Returns:
-        The edits, each against the declaration as it is now; NOT_FOUND where
-        the revision is not in the sequence or one after it was trimmed.
+        The edits, based on the current declarations; NOT_FOUND if the
+        revision does not exist or a later one was trimmed.
     """
     loaded = await config_store.load()
     if isinstance(loaded, Failed):
@@ -41,7 +41,7 @@
             return outcome
         revision = outcome.unwrap()
         if revision is None:
-            detail = f"revision {later} is no longer kept"
+            detail = f"revision {later} is no longer stored"
             return Failed(Failure(ErrorKind.NOT_FOUND, detail))
         for edit in revision.edits:
             before_by_key.setdefault(edit.key, edit.before)
@@ -60,7 +60,7 @@
         return Failure(ErrorKind.NOT_FOUND, detail)
     if newest - number > MAX_UNDONE_REVISIONS:
         detail = (
-            f"revision {number} lies {newest - number} back; at most"
+            f"revision {number} is {newest - number} revisions back; at most"
             f" {MAX_UNDONE_REVISIONS} can be undone at once"
         )
         return Failure(ErrorKind.BAD_REQUEST, detail)
