--- a/libs/config/src/masticdale_config/messages.py
+++ b/libs/config/src/masticdale_config/messages.py
@@ -1,7 +1,4 @@
-"""What operators and the daemon say to each other, coded as JSON.
-
-The daemon and the command-line tool share these, so that neither can drift.
-"""
+"""JSON messages between the operators' tool and the daemon, shared by both."""
 
 import dataclasses
 from typing import Annotated, Self
@@ -27,7 +24,7 @@
 
 
 class EditRequest(_RequestModel):
-    """One declaration to put or delete; see ``revisions.Edit``."""
+    """A put or a delete of one declaration; see ``revisions.Edit``."""
 
     kind: Kind
     name: str
@@ -36,7 +33,7 @@
 
     @classmethod
     def from_edit(cls, edit: Edit) -> Self:
-        """Returns an edit as it is sent."""
+        """Converts an edit to its message."""
         return cls(
             kind=edit.key.kind,
             name=edit.key.name,
@@ -49,9 +46,9 @@
     """A change to plan or apply.
 
     Attributes:
-        change_id: Chosen by the operator; sent again, it is recognised.
-        reason: Why, for the audit log.
-        edits: The declarations it touches, each once.
+        change_id: Id chosen by the operator; a retry carries the same id.
+        reason: Reason of the change, for the audit log.
+        edits: Edits of distinct declarations.
     """
 
     change_id: _ChangeId
@@ -59,7 +56,7 @@
     edits: tuple[EditRequest, ...] = Field(max_length=MAX_CHANGE_EDITS)
 
     def to_change(self, author: str) -> Change:
-        """Returns the change on behalf of an operator."""
+        """Converts the message to a change on behalf of an operator."""
         edits = tuple(
             Edit(DeclarationKey(e.kind, e.name), e.seen, e.after)
             for e in self.edits
@@ -69,14 +66,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostStatus:
-    """One entry host as the answering host knows it.
+    """The answering host's view of one entry host.
 
     Attributes:
         name: Its name.
-        failure_domain: Where it stands.
-        leaving: True once it hands its work over.
-        revision: Revision in force there when it was last heard.
-        age_s: Seconds since it was last heard; 0 for the answering host.
+        failure_domain: Its failure domain.
+        leaving: True once it is handing off its work.
+        revision: Its active revision at its last heartbeat.
+        age_s: Seconds since its last heartbeat; 0 for the answering host.
     """
 
     name: str
@@ -88,11 +85,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Readiness:
-    """Whether the balancer may send callers to a host.
+    """Whether the load balancer may send callers to a host.
 
     Attributes:
-        ready: True where it may.
-        reason: Why not; empty where it may.
+        ready: True if it may.
+        reason: Why the host is not ready; empty if it is.
     """
 
     ready: bool
@@ -101,16 +98,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatusReport:
-    """What the answering host knows of the whole.
+    """The answering host's view of the cluster.
 
     Attributes:
         host: The answering host.
         readiness: Its readiness.
-        revision: Revision in force there.
+        revision: Its active revision.
         digest: Digest of that configuration.
-        hosts: All hosts it knows, itself among them.
-        is_newest: Whether the platform was asked and said that no later
-            revision is accepted.
+        hosts: All hosts it knows, including itself.
+        is_newest: True if the platform was asked and has no later revision.
     """
 
     host: str
@@ -123,10 +119,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredDeclaration:
-    """One declaration in force.
+    """One declaration of the active configuration.
 
     Attributes:
-        digest: Names this state of it in an edit's ``seen``.
+        digest: Digest to send as ``seen`` in an edit of it.
         declaration: The declaration.
     """
 
@@ -136,12 +132,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeclarationPage:
-    """Declarations in force, sorted by kind and name.
+    """One page of the active declarations, sorted by kind and name.
 
     Attributes:
-        revision: Revision they belong to.
+        revision: Revision that they belong to.
         items: The declarations of this page.
-        next_after: Where the next page begins; empty on the last.
+        next_after: Cursor of the next page; empty on the last page.
     """
 
     revision: int
@@ -151,12 +147,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FieldChange:
-    """One field a change sets.
+    """One field that a change modifies.
 
     Attributes:
         path: Path within the declaration.
-        before: JSON text, shortened; empty where there was nothing.
-        after: JSON text, shortened; empty where nothing is left.
+        before: Old value as truncated JSON text; empty if there was none.
+        after: New value as truncated JSON text; empty if it is removed.
     """
 
     path: str
@@ -166,13 +162,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedEdit:
-    """What a change does to one declaration.
+    """The effect of a change on one declaration.
 
     Attributes:
         kind: Its kind.
         name: Its name.
         action: ``create``, ``update`` or ``delete``.
-        fields: What differs, the first fields of an update.
+        fields: The first fields that an update modifies.
     """
 
     kind: Kind
@@ -183,10 +179,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkspaceEffect:
-    """What a change means for one workspace.
+    """The effect of a change on one workspace.
 
     Attributes:
-        name: The workspace.
+        name: Name of the workspace.
         effect: ``created``, ``deleted``, ``changed`` or ``upstream changed``.
     """
 
@@ -196,13 +192,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlanReport:
-    """What a change would do if it were applied now.
+    """The effect that a change would have if it were applied now.
 
     Attributes:
-        base: Revision it was computed against.
-        edits: Declarations that would differ.
-        workspace_count: Number of workspaces it has an effect on.
-        workspaces: Those workspaces, the first by name.
+        base: Revision that the plan is based on.
+        edits: Declarations that would change.
+        workspace_count: Number of affected workspaces.
+        workspaces: The first affected workspaces by name.
     """
 
     base: int
@@ -222,7 +218,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TouchedReport:
-    """What a revision did to one declaration."""
+    """The fields that a revision modified in one declaration."""
 
     kind: Kind
     name: str
@@ -256,7 +252,7 @@
 class RollbackEdits:
     """The edits that restore the declarations of an earlier revision.
 
-    They are planned and applied like any other change, as a new revision.
+    They are planned and applied like any other change.
     """
 
     to_revision: int
@@ -265,13 +261,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProgramFilter:
-    """Which programs to list.
+    """Filter of a list of programs.
 
     Attributes:
-        workspace: Only this workspace's; empty for all.
-        state: Only those in this state; empty for all.
+        workspace: Only programs of this workspace; empty for all.
+        state: Only programs in this state; empty for all.
         after: Only ids that sort after this one.
-        limit: Most programs returned.
+        limit: Maximum number of programs.
     """
 
     workspace: str = ""
@@ -286,14 +282,14 @@
 
     Attributes:
         program_id: Its id.
-        workspace: Whose it is.
+        workspace: Its workspace.
         kind: Name of its program kind.
-        state: ``running`` or the reason of its end.
+        state: ``running`` or the reason why it ended.
         shard: The shard that holds it.
         owner: The host that owns the shard.
-        age_s: Seconds since it began.
+        age_s: Seconds since it started.
         tokens_spent: Tokens charged.
-        waiting_for: What its calls in flight wait for.
+        waiting_for: What each of its calls in flight waits for.
     """
 
     program_id: str
@@ -309,12 +305,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProgramPage:
-    """Programs sorted by id.
+    """One page of programs, sorted by id.
 
     Attributes:
         programs: The programs of this page.
-        next_after: Where the next page begins; empty on the last.
-        unanswered_hosts: Owners that did not answer, whose programs miss.
+        next_after: Cursor of the next page; empty on the last page.
+        unanswered_hosts: Owners that did not answer; their programs are
+            missing from the page.
     """
 
     programs: tuple[ProgramSummary, ...]
@@ -324,7 +321,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProgramDetail:
-    """One program with its spending and what each call waits for."""
+    """One program with its usage and its limits."""
 
     summary: ProgramSummary
     branches: tuple[str, ...]
@@ -338,12 +335,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantinedRequest:
-    """A request that is refused because it crashed its replicas.
+    """A request that is rejected because it crashed replicas.
 
     Attributes:
-        digest: Digest of its content, by which it is recognised.
-        workspace: Whose request was seen first.
-        crashes: Replicas it crashed.
+        digest: Digest of its content, which identifies it.
+        workspace: Workspace that sent it first.
+        crashes: Number of replicas it crashed.
         age_s: Seconds since it was quarantined.
     """
 
@@ -362,14 +359,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TakeoverReport:
-    """A shard taken over by force.
+    """The result of a forced takeover of a shard.
 
     Attributes:
         shard: The shard.
-        epoch: The epoch it is now owned under.
-        committed_sequence: Last record surely kept.
-        unreachable_holders: Copy holders that could not be asked.
-        possibly_lost: What acknowledged work may be lost, one line each.
+        epoch: Epoch of the new ownership.
+        committed_sequence: Sequence number of the last record that is certain
+            to be kept.
+        unreachable_holders: Hosts with a copy that could not be reached.
+        possibly_lost: Acknowledged work that may be lost, one line each.
     """
 
     shard: int
@@ -381,13 +379,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainReport:
-    """How far an upstream is drained.
+    """Progress of draining an upstream.
 
     Attributes:
         upstream: Its name.
-        draining: True once this host gives it no new work.
+        draining: True once this host sends it no new work.
         in_flight: Calls still running there.
-        programs: Programs whose prefix still lies there.
+        programs: Programs whose prefix is still cached there.
     """
 
     upstream: str
@@ -398,14 +396,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ErrorBody:
-    """The body of every refusal.
+    """The body of every error response.
 
     Attributes:
-        kind: Its ``ErrorKind``.
-        message: The kind's message.
+        kind: The ``ErrorKind``.
+        message: The message of the kind.
         detail: What was wrong and where.
-        ran: ``no``, ``yes`` or ``unknown``.
-        retry_after_ms: When to send again; None where it never helps.
+        ran: Whether the request ran: ``no``, ``yes`` or ``unknown``.
+        retry_after_ms: Delay before a retry; None if a retry never helps.
     """
 
     kind: str
--- a/libs/config/src/masticdale_config/testing.py
+++ b/libs/config/src/masticdale_config/testing.py
@@ -1,4 +1,4 @@
-"""Sample declarations of two deployments, and builders, for tests."""
+"""Builders and sample declarations of two deployments, for tests."""
 
 import orjson
 import pydantic
@@ -25,13 +25,13 @@
 
 
 def declaration(kind: str, name: str, spec: JsonObject) -> Declaration:
-    """Returns a declaration, which must be valid."""
+    """Builds a declaration, which must be valid."""
     text = orjson.dumps({"kind": kind, "name": name, "spec": spec})
     return parse(text).unwrap()
 
 
 def program(name: str, **fields: pydantic.JsonValue) -> JsonObject:
-    """Returns a program kind for a template's body."""
+    """Builds a program kind for a template's body."""
     body: JsonObject = {
         "name": name,
         "model": "${model}",
@@ -46,7 +46,7 @@
 
 
 def template(name: str, *programs: JsonObject) -> Declaration:
-    """Returns a template with the parameters ``model`` and ``brand``."""
+    """Builds a template with the parameters ``model`` and ``brand``."""
     return declaration(
         "Template",
         name,
@@ -61,7 +61,7 @@
 
 
 def engine(name: str, model: str, index: int = 0, port: int = 0) -> Declaration:
-    """Returns a replica of a model; its failure domain follows its index."""
+    """Builds an engine; ``index`` selects its failure domain and port."""
     return declaration(
         "Upstream",
         name,
@@ -85,7 +85,7 @@
     index: int = 0,
     port: int = 0,
 ) -> Declaration:
-    """Returns a replica of a plain service."""
+    """Builds a service; ``index`` selects its failure domain and port."""
     return declaration(
         "Upstream",
         name,
@@ -110,7 +110,7 @@
     caller_key: str,
     **fields: pydantic.JsonValue,
 ) -> Declaration:
-    """Returns a workspace with one caller key."""
+    """Builds a workspace with one caller key."""
     key: JsonObject = {
         "name": "callers",
         "sha256": caller_key_digest(caller_key),
@@ -207,29 +207,29 @@
 
 
 def rendered(*declarations: Declaration, revision: int = 1) -> RenderedConfig:
-    """Returns the configuration that declarations mean."""
+    """Renders declarations."""
     declaration_by_key = {key_of(d): d for d in declarations}
     return render(declaration_by_key, revision).unwrap()
 
 
 def put(after: Declaration, seen: Declaration | None = None) -> Edit:
-    """Returns an edit that puts a declaration.
+    """Builds an edit that puts a declaration.
 
     Args:
-        after: What it is to be.
-        seen: What the operator saw; None where there was none.
+        after: The new declaration.
+        seen: The declaration last seen; None if there was none.
     """
     digest = states.ABSENT if seen is None else seen.digest
     return Edit(key_of(after), digest, after)
 
 
 def change(change_id: str, *edits: Edit, author: str = "ayana") -> Change:
-    """Returns a change."""
+    """Builds a change."""
     return Change(change_id, author, "a test", edits)
 
 
 def active_config(*declarations: Declaration) -> ActiveConfig:
-    """Returns a host's configuration with the declarations as revision 1."""
+    """Builds an active configuration with the declarations as revision 1."""
     config = rendered(*declarations)
     revision = states.Revision(
         number=1,
@@ -246,6 +246,6 @@
         ),
         digest=config.digest,
     )
-    holder = ActiveConfig()
-    holder.apply_revisions((states.encode_revision(revision),)).unwrap()
-    return holder
+    active = ActiveConfig()
+    active.apply_revisions((states.encode_revision(revision),)).unwrap()
+    return active
