--- a/libs/config/tests/test_bootstrap.py
+++ b/libs/config/tests/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""Tests of what a host learns before it serves."""
+"""Tests of finding the newest revision before a host serves."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 class _Peer:
-    """A peer that holds a revision and can be out of reach."""
+    """A peer that holds a revision and may be unreachable."""
 
     def __init__(self, revisions, is_reachable=True):
         self.active_config = ActiveConfig()
@@ -37,7 +37,7 @@
         return Success(export)
 
 
-class StartingTest(unittest.IsolatedAsyncioTestCase):
+class BootstrapTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.store = MemoryStore()
         operator = ConfigStore(self.store, ActiveConfig())
@@ -52,66 +52,66 @@
     def peer(self, number, is_reachable=True):
         return _Peer(self.revisions[:number], is_reachable)
 
-    async def learn(self, **source_by_host):
+    async def bootstrap(self, **source_by_host):
         return await bootstrap_config(
             self.store, self.restarted, source_by_host
         )
 
     async def test_a_restart_in_an_outage_takes_the_newest_peer(self):
-        """A host restarts while the platform is down.
+        """A host restarts during a platform outage; one of two peers lags.
 
-        It holds nothing. One peer lags at revision 5, another has 7, which
-        this host applied before its restart. Served from the first answer,
-        its callers would go back to revision 5.
+        Had the host applied the first answer, its callers would be served an
+        older configuration than before the restart.
         """
         self.store.faults.down = True
-        self.assertTrue(await self.learn(b=self.peer(5), c=self.peer(NEWEST)))
+        self.assertTrue(
+            await self.bootstrap(b=self.peer(5), c=self.peer(NEWEST))
+        )
         self.assertEqual(self.restarted.number, NEWEST)
 
     async def test_a_restart_in_an_outage_waits_for_every_live_peer(self):
-        """The platform is down and the one peer with revision 7 is silent.
+        """During a platform outage only a lagging peer answers.
 
-        Only the one that lags answers. The host does not serve yet; it does
-        once the other answers or membership no longer holds it for live.
+        The host must not serve until the other live peer answers as well.
         """
         self.store.faults.down = True
-        silent = self.peer(NEWEST, is_reachable=False)
-        self.assertFalse(await self.learn(b=self.peer(5), c=silent))
-        silent.is_reachable = True
-        self.assertTrue(await self.learn(b=self.peer(5), c=silent))
+        unreachable = self.peer(NEWEST, is_reachable=False)
+        self.assertFalse(await self.bootstrap(b=self.peer(5), c=unreachable))
+        unreachable.is_reachable = True
+        self.assertTrue(await self.bootstrap(b=self.peer(5), c=unreachable))
         self.assertEqual(self.restarted.number, NEWEST)
 
     async def test_hosts_that_all_restarted_in_an_outage_do_not_serve(self):
-        """Every host restarts while the platform is down.
+        """Every host restarts during a platform outage and holds nothing.
 
-        Each asks the others and is told of nothing. Taken for an answer,
-        they would serve an empty configuration to one another's callers.
+        The hosts must not serve an empty configuration on the strength of one
+        another's answers.
         """
         self.store.faults.down = True
-        self.assertFalse(await self.learn(b=self.peer(0), c=self.peer(0)))
-        self.assertFalse(await self.learn())
+        self.assertFalse(await self.bootstrap(b=self.peer(0), c=self.peer(0)))
+        self.assertFalse(await self.bootstrap())
 
     async def test_a_stale_read_does_not_win_over_a_peer(self):
-        """The platform answers a read from before the last two revisions.
+        """A stale read of the platform misses the last two revisions.
 
-        The peers have them already; the host must not serve without them.
+        The peers hold them, so the host must not serve without them.
         """
         for number in (NEWEST - 1, NEWEST):
             key = storage.revision_key(number)
             stored = (await self.store.read(key)).unwrap()
             await self.store.delete(key, stored.version)
-        self.assertTrue(await self.learn(b=self.peer(NEWEST)))
+        self.assertTrue(await self.bootstrap(b=self.peer(NEWEST)))
         self.assertEqual(self.restarted.number, NEWEST)
 
     async def test_the_platform_alone_suffices(self):
-        silent = self.peer(NEWEST, is_reachable=False)
-        self.assertTrue(await self.learn(b=silent))
+        unreachable = self.peer(NEWEST, is_reachable=False)
+        self.assertTrue(await self.bootstrap(b=unreachable))
         self.assertEqual(self.restarted.number, NEWEST)
 
     async def test_only_one_peer_sends_the_configuration(self):
         self.store.faults.down = True
         peers = {f"host_{n}": self.peer(NEWEST) for n in range(5)}
-        self.assertTrue(await self.learn(**peers))
+        self.assertTrue(await self.bootstrap(**peers))
         senders = [peer for peer in peers.values() if peer.sent_bytes]
         self.assertEqual(len(senders), 1)
 
--- a/libs/config/tests/test_checks.py
+++ b/libs/config/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Tests that a wrong whole is refused with the path of each wrong field."""
+"""Tests that invalid declarations are rejected with the path of each field."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 class CheckTest(unittest.TestCase):
-    def _refused(self, path, *declarations):
+    def _assert_rejected(self, path, *declarations):
         failure = _check(*declarations).failure()
         self.assertIs(failure.kind, ErrorKind.BAD_REQUEST)
         self.assertIn(path, failure.detail)
@@ -28,36 +28,46 @@
         _check(*testing.tengri_trails(), *testing.halvorsen()).unwrap()
 
     def test_a_missing_template_or_upstream(self):
-        self._refused("Workspace/w.spec.template: ", ENGINE, _workspace())
-        self._refused("Workspace/w.spec.upstreams: ", TEMPLATE, _workspace())
+        self._assert_rejected(
+            "Workspace/w.spec.template: ", ENGINE, _workspace()
+        )
+        self._assert_rejected(
+            "Workspace/w.spec.upstreams: ", TEMPLATE, _workspace()
+        )
 
     def test_a_missing_and_an_unknown_parameter(self):
-        wrong = _workspace(parameters={"modle": "x"})
-        self._refused("spec.parameters.model: ", ENGINE, TEMPLATE, wrong)
-        self._refused("spec.parameters.modle: ", ENGINE, TEMPLATE, wrong)
+        invalid = _workspace(parameters={"modle": "x"})
+        self._assert_rejected(
+            "spec.parameters.model: ", ENGINE, TEMPLATE, invalid
+        )
+        self._assert_rejected(
+            "spec.parameters.modle: ", ENGINE, TEMPLATE, invalid
+        )
 
     def test_an_unknown_placeholder(self):
-        wrong = testing.template("t", testing.program("${who}"))
-        self._refused("Template/t.spec.programs.0: ", wrong)
+        invalid = testing.template("t", testing.program("${who}"))
+        self._assert_rejected("Template/t.spec.programs.0: ", invalid)
 
     def test_an_unknown_field_of_a_program(self):
-        wrong = testing.template("t", testing.program("p", prompt="x"))
-        self._refused("Template/t.spec.programs.0.prompt: ", wrong)
+        invalid = testing.template("t", testing.program("p", prompt="x"))
+        self._assert_rejected("Template/t.spec.programs.0.prompt: ", invalid)
 
     def test_budgets_that_cannot_be_met(self):
         budget = {"tokens": 10, "calls": 1, "turns": 2, "wall_time_s": 1}
-        wrong = testing.template("t", testing.program("p", budget=budget))
+        invalid = testing.template("t", testing.program("p", budget=budget))
         for field in ("budget.tokens", "budget.calls"):
-            self._refused(field, ENGINE, wrong, _workspace())
-        poor = _workspace(budget={"tokens_per_hour": 100})
-        self._refused("budget.tokens_per_hour: ", ENGINE, TEMPLATE, poor)
+            self._assert_rejected(field, ENGINE, invalid, _workspace())
+        low_budget = _workspace(budget={"tokens_per_hour": 100})
+        self._assert_rejected(
+            "budget.tokens_per_hour: ", ENGINE, TEMPLATE, low_budget
+        )
 
     def test_a_tool_that_no_upstream_offers(self):
-        wrong = testing.template("t", testing.program("p", tools=["fly"]))
-        self._refused("'fly'", ENGINE, wrong, _workspace())
+        invalid = testing.template("t", testing.program("p", tools=["fly"]))
+        self._assert_rejected("'fly'", ENGINE, invalid, _workspace())
 
     def test_one_caller_key_in_two_workspaces(self):
-        self._refused(
+        self._assert_rejected(
             "Workspace/w2.spec.caller_keys.0.sha256: ",
             ENGINE,
             TEMPLATE,
@@ -65,8 +75,8 @@
             _workspace(name="w2"),
         )
 
-    def test_replicas_that_differ_on_what_may_be_repeated(self):
-        self._refused(
+    def test_replicas_that_differ_in_repeatable(self):
+        self._assert_rejected(
             "Upstream/s2.spec.operations.file: ",
             testing.service("s1", {"file": False}),
             testing.service("s2", {"file": True}, 1),
--- a/libs/config/tests/test_peer_sync.py
+++ b/libs/config/tests/test_peer_sync.py
@@ -1,4 +1,4 @@
-"""Tests of catching up with peers."""
+"""Tests of catching up from peers."""
 
 import asyncio
 import unittest
@@ -9,11 +9,11 @@
 from masticdale_common import ErrorKind, Failure
 from masticdale_config import ActiveConfig, catch_up_from_peers, testing
 
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 
 class _Peer:
-    """A peer at revision 1 that answers, refuses or hangs."""
+    """A peer at revision 1 that answers, fails or hangs."""
 
     def __init__(self, is_paused=False, is_down=False):
         self.active_config = testing.active_config(testing.engine("e", "m"))
@@ -33,23 +33,23 @@
         return Success(self.active_config.export_after(number))
 
 
-class FollowPeersTest(unittest.IsolatedAsyncioTestCase):
-    async def follow(self, **source_by_host):
+class CatchUpFromPeersTest(unittest.IsolatedAsyncioTestCase):
+    async def catch_up(self, **source_by_host):
         self.active_config = ActiveConfig()
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             return await catch_up_from_peers(
                 self.active_config, source_by_host, hedge_delay_s=0.001
             )
 
-    async def test_a_paused_peer_does_not_hold_up_a_change(self):
-        """Peers report a new revision by heartbeat; then some are paused.
+    async def test_a_paused_peer_does_not_delay_a_change(self):
+        """Peers report a new revision by heartbeat, then some are paused.
 
-        The host asks a paused one first and gets no answer. It must not wait
-        for the timeout while another peer could hand the revision over.
+        The host must not wait for the timeout of a paused peer while another
+        peer could deliver the revision.
         """
         for _ in range(10):
             paused = [_Peer(is_paused=True) for _ in range(3)]
-            answered = await self.follow(
+            answered = await self.catch_up(
                 a=paused[0], b=paused[1], c=paused[2], d=_Peer()
             )
             self.assertTrue(answered)
@@ -57,11 +57,11 @@
             pending = asyncio.all_tasks() - {asyncio.current_task()}
             self.assertEqual(pending, set())
 
-    async def test_peers_that_refuse_are_passed_over(self):
+    async def test_failing_peers_are_skipped(self):
         down = {name: _Peer(is_down=True) for name in "abc"}
-        self.assertTrue(await self.follow(**down, d=_Peer()))
-        self.assertFalse(await self.follow(**down))
-        self.assertFalse(await self.follow())
+        self.assertTrue(await self.catch_up(**down, d=_Peer()))
+        self.assertFalse(await self.catch_up(**down))
+        self.assertFalse(await self.catch_up())
 
 
 if __name__ == "__main__":
--- a/libs/config/tests/test_rendering.py
+++ b/libs/config/tests/test_rendering.py
@@ -23,7 +23,7 @@
             program.body.system_prompt, "Check itineraries of Tengri Trails."
         )
 
-    def test_a_caller_key_opens_its_own_workspace(self):
+    def test_a_caller_key_resolves_to_its_workspace(self):
         for key, name in (
             (testing.TENGRI_KEY, testing.TENGRI),
             (testing.HALVORSEN_KEY, testing.HALVORSEN),
@@ -39,7 +39,7 @@
         self.assertEqual(len(charge), 4)
         self.assertFalse(charge[0].repeatable_by_operation["cards.charge"])
 
-    def test_priority_and_budget_leave_the_body_as_it_was(self):
+    def test_priority_and_budget_do_not_change_the_body(self):
         plain = testing.template("t", testing.program("p", priority=2))
         urgent = testing.template("t", testing.program("p", priority=0))
         engine = testing.engine("e", "permit-70b")
@@ -60,9 +60,9 @@
 
 
 ENGINES = [
-    testing.engine(name, model, port)
+    testing.engine(name, model, index)
     for name in ("e1", "e2")
-    for port, model in enumerate(("m1", "m2"))
+    for index, model in enumerate(("m1", "m2"))
 ]
 SERVICES = [
     testing.service(name, {"file": repeatable})
@@ -91,7 +91,7 @@
 
 @st.composite
 def changes(draw):
-    """Draws a change: declarations by key, None where one is deleted."""
+    """Draws a change: declarations by key, None to delete one."""
     put = draw(st.lists(st.sampled_from(CHOICES), max_size=3))
     deleted = draw(st.lists(st.sampled_from(NAMES), max_size=1))
     after_by_key = {kinds.key_of(d): d for d in put}
@@ -102,23 +102,21 @@
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(st.lists(changes(), min_size=1, max_size=8))
     def test_rendering_only_what_changed_gives_the_same(self, sequence):
-        """A host that followed every change, another that just started.
+        """One host renders each change incrementally, another renders all.
 
-        One renders each change on top of the last, the other all at once.
-        If they differed, callers of the two would meet two configurations
-        under one revision number; a wrong declaration accepted by one would
-        be refused by the other.
+        If the results differed, two hosts would serve different
+        configurations, or accept different changes, at the same revision.
         """
         by_key = {kinds.key_of(d): d for d in FIRST}
         config = rendering.render(by_key, 1).unwrap()
         for number, change in enumerate(sequence, 2):
             after = {k: d for k, d in (by_key | change).items() if d}
-            step = checks.check_change(after, number, config, change)
-            whole = checks.check_declarations(after, number)
-            self.assertEqual(type(step), type(whole), (step, whole))
-            if is_successful(step):
-                by_key, config = after, step.unwrap()
-                self.assertEqual(config, whole.unwrap())
+            incremental = checks.check_change(after, number, config, change)
+            full = checks.check_declarations(after, number)
+            self.assertEqual(type(incremental), type(full), (incremental, full))
+            if is_successful(incremental):
+                by_key, config = after, incremental.unwrap()
+                self.assertEqual(config, full.unwrap())
 
 
 if __name__ == "__main__":
--- a/libs/config/tests/test_revisions.py
+++ b/libs/config/tests/test_revisions.py
@@ -1,4 +1,4 @@
-"""Tests of accepting changes: racing operators, lost answers, outages."""
+"""Tests of applying changes: concurrent operators, lost answers, outages."""
 
 import asyncio
 import dataclasses
@@ -21,15 +21,15 @@
 from masticdale_platform.testing import MemoryStore
 
 ENGINE = testing.engine("e", "permit-70b")
-ANSWERS_LOST_FOR_GOOD = 100
+ALL_WRITES = 100
 
 
 def _operator(store, snapshot_every=3):
     return ConfigStore(store, ActiveConfig(), snapshot_every)
 
 
-def _engine(slots_port):
-    return testing.engine("e", "permit-70b", port=slots_port)
+def _engine(port):
+    return testing.engine("e", "permit-70b", port=port)
 
 
 class ApplyTest(unittest.IsolatedAsyncioTestCase):
@@ -57,7 +57,7 @@
         self.assertIs(outcome.failure().kind, ErrorKind.BAD_REQUEST)
         self.assertEqual(self.store.write_count, 0)
 
-    async def test_a_change_larger_than_the_platform_takes(self):
+    async def test_a_change_above_the_size_limit_is_rejected(self):
         prompt = "x" * 390_000
         edits = [
             testing.put(
@@ -71,12 +71,11 @@
         self.assertIs(outcome.failure().kind, ErrorKind.TOO_LARGE)
         self.assertEqual(self.store.write_count, 0)
 
-    async def test_the_loser_of_a_race_learns_who_won(self):
-        """Two operators edit the same engine from the same view.
+    async def test_a_conflict_names_the_winning_change(self):
+        """Two operators edit the same engine, based on the same revision.
 
-        The second apply finds another revision where its own would go. It
-        must not overwrite what it never saw, so it gets a conflict that
-        names the field and the change that won.
+        The second change must not overwrite the first one unseen. Its
+        conflict names the field and the change that won.
         """
         await self._apply("c1", testing.put(ENGINE))
         other = _operator(self.store)
@@ -97,19 +96,18 @@
         accepted = await self._apply("c2", testing.put(second), operator=other)
         self.assertEqual(accepted.unwrap().revision, 2)
 
-    async def test_a_lost_answer_is_read_back(self):
-        """The platform takes the write and its answer is lost.
+    async def test_a_lost_write_answer_is_resolved_by_reading(self):
+        """The platform executes the write, but its answer is lost.
 
-        The store cannot tell whether revision 1 exists, reads it, finds its
-        own change id and answers with that revision instead of writing a
-        second one.
+        The retry finds the own change id in revision 1 and must not write a
+        second revision.
         """
         self.store.faults.lose_write_answers = 1
         accepted = (await self._apply("c1", testing.put(ENGINE))).unwrap()
         self.assertEqual(accepted.revision, 1)
         self.assertEqual(self.store.write_count, 1)
 
-    async def test_an_apply_sent_again_is_recognised(self):
+    async def test_a_retried_apply_returns_its_revision(self):
         edit = testing.put(ENGINE)
         await self._apply("c1", edit)
         await self._apply("c2", testing.put(_engine(8000), ENGINE))
@@ -118,13 +116,13 @@
         reused = await self._apply("c1", testing.put(_engine(8001), ENGINE))
         self.assertIs(reused.failure().kind, ErrorKind.REQUEST_ID_REUSED)
 
-    async def test_an_unresolved_write_is_never_called_not_written(self):
-        """Every write of one apply vanishes without an answer.
+    async def test_an_unresolved_write_is_reported_as_unknown(self):
+        """Every write of one apply is dropped without an answer.
 
-        Any of them may still take effect, so the operator must not read
-        that nothing was written; sending it again under its id is safe.
+        Any of them may still take effect, so the failure must not claim that
+        nothing was written. A retry under the same id is safe.
         """
-        self.store.faults.drop_writes = ANSWERS_LOST_FOR_GOOD
+        self.store.faults.drop_writes = ALL_WRITES
         outcome = await self._apply("c1", testing.put(ENGINE))
         self.assertIs(outcome.failure().kind, ErrorKind.WRITE_UNKNOWN)
         self.store.faults.drop_writes = 0
@@ -132,10 +130,10 @@
         self.assertEqual(again.unwrap().revision, 1)
 
     async def test_a_failed_read_back_leaves_the_write_unknown(self):
-        """The write's answer is lost and then the platform goes down.
+        """The answer of a write is lost and then the platform goes down.
 
-        The change stands, though the read that would tell is refused. An
-        answer that nothing was written would be a lie.
+        The change is written but cannot be read back. The failure must not
+        claim that nothing was written.
         """
 
         class _DownAfterWrite(MemoryStore):
@@ -151,7 +149,7 @@
         )
         self.assertIs(outcome.failure().kind, ErrorKind.WRITE_UNKNOWN)
 
-    async def test_an_outage_refuses_truthfully(self):
+    async def test_an_outage_is_reported_as_unavailable(self):
         self.store.faults.down = True
         outcome = await self._apply("c1", testing.put(ENGINE))
         self.assertIs(outcome.failure().kind, ErrorKind.PLATFORM_UNAVAILABLE)
@@ -179,7 +177,7 @@
 
 
 class _FaultyStore(MemoryStore):
-    """Fails as drawn; a late write takes effect some calls after its end."""
+    """Injects the drawn faults; a late write takes effect after its failure."""
 
     def __init__(self, draws):
         super().__init__()
@@ -229,14 +227,14 @@
 
 @dataclasses.dataclass
 class _Applied:
-    """One operator's change: what it saw and what it was answered."""
+    """One operator's change: the declarations it saw and its outcomes."""
 
     seen: tuple[kinds.Declaration | None, ...]
     answers: list
 
 
 async def _operate(name, store, applied_by_change):
-    """Edits two shared engines at once; what may be written is sent again."""
+    """Edits two shared engines in one change; retries an unknown outcome."""
     operator = ConfigStore(store, ActiveConfig(), 2, backoff_s=0)
     for number in range(_CHANGES_EACH):
         await operator.load()
@@ -266,13 +264,12 @@
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(_DRAWS)
     def test_two_operators_make_one_whole_sequence(self, draws):
-        """Two operators edit the same two engines through a failing platform.
+        """Two operators edit the same two engines on a faulty platform.
 
-        Answers are lost, writes vanish or take effect late, calls fail; each
-        operator sends a failed change again under its id. Both engines must
-        change together, each change must be in the sequence at most once,
-        an accepted one under its number, and one refused as not written
-        never.
+        Answers are lost, writes are dropped or take effect late, calls fail.
+        Both engines must change together. Each change must appear in the
+        sequence at most once, an accepted one under its number, and a change
+        reported as not written never.
         """
         asyncio.run(self._check(draws))
 
@@ -305,7 +302,7 @@
             self.assertEqual(ids[last.unwrap().revision - 1], change_id)
             return
         kind = last.failure().kind
-        # An outage says nothing of an earlier send that may have been written.
+        # An outage does not tell whether an earlier attempt was written.
         if kind is ErrorKind.CONFLICT or len(answers) == 1:
             written = kind is ErrorKind.WRITE_UNKNOWN and change_id in ids
             self.assertEqual(change_id in ids, written)
--- a/libs/config/tests/test_trimming.py
+++ b/libs/config/tests/test_trimming.py
@@ -1,4 +1,4 @@
-"""Tests that old revisions and snapshots go and nothing is lost by it."""
+"""Tests that old revisions and snapshots are trimmed without losing data."""
 
 import unittest
 from unittest import mock
@@ -43,7 +43,7 @@
         listed = (await self.store.list(storage.REVISION_PREFIX)).unwrap()
         return [i for i in listed if i.value != trimming.TOMBSTONE]
 
-    async def test_what_is_stored_is_bounded(self):
+    async def test_storage_is_bounded(self):
         await self.change(*range(1, CHANGES + 1))
         stored = await self.stored_revisions()
         self.assertLessEqual(len(stored), KEPT + 2 * SNAPSHOT_EVERY)
@@ -53,11 +53,11 @@
         self.assertEqual((await catch_up(self.store, fresh)).unwrap(), CHANGES)
         self.assertIsNone((await self.operator.revision(1)).unwrap())
 
-    async def test_a_host_paused_past_the_trimming_catches_up(self):
-        """A host stands still while more revisions pass than are kept.
+    async def test_a_host_behind_trimmed_revisions_catches_up(self):
+        """A host is paused until the revision it needs next is trimmed.
 
-        The one it needs next is trimmed. Taken for the end of the sequence,
-        it would stay at its old revision for good and believe it is newest.
+        If it took the tombstone for the end of the sequence, it would keep
+        its old revision forever.
         """
         await self.change(1, 2)
         paused = ActiveConfig()
@@ -65,21 +65,20 @@
         await self.change(*range(3, CHANGES + 1))
         self.assertEqual((await catch_up(self.store, paused)).unwrap(), CHANGES)
 
-    async def test_a_trimmed_number_is_never_free_again(self):
-        """A host is paused between reading the newest revision and writing.
+    async def test_a_trimmed_revision_cannot_be_created_again(self):
+        """A paused host tries to create a revision that is long trimmed.
 
-        When it wakes up, the number it wants to create was trimmed long ago.
-        Were the key free, its change would be accepted into the past.
+        If the key were free, the change would be accepted but never applied.
         """
         await self.change(*range(1, CHANGES + 1))
         key = storage.revision_key(2)
         written = await self.store.write(key, b"late", MUST_NOT_EXIST)
         self.assertIs(written.failure().kind, ErrorKind.CONFLICT)
 
-    async def test_trimming_that_failed_is_made_up_for(self):
-        """The platform drops writes just while revisions are trimmed.
+    async def test_failed_trimming_is_retried_later(self):
+        """The platform fails while revisions are trimmed.
 
-        The change is accepted all the same; what stayed is trimmed later.
+        The change must be accepted, and the revisions be trimmed later.
         """
         await self.change(*range(1, 12))
         overwrite = mock.AsyncMock(return_value=False)
