--- a/libs/config/src/masticdale_config/active_config.py
+++ b/libs/config/src/masticdale_config/active_config.py
@@ -35,14 +35,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Step:
+class _RenderedRevision:
     stored: bytes
     state: states.ConfigState
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Progress:
-    steps: tuple[_Step, ...]
+class _RenderResult:
+    rendered_revisions: tuple[_RenderedRevision, ...]
     failure: Failure | None
 
 
@@ -101,7 +101,7 @@
             INTERNAL at a revision that cannot be read. The revisions before
             the failing one are applied.
         """
-        return self._apply_progress(_render_revisions(self._state, revisions))
+        return self._apply_rendered(_render_revisions(self._state, revisions))
 
     async def apply_revisions_in_thread(
         self, revisions: Iterable[bytes]
@@ -113,10 +113,10 @@
         peers would declare it dead.
         """
         async with self._lock:
-            progress = await asyncio.to_thread(
+            result = await asyncio.to_thread(
                 _render_revisions, self._state, tuple(revisions)
             )
-            return self._apply_progress(progress)
+            return self._apply_rendered(result)
 
     def apply_snapshot(self, snapshot: bytes) -> Result[int, Failure]:
         """Replaces the state by a snapshot if the snapshot is newer.
@@ -199,19 +199,19 @@
             self.number, tuple(self._backlog)[-missing:], b""
         )
 
-    def _apply_progress(self, progress: _Progress) -> Result[int, Failure]:
+    def _apply_rendered(self, result: _RenderResult) -> Result[int, Failure]:
         before = self.number
-        for step in progress.steps:
+        for rendered in result.rendered_revisions:
             # The watch, the poll or a peer may have applied this revision
             # while it was rendered here.
-            if step.state.number <= self.number:
+            if rendered.state.number <= self.number:
                 continue
-            self._backlog.append(step.stored)
-            self._set_state(step.state)
+            self._backlog.append(rendered.stored)
+            self._set_state(rendered.state)
         if self.number > before:
             self._notify()
-        if progress.failure is not None:
-            return Failed(progress.failure)
+        if result.failure is not None:
+            return Failed(result.failure)
         return Success(self.number)
 
     def _apply_decoded_snapshot(
@@ -240,19 +240,19 @@
 
 def _render_revisions(
     state: states.ConfigState, revisions: Iterable[bytes]
-) -> _Progress:
+) -> _RenderResult:
     # May run on a thread, so it uses immutable values only.
-    steps: list[_Step] = []
+    rendered_revisions: list[_RenderedRevision] = []
     for stored in revisions:
         decoded = states.decode_revision(stored)
         if isinstance(decoded, Failed):
-            return _Progress(tuple(steps), decoded.failure())
+            return _RenderResult(tuple(rendered_revisions), decoded.failure())
         revision = decoded.unwrap()
         if revision.number <= state.number:
             continue
-        followed = states.apply_revision(state, revision)
-        if isinstance(followed, Failed):
-            return _Progress(tuple(steps), followed.failure())
-        state = followed.unwrap()
-        steps.append(_Step(stored, state))
-    return _Progress(tuple(steps), None)
+        applied = states.apply_revision(state, revision)
+        if isinstance(applied, Failed):
+            return _RenderResult(tuple(rendered_revisions), applied.failure())
+        state = applied.unwrap()
+        rendered_revisions.append(_RenderedRevision(stored, state))
+    return _RenderResult(tuple(rendered_revisions), None)
--- a/libs/config/src/masticdale_config/checks.py
+++ b/libs/config/src/masticdale_config/checks.py
@@ -223,10 +223,10 @@
     path = f"{Kind.WORKSPACE}/{workspace.name}.spec.caller_keys"
     found = []
     for index, digest in enumerate(workspace.caller_name_by_digest):
-        holder = config.workspace_by_caller_digest[digest]
-        if holder.name == workspace.name:
+        owner = config.workspace_by_caller_digest[digest]
+        if owner.name == workspace.name:
             continue
-        message = f"is already used by workspace {holder.name!r}"
+        message = f"is already used by workspace {owner.name!r}"
         found.append(FieldProblem(f"{path}.{index}.sha256", message))
     return found
 
--- a/libs/config/src/masticdale_config/peer_sync.py
+++ b/libs/config/src/masticdale_config/peer_sync.py
@@ -32,9 +32,9 @@
     answer = await source.revisions_after(active_config.number)
     if isinstance(answer, Failed):
         return False
-    followed = await active_config.apply_export_in_thread(answer.unwrap())
-    if isinstance(followed, Failed):
-        error = str(followed.failure())
+    applied = await active_config.apply_export_in_thread(answer.unwrap())
+    if isinstance(applied, Failed):
+        error = str(applied.failure())
         logs.write("revisions_refused", peer=host, error=error)
         return False
     return True
--- a/libs/config/src/masticdale_config/placeholders.py
+++ b/libs/config/src/masticdale_config/placeholders.py
@@ -60,25 +60,25 @@
         return {k: substitute(v, value_by_name) for k, v in value.items()}
     if not isinstance(value, str) or _OPENING not in value:
         return value
-    whole = _PLACEHOLDER.fullmatch(value)
-    if whole and not whole[1]:
-        return value_by_name[whole[2]]
+    single = _PLACEHOLDER.fullmatch(value)
+    if single and not single[1]:
+        return value_by_name[single[2]]
 
-    def fill(match: re.Match[str]) -> str:
+    def replace(match: re.Match[str]) -> str:
         if match[1]:
             return match[0][1:]
         return _as_text(value_by_name[match[2]])
 
-    return _PLACEHOLDER.sub(fill, value)
+    return _PLACEHOLDER.sub(replace, value)
 
 
 def check_parameter(name: str, parameter: Parameter) -> list[FieldProblem]:
     """Returns the problems of a parameter's default, choices and bounds."""
     path = f"spec.parameters.{name}"
     found = []
-    given = [("default", parameter.default)] if _has_default(parameter) else []
-    given += [("choices", choice) for choice in parameter.choices]
-    for field, value in given:
+    values = [("default", parameter.default)] if _has_default(parameter) else []
+    values += [("choices", choice) for choice in parameter.choices]
+    for field, value in values:
         message = check_value(parameter, value, field == "choices")
         if message:
             found.append(FieldProblem(f"{path}.{field}", message))
--- a/libs/config/src/masticdale_config/revisions.py
+++ b/libs/config/src/masticdale_config/revisions.py
@@ -33,7 +33,8 @@
     Attributes:
         key: Key of the declaration.
         seen: Digest of the declaration as the operator last saw it, or
-            ``ABSENT``. The edit conflicts if it is not the current digest.
+            ``ABSENT``. If the current digest differs, the edit conflicts,
+            unless it would change nothing.
         after: The new declaration; None to delete it.
     """
 
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """A set of edits, accepted atomically as one revision.
+    """A set of edits that is accepted as one revision or not at all.
 
     Attributes:
         change_id: Unique id; a retry carries the same id.
@@ -145,9 +146,9 @@
             means that it may have been written: retry it under the same
             ``change_id``.
         """
-        refused = _check_change(change)
-        if refused is not None:
-            return Failed(refused)
+        rejection = _check_change(change)
+        if rejection is not None:
+            return Failed(rejection)
         async with self._lock:
             return await self._apply(change)
 
--- a/libs/config/src/masticdale_config/rollback.py
+++ b/libs/config/src/masticdale_config/rollback.py
@@ -31,9 +31,9 @@
     if isinstance(loaded, Failed):
         return loaded
     state = loaded.unwrap()
-    refused = _check_number(number, state.number)
-    if refused is not None:
-        return Failed(refused)
+    rejection = _check_number(number, state.number)
+    if rejection is not None:
+        return Failed(rejection)
     before_by_key: dict[DeclarationKey, Declaration | None] = {}
     for later in range(number + 1, state.number + 1):
         outcome = await config_store.revision(later)
--- a/libs/config/tests/test_active_config.py
+++ b/libs/config/tests/test_active_config.py
@@ -58,9 +58,9 @@
         active = ActiveConfig()
         active.apply_revisions(self.revisions)
         snapshot = active.export_after(-1).snapshot
-        wrong = snapshot.replace(b"8006", b"8007")
+        corrupted = snapshot.replace(b"8006", b"8007")
         fresh = ActiveConfig()
-        for value in (wrong, snapshot[:-5]):
+        for value in (corrupted, snapshot[:-5]):
             outcome = fresh.apply_snapshot(value)
             self.assertIs(outcome.failure().kind, ErrorKind.INTERNAL)
         self.assertEqual(fresh.number, 0)
--- a/libs/config/tests/test_rendering.py
+++ b/libs/config/tests/test_rendering.py
@@ -15,7 +15,7 @@
     def setUp(self):
         self.config = testing.rendered(*DECLARATIONS)
 
-    def test_placeholders_are_filled(self):
+    def test_placeholders_are_substituted(self):
         workspace = self.config.workspace_by_name[testing.TENGRI]
         program = workspace.program_by_name["route-check"]
         self.assertEqual(program.body.model, "permit-70b")
--- a/libs/config/tests/test_revisions.py
+++ b/libs/config/tests/test_revisions.py
@@ -21,7 +21,7 @@
 from masticdale_platform.testing import MemoryStore
 
 ENGINE = testing.engine("e", "permit-70b")
-ALL_WRITES = 100
+MORE_THAN_ALL_WRITES = 100
 
 
 def _operator(store, snapshot_every=3):
@@ -122,7 +122,7 @@
         Any of them may still take effect, so the failure must not claim that
         nothing was written. A retry under the same id is safe.
         """
-        self.store.faults.drop_writes = ALL_WRITES
+        self.store.faults.drop_writes = MORE_THAN_ALL_WRITES
         outcome = await self._apply("c1", testing.put(ENGINE))
         self.assertIs(outcome.failure().kind, ErrorKind.WRITE_UNKNOWN)
         self.store.faults.drop_writes = 0
