--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -6,7 +6,7 @@
 
 from returns.result import Failure as Failed
 
-from masticdale_config import ConfigInForce
+from masticdale_config import ActiveConfig
 from masticdale_peers import (
     CopyReply,
     CopyRequest,
@@ -61,7 +61,7 @@
     suspects: DigestHome
     programs: ProgramsDesk
     copies: CopyService
-    in_force: ConfigInForce
+    in_force: ActiveConfig
 
 
 class Handler:
@@ -132,7 +132,9 @@
 
     async def revisions(self, request: RevisionsRequest) -> RevisionsReply:
         """See ``PeerHandler.revisions``."""
-        export = await self._parts().in_force.make_export(request.after)
+        export = await self._parts().in_force.export_after_in_thread(
+            request.after
+        )
         return RevisionsReply(export.newest, export.revisions, export.snapshot)
 
     async def put_copy(self, request: CopyRequest) -> CopyReply:
--- a/apps/masticdaled/src/masticdaled/replicas/orders.py
+++ b/apps/masticdaled/src/masticdaled/replicas/orders.py
@@ -155,7 +155,7 @@
         self, engine: RenderedEngine, record: OrderRecord, version: int
     ) -> bool:
         is_free = record.released or record.holder == self._holder
-        if is_free or engine.obeys_fencing:
+        if is_free or engine.enforces_fencing:
             return True
         observed = self._observed_by_replica.get(engine.name)
         if observed is None or observed.version != version:
--- a/libs/config/src/masticdale_config/__init__.py
+++ b/libs/config/src/masticdale_config/__init__.py
@@ -1,7 +1,8 @@
-"""Declarations, their rendering and the revision in force."""
+"""Declarations, their rendering and the active configuration."""
 
-from masticdale_config.checks import engines_of
-from masticdale_config.inforce import ConfigInForce, RevisionsExport
+from masticdale_config.active_config import ActiveConfig, RevisionsExport
+from masticdale_config.bootstrap import bootstrap_config
+from masticdale_config.checks import eligible_engines
 from masticdale_config.kinds import (
     Declaration,
     DeclarationKey,
@@ -13,7 +14,7 @@
     key_of,
     parse,
 )
-from masticdale_config.peersources import RevisionSource, follow_peers
+from masticdale_config.peer_sync import RevisionSource, catch_up_from_peers
 from masticdale_config.rendered import (
     Budget,
     Limits,
@@ -29,23 +30,22 @@
     WorkspaceBudget,
 )
 from masticdale_config.revisions import (
-    Accepted,
+    AcceptedChange,
     Change,
     ConfigStore,
     Edit,
     Plan,
 )
-from masticdale_config.starting import learn_newest
 from masticdale_config.state import ABSENT, ConfigState, Revision
 from masticdale_config.storage import catch_up
 from masticdale_config.watching import ConfigWatcher
 
 __all__ = [
     "ABSENT",
-    "Accepted",
+    "AcceptedChange",
+    "ActiveConfig",
     "Budget",
     "Change",
-    "ConfigInForce",
     "ConfigState",
     "ConfigStore",
     "ConfigWatcher",
@@ -71,11 +71,11 @@
     "UpstreamTable",
     "Workspace",
     "WorkspaceBudget",
+    "bootstrap_config",
     "caller_key_digest",
     "catch_up",
-    "engines_of",
-    "follow_peers",
+    "catch_up_from_peers",
+    "eligible_engines",
     "key_of",
-    "learn_newest",
     "parse",
 ]
--- a/libs/config/src/masticdale_config/placeholders.py
+++ b/libs/config/src/masticdale_config/placeholders.py
@@ -1,4 +1,4 @@
-"""Filling ``${parameter}`` placeholders and checking parameters' values."""
+"""Substitutes ``${parameter}`` placeholders and checks parameter values."""
 
 import re
 from collections.abc import Mapping
@@ -13,10 +13,10 @@
 )
 from masticdale_config.problems import FieldProblem
 
-# ``$${name}`` stands for the text ``${name}``.
+# ``$${name}`` is an escape for the literal text ``${name}``.
 _PLACEHOLDER = re.compile(r"(\$?)\$\{([^}]*)\}")
-# Looked for first: a regular expression over the prompts of thousands of
-# workspaces took most of a second at each start.
+# A cheap test before the regular expression, which is slow on the prompts of
+# thousands of workspaces.
 _OPENING = "${"
 _SAMPLE_BY_TYPE: dict[ParameterType, ParameterValue] = {
     ParameterType.STRING: "sample",
@@ -26,33 +26,33 @@
 }
 
 
-def names_in(value: pydantic.JsonValue) -> set[str]:
-    """Returns the names of the parameters a value refers to."""
+def referenced_names(value: pydantic.JsonValue) -> set[str]:
+    """Returns the names of the parameters that a value refers to."""
     if isinstance(value, str):
         if _OPENING not in value:
             return set()
         found = _PLACEHOLDER.finditer(value)
         return {match[2] for match in found if not match[1]}
     if isinstance(value, list):
-        return set().union(*(names_in(item) for item in value))
+        return set().union(*(referenced_names(item) for item in value))
     if isinstance(value, dict):
-        return set().union(*(names_in(item) for item in value.values()))
+        return set().union(*(referenced_names(item) for item in value.values()))
     return set()
 
 
 def substitute(
     value: pydantic.JsonValue, value_by_name: Mapping[str, ParameterValue]
 ) -> pydantic.JsonValue:
-    """Returns a value with its placeholders filled.
+    """Returns a value with its placeholders substituted.
 
     Args:
-        value: A value of a template's body. A string that is one placeholder
-            takes the parameter's value with its type; within a longer string
-            the value is written as text.
+        value: A value of a template's body. A string that consists of one
+            placeholder becomes the parameter's value, with its type. Within a
+            longer string the parameter's value is inserted as text.
         value_by_name: A value for each parameter that is referred to.
 
     Raises:
-        KeyError: A parameter that is referred to has no value.
+        KeyError: If a parameter that is referred to has no value.
     """
     if isinstance(value, list):
         return [substitute(item, value_by_name) for item in value]
@@ -60,25 +60,25 @@
         return {k: substitute(v, value_by_name) for k, v in value.items()}
     if not isinstance(value, str) or _OPENING not in value:
         return value
-    whole = _PLACEHOLDER.fullmatch(value)
-    if whole and not whole[1]:
-        return value_by_name[whole[2]]
+    single = _PLACEHOLDER.fullmatch(value)
+    if single and not single[1]:
+        return value_by_name[single[2]]
 
-    def fill(match: re.Match[str]) -> str:
+    def replace(match: re.Match[str]) -> str:
         if match[1]:
             return match[0][1:]
         return _as_text(value_by_name[match[2]])
 
-    return _PLACEHOLDER.sub(fill, value)
+    return _PLACEHOLDER.sub(replace, value)
 
 
 def check_parameter(name: str, parameter: Parameter) -> list[FieldProblem]:
-    """Returns what is wrong with a parameter's own default and choices."""
+    """Returns the problems of a parameter's default, choices and bounds."""
     path = f"spec.parameters.{name}"
     found = []
-    given = [("default", parameter.default)] if _has_default(parameter) else []
-    given += [("choices", choice) for choice in parameter.choices]
-    for field, value in given:
+    values = [("default", parameter.default)] if _has_default(parameter) else []
+    values += [("choices", choice) for choice in parameter.choices]
+    for field, value in values:
         message = check_value(parameter, value, field == "choices")
         if message:
             found.append(FieldProblem(f"{path}.{field}", message))
@@ -86,26 +86,32 @@
     if None not in bounds and bounds[0] > bounds[1]:  # type: ignore[operator]
         found.append(FieldProblem(f"{path}.minimum", "exceeds maximum"))
     if parameter.type is ParameterType.BOOLEAN and bounds != (None, None):
-        found.append(FieldProblem(path, "a boolean has no bounds"))
+        found.append(FieldProblem(path, "a boolean cannot have bounds"))
     return found
 
 
 def check_value(
-    parameter: Parameter, value: ParameterValue | None, any_choice: bool = False
+    parameter: Parameter,
+    value: ParameterValue | None,
+    ignore_choices: bool = False,
 ) -> str:
     """Checks a value against a parameter.
 
     Args:
         parameter: The parameter.
         value: The value.
-        any_choice: True to leave ``choices`` out of it.
+        ignore_choices: True to skip the check against ``choices``.
 
     Returns:
-        What is wrong; empty if nothing is.
+        The problem, or an empty string if the value is valid.
     """
     if not _has_type(parameter.type, value):
         return f"must be of type {parameter.type}"
-    if parameter.choices and not any_choice and value not in parameter.choices:
+    if (
+        parameter.choices
+        and not ignore_choices
+        and value not in parameter.choices
+    ):
         return f"must be one of {list(parameter.choices)}"
     if isinstance(value, bool) or value is None:
         return ""
@@ -120,18 +126,20 @@
 def resolve(
     template: TemplateSpec, given_by_name: Mapping[str, ParameterValue]
 ) -> tuple[dict[str, ParameterValue], list[FieldProblem]]:
-    """Joins a workspace's values with the template's defaults.
+    """Merges a workspace's values with the template's defaults.
 
     Args:
         template: The template.
-        given_by_name: What the workspace fills in.
+        given_by_name: The values that the workspace sets.
 
     Returns:
-        The value of each parameter, and what is wrong with those given.
+        The value of each parameter, and the problems found.
     """
     value_by_name: dict[str, ParameterValue] = {}
     found = [
-        FieldProblem(f"spec.parameters.{name}", "the template has none such")
+        FieldProblem(
+            f"spec.parameters.{name}", "the template has no such parameter"
+        )
         for name in given_by_name
         if name not in template.parameters
     ]
@@ -148,15 +156,15 @@
     return value_by_name, found
 
 
-def samples(template: TemplateSpec) -> dict[str, ParameterValue]:
-    """Returns an allowed or at least well-typed value for each parameter."""
+def sample_values(template: TemplateSpec) -> dict[str, ParameterValue]:
+    """Returns a value of the right type, valid if possible, per parameter."""
     return {
-        name: _sample(parameter)
+        name: _sample_value(parameter)
         for name, parameter in template.parameters.items()
     }
 
 
-def _sample(parameter: Parameter) -> ParameterValue:
+def _sample_value(parameter: Parameter) -> ParameterValue:
     if parameter.default is not None:
         return parameter.default
     if parameter.choices:
