--- a/apps/masticctl/src/masticctl/errors.py
+++ b/apps/masticctl/src/masticctl/errors.py
@@ -1,6 +1,6 @@
 """Errors of the command-line tool and its exit codes."""
 
-from masticdale_common import ANSWER_BY_KIND, ErrorKind
+from masticdale_common import ERROR_RESPONSE_BY_KIND, ErrorKind
 from masticdale_config.messages import ErrorBody
 
 EXIT_OK = 0
@@ -64,5 +64,5 @@
         super().__init__(
             text,
             HINT_BY_KIND.get(self.kind, ""),
-            ANSWER_BY_KIND[self.kind].exit_code,
+            ERROR_RESPONSE_BY_KIND[self.kind].exit_code,
         )
--- a/apps/masticdaled/src/masticdaled/answers.py
+++ b/apps/masticdaled/src/masticdaled/answers.py
@@ -25,13 +25,13 @@
 
 def error_body(failure: Failure) -> ErrorBody:
     """Returns what is said of a failure."""
-    answer = failure.answer
+    answer = failure.response
     return ErrorBody(
         kind=failure.kind.value,
         message=answer.message,
         detail=failure.detail,
         ran=answer.ran.value,
-        retry_after_ms=failure.come_back_ms,
+        retry_after_ms=failure.effective_retry_after_ms,
     )
 
 
@@ -46,12 +46,12 @@
         rounded up: a client that came back earlier would be refused again.
     """
     headers = {}
-    if failure.come_back_ms is not None:
-        seconds = math.ceil(failure.come_back_ms / MS_PER_S)
+    if failure.effective_retry_after_ms is not None:
+        seconds = math.ceil(failure.effective_retry_after_ms / MS_PER_S)
         headers["Retry-After"] = str(seconds)
     return litestar.Response(
         error_body(failure),
-        status_code=failure.answer.status,
+        status_code=failure.response.status,
         headers=headers,
         media_type=litestar.MediaType.JSON,
     )
--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -319,7 +319,7 @@
         return Failure(ErrorKind.TIMED_OUT, failure.detail)
     if failure.kind is ErrorKind.QUARANTINED:
         return failure
-    if failure.answer.ran is Ran.NO:
+    if failure.response.ran is Ran.NO:
         logs.write("refused_after_run", kind=failure.kind.value)
         return dataclasses.replace(failure, kind=ErrorKind.UPSTREAM_FAILED)
     return failure
--- a/apps/masticdaled/src/masticdaled/main.py
+++ b/apps/masticdaled/src/masticdaled/main.py
@@ -59,7 +59,7 @@
 
 def _exit(failure: Failure) -> None:
     print(f"masticdaled: {failure}", file=sys.stderr)
-    sys.exit(failure.answer.exit_code)
+    sys.exit(failure.response.exit_code)
 
 
 def main() -> None:
--- a/apps/masticdaled/tests/test_answers.py
+++ b/apps/masticdaled/tests/test_answers.py
@@ -8,7 +8,7 @@
 from litestar import exceptions as http_errors
 from litestar.testing import AsyncTestClient
 
-from masticdale_common import ANSWER_BY_KIND, ErrorKind, Failure
+from masticdale_common import ERROR_RESPONSE_BY_KIND, ErrorKind, Failure
 from masticdaled import answers
 
 PROMPT = "the text of a caller's prompt"
@@ -16,7 +16,7 @@
 
 class AnswersTest(unittest.IsolatedAsyncioTestCase):
     def test_each_kind_is_answered_by_the_table(self):
-        for kind, answer in ANSWER_BY_KIND.items():
+        for kind, answer in ERROR_RESPONSE_BY_KIND.items():
             response = answers.error_response(Failure(kind, "why"))
             self.assertEqual(response.status_code, answer.status)
             self.assertEqual(response.content.ran, answer.ran.value)
--- a/libs/common/src/masticdale_common/__init__.py
+++ b/libs/common/src/masticdale_common/__init__.py
@@ -3,9 +3,9 @@
 from masticdale_common import hashing, logs, settings
 from masticdale_common.dumps import JsonValue, StateDump
 from masticdale_common.exceptions import (
-    ANSWER_BY_KIND,
-    Answer,
+    ERROR_RESPONSE_BY_KIND,
     ErrorKind,
+    ErrorResponse,
     Failure,
     MasticdaleError,
     Ran,
@@ -15,9 +15,9 @@
 from masticdale_common.timers import Subscription, TimerService
 
 __all__ = [
-    "ANSWER_BY_KIND",
-    "Answer",
+    "ERROR_RESPONSE_BY_KIND",
     "ErrorKind",
+    "ErrorResponse",
     "Failure",
     "JsonValue",
     "MasticdaleError",
--- a/libs/common/src/masticdale_common/exceptions.py
+++ b/libs/common/src/masticdale_common/exceptions.py
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class ErrorResponse:
     """How one error kind is answered.
 
     Attributes:
@@ -69,103 +69,105 @@
     exit_code: int = 1
 
 
-ANSWER_BY_KIND: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(
+ERROR_RESPONSE_BY_KIND: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(
         400, Ran.NO, None, "The request is malformed.", 2
     ),
-    ErrorKind.TOO_LARGE: Answer(
+    ErrorKind.TOO_LARGE: ErrorResponse(
         413, Ran.NO, None, "The request is larger than allowed.", 2
     ),
-    ErrorKind.HEADERS_TOO_LARGE: Answer(
+    ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(
         431, Ran.NO, None, "The headers are larger than allowed.", 2
     ),
-    ErrorKind.REQUEST_TIMEOUT: Answer(
+    ErrorKind.REQUEST_TIMEOUT: ErrorResponse(
         408, Ran.NO, None, "The request did not arrive in time."
     ),
-    ErrorKind.NO_ROUTE: Answer(
+    ErrorKind.NO_ROUTE: ErrorResponse(
         404, Ran.NO, None, "No route matches the host and path."
     ),
-    ErrorKind.UNAUTHENTICATED: Answer(
+    ErrorKind.UNAUTHENTICATED: ErrorResponse(
         401, Ran.NO, None, "The key is missing or unknown.", 3
     ),
-    ErrorKind.FORBIDDEN: Answer(
+    ErrorKind.FORBIDDEN: ErrorResponse(
         403, Ran.NO, None, "The token's role does not allow this.", 3
     ),
-    ErrorKind.NOT_FOUND: Answer(404, Ran.NO, None, "No such object.", 4),
-    ErrorKind.CONFLICT: Answer(
+    ErrorKind.NOT_FOUND: ErrorResponse(404, Ran.NO, None, "No such object.", 4),
+    ErrorKind.CONFLICT: ErrorResponse(
         409, Ran.NO, None, "Another change came first.", 5
     ),
-    ErrorKind.REQUEST_ID_REUSED: Answer(
+    ErrorKind.REQUEST_ID_REUSED: ErrorResponse(
         409, Ran.NO, None, "The request id was used with other content."
     ),
-    ErrorKind.OUT_OF_ORDER: Answer(
+    ErrorKind.OUT_OF_ORDER: ErrorResponse(
         409, Ran.NO, 200, "An earlier call of the branch has not arrived."
     ),
-    ErrorKind.PROGRAM_ENDED: Answer(
+    ErrorKind.PROGRAM_ENDED: ErrorResponse(
         409, Ran.NO, None, "The program has ended."
     ),
-    ErrorKind.BUDGET_EXCEEDED: Answer(
+    ErrorKind.BUDGET_EXCEEDED: ErrorResponse(
         402, Ran.NO, None, "The program's budget does not cover the call."
     ),
-    ErrorKind.LIMIT_REACHED: Answer(
+    ErrorKind.LIMIT_REACHED: ErrorResponse(
         429, Ran.NO, 1000, "The workspace's limit is reached."
     ),
-    ErrorKind.DEADLINE_EXCEEDED: Answer(
+    ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(
         504, Ran.NO, None, "The deadline passed before the call was run."
     ),
-    ErrorKind.TIMED_OUT: Answer(
+    ErrorKind.TIMED_OUT: ErrorResponse(
         504, Ran.UNKNOWN, 1000, "The deadline passed while the call ran."
     ),
-    ErrorKind.OVERLOADED: Answer(
+    ErrorKind.OVERLOADED: ErrorResponse(
         503, Ran.NO, 2000, "The queue is too long for this priority."
     ),
-    ErrorKind.QUARANTINED: Answer(
+    ErrorKind.QUARANTINED: ErrorResponse(
         422,
         Ran.UNKNOWN,
         None,
         "The request crashed its replicas; it is given up.",
     ),
-    ErrorKind.NO_UPSTREAM: Answer(
+    ErrorKind.NO_UPSTREAM: ErrorResponse(
         503, Ran.NO, 2000, "No replica can serve the call now."
     ),
-    ErrorKind.UPSTREAM_FAILED: Answer(
+    ErrorKind.UPSTREAM_FAILED: ErrorResponse(
         502, Ran.UNKNOWN, 1000, "The upstream failed while it ran the call."
     ),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(
         502, Ran.UNKNOWN, None, "The call was sent; its outcome is unknown."
     ),
-    ErrorKind.CANCELLED: Answer(
+    ErrorKind.CANCELLED: ErrorResponse(
         499, Ran.UNKNOWN, None, "The call was cancelled."
     ),
-    ErrorKind.NOT_OWNER: Answer(
+    ErrorKind.NOT_OWNER: ErrorResponse(
         503, Ran.NO, 100, "The program is moving to another host."
     ),
-    ErrorKind.PEER_UNAVAILABLE: Answer(
+    ErrorKind.PEER_UNAVAILABLE: ErrorResponse(
         503, Ran.UNKNOWN, 500, "The owning host does not answer."
     ),
-    ErrorKind.PLATFORM_UNAVAILABLE: Answer(
+    ErrorKind.PLATFORM_UNAVAILABLE: ErrorResponse(
         503, Ran.NO, 2000, "The platform's service does not answer.", 6
     ),
-    ErrorKind.WRITE_UNKNOWN: Answer(
+    ErrorKind.WRITE_UNKNOWN: ErrorResponse(
         503, Ran.UNKNOWN, 1000, "A write's answer was lost.", 6
     ),
-    ErrorKind.STOPPING: Answer(503, Ran.NO, 200, "The host is stopping."),
-    ErrorKind.HISTORY_GONE: Answer(
+    ErrorKind.STOPPING: ErrorResponse(
+        503, Ran.NO, 200, "The host is stopping."
+    ),
+    ErrorKind.HISTORY_GONE: ErrorResponse(
         503, Ran.NO, 300, "The store no longer knows these changes.", 6
     ),
-    ErrorKind.NOT_CONFIGURED: Answer(
+    ErrorKind.NOT_CONFIGURED: ErrorResponse(
         503, Ran.NO, 300, "The host knows no configuration yet."
     ),
-    ErrorKind.LEDGER_UNAVAILABLE: Answer(
+    ErrorKind.LEDGER_UNAVAILABLE: ErrorResponse(
         503, Ran.NO, 300, "The owner of the program's budget does not answer."
     ),
-    ErrorKind.BROKEN_OFF: Answer(
+    ErrorKind.BROKEN_OFF: ErrorResponse(
         502, Ran.YES, None, "The answer broke off and can't be continued."
     ),
-    ErrorKind.INVALID_SETTINGS: Answer(
+    ErrorKind.INVALID_SETTINGS: ErrorResponse(
         400, Ran.NO, None, "The settings are invalid.", 2
     ),
-    ErrorKind.INTERNAL: Answer(
+    ErrorKind.INTERNAL: ErrorResponse(
         500, Ran.UNKNOWN, None, "An internal error; see the log."
     ),
 }
@@ -188,19 +190,19 @@
     host: str = ""
 
     @property
-    def answer(self) -> Answer:
+    def response(self) -> ErrorResponse:
         """The table's row for this kind."""
-        return ANSWER_BY_KIND[self.kind]
+        return ERROR_RESPONSE_BY_KIND[self.kind]
 
     @property
-    def come_back_ms(self) -> int | None:
+    def effective_retry_after_ms(self) -> int | None:
         """When to send again: this failure's own time or the table's."""
         if self.retry_after_ms is not None:
             return self.retry_after_ms
-        return self.answer.retry_after_ms
+        return self.response.retry_after_ms
 
     def __str__(self) -> str:
-        text = self.answer.message
+        text = self.response.message
         return f"{text} {self.detail}" if self.detail else text
 
 
--- a/libs/common/tests/test_exceptions.py
+++ b/libs/common/tests/test_exceptions.py
@@ -2,20 +2,20 @@
 
 import unittest
 
-from masticdale_common import ANSWER_BY_KIND, ErrorKind, Failure, Ran
+from masticdale_common import ERROR_RESPONSE_BY_KIND, ErrorKind, Failure, Ran
 
 
 class AnswerTableTest(unittest.TestCase):
     def test_every_kind_has_one_answer(self):
-        self.assertEqual(set(ANSWER_BY_KIND), set(ErrorKind))
+        self.assertEqual(set(ERROR_RESPONSE_BY_KIND), set(ErrorKind))
 
     def test_kinds_that_may_have_run_never_say_no(self):
         for kind in (ErrorKind.OUTCOME_UNKNOWN, ErrorKind.UPSTREAM_FAILED):
-            self.assertIs(ANSWER_BY_KIND[kind].ran, Ran.UNKNOWN)
+            self.assertIs(ERROR_RESPONSE_BY_KIND[kind].ran, Ran.UNKNOWN)
 
     def test_own_retry_time_beats_the_table(self):
         failure = Failure(ErrorKind.OVERLOADED, retry_after_ms=7)
-        self.assertEqual(failure.come_back_ms, 7)
+        self.assertEqual(failure.effective_retry_after_ms, 7)
 
 
 if __name__ == "__main__":
--- a/libs/gateway/src/masticdale_gateway/relay.py
+++ b/libs/gateway/src/masticdale_gateway/relay.py
@@ -219,14 +219,14 @@
     def _send_error(
         self, writer: ResponseWriter, request_id: str, failure: Failure
     ) -> None:
-        come_back_ms = failure.come_back_ms
+        come_back_ms = failure.effective_retry_after_ms
         fields = self._dependencies.codec.error_headers(
             request_id, None if come_back_ms is None else come_back_ms / 1000
         )
         body = json.dumps(
             {"error": failure.kind.value, "message": str(failure)}
         ).encode()
-        writer.send(failure.answer.status, fields, body)
+        writer.send(failure.response.status, fields, body)
 
     def _read_limits(self) -> ReadLimits:
         configuration = self._dependencies.configuration()
--- a/libs/programs/src/masticdale_programs/calls.py
+++ b/libs/programs/src/masticdale_programs/calls.py
@@ -189,7 +189,7 @@
             return _outcome_unknown(intent)
         return views.outcome_of(record)
     failure = outcome.failure()
-    if failure.answer.ran is Ran.NO:
+    if failure.response.ran is Ran.NO:
         record = _call_record(intent, OutcomeStatus.NOT_RUN, "")
         await commit_finished(shard, record, stream, deadline)
         # "Not run" holds even if the commit failed: the next owner resolves
--- a/libs/programs/src/masticdale_programs/turns.py
+++ b/libs/programs/src/masticdale_programs/turns.py
@@ -146,7 +146,7 @@
     if isinstance(committed, Success):
         return committed
     failure = committed.failure()
-    if failure.answer.ran is not Ran.NO:
+    if failure.response.ran is not Ran.NO:
         return committed
     if failure.kind is ErrorKind.TOO_LARGE:
         return Failed(Failure(ErrorKind.UPSTREAM_FAILED, "answer too large"))
--- a/libs/programs/tests/test_interleavings.py
+++ b/libs/programs/tests/test_interleavings.py
@@ -427,7 +427,7 @@
     def check_rejection(self, cluster, answer):
         if isinstance(answer.outcome, Success):
             return
-        if answer.outcome.failure().answer.ran is not Ran.NO:
+        if answer.outcome.failure().response.ran is not Ran.NO:
             return
         submitted_there = [
             o
--- a/scripts/write_field_tables.py
+++ b/scripts/write_field_tables.py
@@ -18,7 +18,7 @@
 import pydantic
 
 from masticctl.docstrings import read_docstring
-from masticdale_common import ANSWER_BY_KIND, Answer
+from masticdale_common import ERROR_RESPONSE_BY_KIND, ErrorResponse
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 DOCS = ROOT / "docs"
@@ -127,12 +127,12 @@
     rows = "\n".join(
         f"| `{kind.value}` | {answer.status} | {answer.ran.value}"
         f" | {_retry(answer)} | {answer.exit_code} | {answer.message} |"
-        for kind, answer in ANSWER_BY_KIND.items()
+        for kind, answer in ERROR_RESPONSE_BY_KIND.items()
     )
     return f"<!-- errors -->\n\n{_ERRORS_HEADER}{rows}\n\n<!-- end -->"
 
 
-def _retry(answer: Answer) -> str:
+def _retry(answer: ErrorResponse) -> str:
     if answer.retry_after_ms is None:
         return "never"
     return f"{answer.retry_after_ms} ms"
--- a/tools/load/src/masticdale_load/main.py
+++ b/tools/load/src/masticdale_load/main.py
@@ -31,7 +31,7 @@
         return value
     failure = loaded.failure()
     print(failure, file=sys.stderr)
-    sys.exit(failure.answer.exit_code)
+    sys.exit(failure.response.exit_code)
 
 
 def system(plan: str, output: str) -> None:
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -129,7 +129,7 @@
 
 
 def tell_no_time():
-    Failure.come_back_ms = property(lambda self: None)
+    Failure.effective_retry_after_ms = property(lambda self: None)
 
 
 def stop_following_after_a_failure():
--- a/tools/standins/src/masticdale_standins/main.py
+++ b/tools/standins/src/masticdale_standins/main.py
@@ -56,7 +56,7 @@
     if isinstance(outcome, Failed):
         failure = outcome.failure()
         print(failure, file=sys.stderr)
-        sys.exit(failure.answer.exit_code)
+        sys.exit(failure.response.exit_code)
     return outcome.unwrap()
 
 
