--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -8,7 +8,7 @@
 from returns.result import Failure as Failed
 from returns.result import Result, Success
 
-from masticdale_common import ErrorKind, Failure, Metrics, Ran, logs
+from masticdale_common import ErrorKind, Executed, Failure, Metrics, logs
 from masticdale_config import ConfigInForce, RenderedEngine
 from masticdale_peers import ProbeReply, TicketRelease, TicketRequest
 from masticdale_programs import (
@@ -319,7 +319,7 @@
         return Failure(ErrorKind.TIMED_OUT, failure.detail)
     if failure.kind is ErrorKind.QUARANTINED:
         return failure
-    if failure.response.ran is Ran.NO:
+    if failure.response.ran is Executed.NO:
         logs.write("refused_after_run", kind=failure.kind.value)
         return dataclasses.replace(failure, kind=ErrorKind.UPSTREAM_FAILED)
     return failure
--- a/libs/common/src/masticdale_common/__init__.py
+++ b/libs/common/src/masticdale_common/__init__.py
@@ -6,9 +6,9 @@
     ERROR_RESPONSE_BY_KIND,
     ErrorKind,
     ErrorResponse,
+    Executed,
     Failure,
     MasticdaleError,
-    Ran,
 )
 from masticdale_common.metrics import Metrics
 from masticdale_common.settings import StrictModel
@@ -18,11 +18,11 @@
     "ERROR_RESPONSE_BY_KIND",
     "ErrorKind",
     "ErrorResponse",
+    "Executed",
     "Failure",
     "JsonValue",
     "MasticdaleError",
     "Metrics",
-    "Ran",
     "StateDump",
     "StrictModel",
     "Subscription",
--- a/libs/common/src/masticdale_common/exceptions.py
+++ b/libs/common/src/masticdale_common/exceptions.py
@@ -42,7 +42,7 @@
     INTERNAL = "internal"
 
 
-class Ran(enum.StrEnum):
+class Executed(enum.StrEnum):
     """Whether the refused request was run at an upstream."""
 
     NO = "no"
@@ -63,7 +63,7 @@
     """
 
     status: int
-    ran: Ran
+    ran: Executed
     retry_after_ms: int | None
     message: str
     exit_code: int = 1
@@ -71,104 +71,115 @@
 
 ERROR_RESPONSE_BY_KIND: dict[ErrorKind, ErrorResponse] = {
     ErrorKind.BAD_REQUEST: ErrorResponse(
-        400, Ran.NO, None, "The request is malformed.", 2
+        400, Executed.NO, None, "The request is malformed.", 2
     ),
     ErrorKind.TOO_LARGE: ErrorResponse(
-        413, Ran.NO, None, "The request is larger than allowed.", 2
+        413, Executed.NO, None, "The request is larger than allowed.", 2
     ),
     ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(
-        431, Ran.NO, None, "The headers are larger than allowed.", 2
+        431, Executed.NO, None, "The headers are larger than allowed.", 2
     ),
     ErrorKind.REQUEST_TIMEOUT: ErrorResponse(
-        408, Ran.NO, None, "The request did not arrive in time."
+        408, Executed.NO, None, "The request did not arrive in time."
     ),
     ErrorKind.NO_ROUTE: ErrorResponse(
-        404, Ran.NO, None, "No route matches the host and path."
+        404, Executed.NO, None, "No route matches the host and path."
     ),
     ErrorKind.UNAUTHENTICATED: ErrorResponse(
-        401, Ran.NO, None, "The key is missing or unknown.", 3
+        401, Executed.NO, None, "The key is missing or unknown.", 3
     ),
     ErrorKind.FORBIDDEN: ErrorResponse(
-        403, Ran.NO, None, "The token's role does not allow this.", 3
+        403, Executed.NO, None, "The token's role does not allow this.", 3
+    ),
+    ErrorKind.NOT_FOUND: ErrorResponse(
+        404, Executed.NO, None, "No such object.", 4
     ),
-    ErrorKind.NOT_FOUND: ErrorResponse(404, Ran.NO, None, "No such object.", 4),
     ErrorKind.CONFLICT: ErrorResponse(
-        409, Ran.NO, None, "Another change came first.", 5
+        409, Executed.NO, None, "Another change came first.", 5
     ),
     ErrorKind.REQUEST_ID_REUSED: ErrorResponse(
-        409, Ran.NO, None, "The request id was used with other content."
+        409, Executed.NO, None, "The request id was used with other content."
     ),
     ErrorKind.OUT_OF_ORDER: ErrorResponse(
-        409, Ran.NO, 200, "An earlier call of the branch has not arrived."
+        409, Executed.NO, 200, "An earlier call of the branch has not arrived."
     ),
     ErrorKind.PROGRAM_ENDED: ErrorResponse(
-        409, Ran.NO, None, "The program has ended."
+        409, Executed.NO, None, "The program has ended."
     ),
     ErrorKind.BUDGET_EXCEEDED: ErrorResponse(
-        402, Ran.NO, None, "The program's budget does not cover the call."
+        402, Executed.NO, None, "The program's budget does not cover the call."
     ),
     ErrorKind.LIMIT_REACHED: ErrorResponse(
-        429, Ran.NO, 1000, "The workspace's limit is reached."
+        429, Executed.NO, 1000, "The workspace's limit is reached."
     ),
     ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(
-        504, Ran.NO, None, "The deadline passed before the call was run."
+        504, Executed.NO, None, "The deadline passed before the call was run."
     ),
     ErrorKind.TIMED_OUT: ErrorResponse(
-        504, Ran.UNKNOWN, 1000, "The deadline passed while the call ran."
+        504, Executed.UNKNOWN, 1000, "The deadline passed while the call ran."
     ),
     ErrorKind.OVERLOADED: ErrorResponse(
-        503, Ran.NO, 2000, "The queue is too long for this priority."
+        503, Executed.NO, 2000, "The queue is too long for this priority."
     ),
     ErrorKind.QUARANTINED: ErrorResponse(
         422,
-        Ran.UNKNOWN,
+        Executed.UNKNOWN,
         None,
         "The request crashed its replicas; it is given up.",
     ),
     ErrorKind.NO_UPSTREAM: ErrorResponse(
-        503, Ran.NO, 2000, "No replica can serve the call now."
+        503, Executed.NO, 2000, "No replica can serve the call now."
     ),
     ErrorKind.UPSTREAM_FAILED: ErrorResponse(
-        502, Ran.UNKNOWN, 1000, "The upstream failed while it ran the call."
+        502,
+        Executed.UNKNOWN,
+        1000,
+        "The upstream failed while it ran the call.",
     ),
     ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(
-        502, Ran.UNKNOWN, None, "The call was sent; its outcome is unknown."
+        502,
+        Executed.UNKNOWN,
+        None,
+        "The call was sent; its outcome is unknown.",
     ),
     ErrorKind.CANCELLED: ErrorResponse(
-        499, Ran.UNKNOWN, None, "The call was cancelled."
+        499, Executed.UNKNOWN, None, "The call was cancelled."
     ),
     ErrorKind.NOT_OWNER: ErrorResponse(
-        503, Ran.NO, 100, "The program is moving to another host."
+        503, Executed.NO, 100, "The program is moving to another host."
     ),
     ErrorKind.PEER_UNAVAILABLE: ErrorResponse(
-        503, Ran.UNKNOWN, 500, "The owning host does not answer."
+        503, Executed.UNKNOWN, 500, "The owning host does not answer."
     ),
     ErrorKind.PLATFORM_UNAVAILABLE: ErrorResponse(
-        503, Ran.NO, 2000, "The platform's service does not answer.", 6
+        503, Executed.NO, 2000, "The platform's service does not answer.", 6
     ),
     ErrorKind.WRITE_UNKNOWN: ErrorResponse(
-        503, Ran.UNKNOWN, 1000, "A write's answer was lost.", 6
+        503, Executed.UNKNOWN, 1000, "A write's answer was lost.", 6
     ),
     ErrorKind.STOPPING: ErrorResponse(
-        503, Ran.NO, 200, "The host is stopping."
+        503, Executed.NO, 200, "The host is stopping."
     ),
     ErrorKind.HISTORY_GONE: ErrorResponse(
-        503, Ran.NO, 300, "The store no longer knows these changes.", 6
+        503, Executed.NO, 300, "The store no longer knows these changes.", 6
     ),
     ErrorKind.NOT_CONFIGURED: ErrorResponse(
-        503, Ran.NO, 300, "The host knows no configuration yet."
+        503, Executed.NO, 300, "The host knows no configuration yet."
     ),
     ErrorKind.LEDGER_UNAVAILABLE: ErrorResponse(
-        503, Ran.NO, 300, "The owner of the program's budget does not answer."
+        503,
+        Executed.NO,
+        300,
+        "The owner of the program's budget does not answer.",
     ),
     ErrorKind.BROKEN_OFF: ErrorResponse(
-        502, Ran.YES, None, "The answer broke off and can't be continued."
+        502, Executed.YES, None, "The answer broke off and can't be continued."
     ),
     ErrorKind.INVALID_SETTINGS: ErrorResponse(
-        400, Ran.NO, None, "The settings are invalid.", 2
+        400, Executed.NO, None, "The settings are invalid.", 2
     ),
     ErrorKind.INTERNAL: ErrorResponse(
-        500, Ran.UNKNOWN, None, "An internal error; see the log."
+        500, Executed.UNKNOWN, None, "An internal error; see the log."
     ),
 }
 
--- a/libs/common/tests/test_exceptions.py
+++ b/libs/common/tests/test_exceptions.py
@@ -2,7 +2,12 @@
 
 import unittest
 
-from masticdale_common import ERROR_RESPONSE_BY_KIND, ErrorKind, Failure, Ran
+from masticdale_common import (
+    ERROR_RESPONSE_BY_KIND,
+    ErrorKind,
+    Executed,
+    Failure,
+)
 
 
 class AnswerTableTest(unittest.TestCase):
@@ -11,7 +16,7 @@
 
     def test_kinds_that_may_have_run_never_say_no(self):
         for kind in (ErrorKind.OUTCOME_UNKNOWN, ErrorKind.UPSTREAM_FAILED):
-            self.assertIs(ERROR_RESPONSE_BY_KIND[kind].ran, Ran.UNKNOWN)
+            self.assertIs(ERROR_RESPONSE_BY_KIND[kind].ran, Executed.UNKNOWN)
 
     def test_own_retry_time_beats_the_table(self):
         failure = Failure(ErrorKind.OVERLOADED, retry_after_ms=7)
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -6,7 +6,7 @@
 from returns.result import Failure as Failed
 from returns.result import Result, Success
 
-from masticdale_common import Metrics, Ran, logs
+from masticdale_common import Executed, Metrics, logs
 from masticdale_gateway.calls import Call
 from masticdale_gateway.codec import (
     ForwardingMetadata,
@@ -41,7 +41,7 @@
     """
 
     replica_id: str
-    ran: Ran
+    ran: Executed
     reason: str
     retry_after_s: float | None = None
 
@@ -184,11 +184,13 @@
             )
         except ConnectFailedError as error:
             state.circuit.record_failure(loop.time())
-            return Failed(self._failure(call, state, Ran.NO, _reason(error)))
+            return Failed(
+                self._failure(call, state, Executed.NO, _reason(error))
+            )
         except _CONNECTION_ERRORS as error:
             state.circuit.record_failure(loop.time())
             return Failed(
-                self._failure(call, state, Ran.UNKNOWN, _reason(error))
+                self._failure(call, state, Executed.UNKNOWN, _reason(error))
             )
         finally:
             if exchange is None:
@@ -246,7 +248,7 @@
             return self._failure(
                 call,
                 state,
-                Ran.UNKNOWN,
+                Executed.UNKNOWN,
                 f"unusable response with status {head.status}",
             )
         if head.status == 421:
@@ -264,7 +266,7 @@
         return self._failure(
             call,
             state,
-            Ran.NO,
+            Executed.NO,
             f"rejected with status {head.status}",
             metadata.retry_after_s,
         )
@@ -281,7 +283,7 @@
         self,
         call: Call,
         state: ReplicaState,
-        ran: Ran,
+        ran: Executed,
         reason: str,
         retry_after_s: float | None = None,
     ) -> SendFailure:
--- a/libs/gateway/src/masticdale_gateway/streaming.py
+++ b/libs/gateway/src/masticdale_gateway/streaming.py
@@ -5,7 +5,7 @@
 
 from returns.result import Failure as Failed
 
-from masticdale_common import ErrorKind, Failure, Ran, logs
+from masticdale_common import ErrorKind, Executed, Failure, logs
 from masticdale_gateway.callers import ResponseWriter
 from masticdale_gateway.calls import Call, RelaySettings
 from masticdale_gateway.codec import HeaderCodec
@@ -73,17 +73,19 @@
             )
             if isinstance(outcome, Failed):
                 last = outcome.failure()
-                stream.may_have_executed |= last.ran is not Ran.NO
+                stream.may_have_executed |= last.ran is not Executed.NO
             else:
                 exchange = outcome.unwrap()
                 stream.may_have_executed = True
                 result = await self._forward(stream, exchange)
                 if not isinstance(result, _Interrupted):
                     return result
-                last = SendFailure(state.replica.id, Ran.YES, result.reason)
+                last = SendFailure(
+                    state.replica.id, Executed.YES, result.reason
+                )
             if sends >= self._settings.max_sends:
                 break
-            if last.ran is not Ran.NO and not call.is_retriable:
+            if last.ran is not Executed.NO and not call.is_retriable:
                 break
             state = self._choose_next(call, state, last, excluded)
         return self._fail(call, stream, last)
@@ -109,7 +111,7 @@
         be reached is excluded.
         """
         ids = {s.replica.id for s in self._fleet.usable(call.service.name)}
-        broke_off = last.ran is not Ran.NO
+        broke_off = last.ran is not Executed.NO
         if broke_off and state.replica.id in ids:
             return state
         excluded.add(state.replica.id)
--- a/libs/gateway/src/masticdale_gateway/unary.py
+++ b/libs/gateway/src/masticdale_gateway/unary.py
@@ -6,7 +6,7 @@
 from returns.result import Failure as Failed
 from returns.result import Result
 
-from masticdale_common import ErrorKind, Failure, Ran
+from masticdale_common import ErrorKind, Executed, Failure
 from masticdale_gateway.calls import Call, RelaySettings
 from masticdale_gateway.exchanges import (
     Exchange,
@@ -77,7 +77,7 @@
                 return outcome.unwrap()
             last = outcome.failure()
             excluded.add(last.replica_id)
-            if last.ran is Ran.NO:
+            if last.ran is Executed.NO:
                 continue
             possible_runs += 1
             if (
@@ -125,4 +125,8 @@
         exchange.close()
     return body.map(
         lambda content: BufferedResponse(exchange.head, content)
-    ).alt(lambda reason: SendFailure(exchange.replica_id, Ran.UNKNOWN, reason))
+    ).alt(
+        lambda reason: SendFailure(
+            exchange.replica_id, Executed.UNKNOWN, reason
+        )
+    )
--- a/libs/programs/src/masticdale_programs/calls.py
+++ b/libs/programs/src/masticdale_programs/calls.py
@@ -11,7 +11,7 @@
 from returns.result import Failure as Failed
 from returns.result import Result, Success
 
-from masticdale_common import ErrorKind, Failure, Ran, hashing
+from masticdale_common import ErrorKind, Executed, Failure, hashing
 from masticdale_programs import budgets, views
 from masticdale_programs.budgets import Reservation
 from masticdale_programs.executors import ServiceCall
@@ -189,7 +189,7 @@
             return _outcome_unknown(intent)
         return views.outcome_of(record)
     failure = outcome.failure()
-    if failure.response.ran is Ran.NO:
+    if failure.response.ran is Executed.NO:
         record = _call_record(intent, OutcomeStatus.NOT_RUN, "")
         await commit_finished(shard, record, stream, deadline)
         # "Not run" holds even if the commit failed: the next owner resolves
--- a/libs/programs/src/masticdale_programs/turns.py
+++ b/libs/programs/src/masticdale_programs/turns.py
@@ -6,7 +6,7 @@
 from returns.result import Failure as Failed
 from returns.result import Result, Success
 
-from masticdale_common import ErrorKind, Failure, Ran, hashing
+from masticdale_common import ErrorKind, Executed, Failure, hashing
 from masticdale_programs import budgets, views
 from masticdale_programs.budgets import Reservation
 from masticdale_programs.executors import ModelCall, ModelResult
@@ -146,7 +146,7 @@
     if isinstance(committed, Success):
         return committed
     failure = committed.failure()
-    if failure.response.ran is not Ran.NO:
+    if failure.response.ran is not Executed.NO:
         return committed
     if failure.kind is ErrorKind.TOO_LARGE:
         return Failed(Failure(ErrorKind.UPSTREAM_FAILED, "answer too large"))
--- a/libs/programs/tests/test_interleavings.py
+++ b/libs/programs/tests/test_interleavings.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 from returns.result import Success
 
-from masticdale_common import Ran
+from masticdale_common import Executed
 from masticdale_platform.testing import MemoryStore
 from masticdale_programs import (
     MAIN_BRANCH,
@@ -427,7 +427,7 @@
     def check_rejection(self, cluster, answer):
         if isinstance(answer.outcome, Success):
             return
-        if answer.outcome.failure().response.ran is not Ran.NO:
+        if answer.outcome.failure().response.ran is not Executed.NO:
             return
         submitted_there = [
             o
--- a/tools/load/src/masticdale_load/system_programs.py
+++ b/tools/load/src/masticdale_load/system_programs.py
@@ -9,7 +9,7 @@
 from returns.result import Failure as Failed
 from returns.result import Success
 
-from masticdale_common import ErrorKind, Ran
+from masticdale_common import ErrorKind, Executed
 from masticdale_load.system_checks import (
     TOLD_DONE,
     TOLD_NOT_RUN,
@@ -152,7 +152,7 @@
         told = TOLD_DONE
         if isinstance(outcome, Failed):
             refusal = outcome.failure()
-            is_not_run = refusal.ran == Ran.NO
+            is_not_run = refusal.ran == Executed.NO
             told = TOLD_NOT_RUN if is_not_run else TOLD_UNKNOWN
             if refusal.kind != ErrorKind.OUTCOME_UNKNOWN:
                 self._give_up(f"{ledger.program_id} call", refusal.kind)
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -11,7 +11,7 @@
 from returns.result import Success
 
 from masticdale_adapter import PlatformHeaderCodec
-from masticdale_common import Failure, Ran
+from masticdale_common import Executed, Failure
 from masticdale_entry.entry import EntryHost
 from masticdale_entry.main import main
 from masticdale_entry.watched_state import ActiveConfiguration
@@ -27,7 +27,7 @@
 def call_everything_not_run():
     def failure(self, call, state, ran, reason, retry_after_s=None):
         del self, call, ran
-        return SendFailure(state.replica.id, Ran.NO, reason, retry_after_s)
+        return SendFailure(state.replica.id, Executed.NO, reason, retry_after_s)
 
     Sender._failure = failure
 
