--- a/apps/masticdaled/src/masticdaled/cluster.py
+++ b/apps/masticdaled/src/masticdaled/cluster.py
@@ -88,4 +88,6 @@
     def digest_homes(self, digest: str) -> tuple[str, ...]:
         """Returns the home of a content digest and its stand-by."""
         names = self.membership.owner_names()
-        return tuple(hashing.rank(f"{_DIGEST_ROLE}/{digest}", names)[:2])
+        return tuple(
+            hashing.rendezvous_rank(f"{_DIGEST_ROLE}/{digest}", names)[:2]
+        )
--- a/apps/masticdaled/src/masticdaled/following.py
+++ b/apps/masticdaled/src/masticdaled/following.py
@@ -74,7 +74,7 @@
 
     def _watch_if_chosen(self) -> None:
         names = self._cluster.membership.live_names()
-        chosen = hashing.rank(_WATCH_KEY, names)[:WATCHERS]
+        chosen = hashing.rendezvous_rank(_WATCH_KEY, names)[:WATCHERS]
         if self._cluster.host not in chosen:
             if self._watch_task is not None:
                 self._watch_task.cancel()
--- a/libs/common/src/masticdale_common/hashing.py
+++ b/libs/common/src/masticdale_common/hashing.py
@@ -17,25 +17,25 @@
     return state.hexdigest()
 
 
-def rank(key: str, hosts: Iterable[str]) -> list[str]:
+def rendezvous_rank(key: str, candidates: Iterable[str]) -> list[str]:
     """Returns hosts by rendezvous weight for a key, heaviest first.
 
     Each host that leaves moves only its own keys, so a change of membership
     disturbs as few shards and homes as possible.
     """
     return sorted(
-        hosts,
-        key=lambda host: (
-            xxhash.xxh3_64_intdigest(f"{key}\0{host}".encode()),
-            host,
+        candidates,
+        key=lambda candidate: (
+            xxhash.xxh3_64_intdigest(f"{key}\0{candidate}".encode()),
+            candidate,
         ),
         reverse=True,
     )
 
 
-def choose(key: str, hosts: Iterable[str]) -> str | None:
+def rendezvous_choose(key: str, candidates: Iterable[str]) -> str | None:
     """Returns the heaviest host for a key, or None without hosts."""
-    ranked = rank(key, hosts)
+    ranked = rendezvous_rank(key, candidates)
     return ranked[0] if ranked else None
 
 
--- a/libs/peers/src/masticdale_peers/membership.py
+++ b/libs/peers/src/masticdale_peers/membership.py
@@ -149,7 +149,9 @@
             self._owner_by_key.clear()
         owner = self._owner_by_key.get(key)
         if owner is None:
-            owner = hashing.choose(key, self.owner_names()) or self._name
+            owner = (
+                hashing.rendezvous_choose(key, self.owner_names()) or self._name
+            )
             self._owner_by_key[key] = owner
         return owner
 
--- a/libs/peers/src/masticdale_peers/neighbours.py
+++ b/libs/peers/src/masticdale_peers/neighbours.py
@@ -30,7 +30,7 @@
     ring = sorted({*peers, name}, key=lambda host: (hashing.digest(host), host))
     place = ring.index(name)
     onwards = (*ring[place + 1 :], *ring[:place])
-    return PeerOrder(onwards, tuple(hashing.rank(name, peers)))
+    return PeerOrder(onwards, tuple(hashing.rendezvous_rank(name, peers)))
 
 
 def choose_neighbours(
--- a/libs/programs/src/masticdale_programs/copies.py
+++ b/libs/programs/src/masticdale_programs/copies.py
@@ -104,7 +104,7 @@
     """
     chosen: list[str] = []
     used_domains = {domain_by_host.get(owner)}
-    ranked = hashing.rank(f"copies/{shard}", domain_by_host)
+    ranked = hashing.rendezvous_rank(f"copies/{shard}", domain_by_host)
     for host in (*current, *ranked):
         domain = domain_by_host.get(host)
         if domain is None or domain in used_domains or host == owner:
--- a/libs/routing/src/masticdale_routing/fleet.py
+++ b/libs/routing/src/masticdale_routing/fleet.py
@@ -185,7 +185,7 @@
         self, states: list[ReplicaState], key: str, now: float
     ) -> ReplicaState:
         state_by_id = {s.replica.id: s for s in states}
-        ranked = hashing.rank(key, state_by_id)
+        ranked = hashing.rendezvous_rank(key, state_by_id)
         first = state_by_id[ranked[0]]
         if len(ranked) == 1 or first.utilization(now) < _SPILL_SHARE:
             return first
--- a/libs/routing/src/masticdale_routing/limits.py
+++ b/libs/routing/src/masticdale_routing/limits.py
@@ -62,7 +62,7 @@
         host: The host whose share is computed.
         live_hosts: All live hosts.
     """
-    ranked = hashing.rank(workspace, {*live_hosts, host})
+    ranked = hashing.rendezvous_rank(workspace, {*live_hosts, host})
     quotient, remainder = divmod(limits.concurrent_turns, len(ranked))
     own_turns = quotient + (1 if ranked.index(host) < remainder else 0)
     # Only hosts that may run a turn get a part of the rate and the burst.
--- a/libs/routing/src/masticdale_routing/placement.py
+++ b/libs/routing/src/masticdale_routing/placement.py
@@ -269,7 +269,7 @@
         for x in locations
         if x.replica not in excluded
     }
-    ranked = hashing.rank(key, domain_by_replica)
+    ranked = hashing.rendezvous_rank(key, domain_by_replica)
     first_of_domain: list[str] = []
     others: list[str] = []
     seen: set[str] = set()
