--- a/apps/masticdaled/src/masticdaled/operators/desk.py
+++ b/apps/masticdaled/src/masticdaled/operators/desk.py
@@ -169,7 +169,7 @@
         answer = await home.probe(probe)
         if isinstance(answer, Failed):
             return Failed(answer.failure())
-        held = await self.clients.engine(upstream).held_programs()
+        held = await self.clients.engine(upstream).cached_programs()
         programs = len(held.unwrap()) if isinstance(held, Success) else 0
         in_flight = answer.unwrap().in_flight
         report = DrainReport(name, upstream.draining, in_flight, programs)
--- a/apps/masticdaled/src/masticdaled/shards/orphans.py
+++ b/apps/masticdaled/src/masticdaled/shards/orphans.py
@@ -42,7 +42,7 @@
 
     async def _sweep_replica(self, home: ReplicaHome) -> None:
         client = self._clients.engine(home.engine)
-        held = await client.held_programs()
+        held = await client.cached_programs()
         if isinstance(held, Failed):
             return
         ids = [program.program_id for program in held.unwrap()]
--- a/libs/upstreams/src/masticdale_upstreams/engine.py
+++ b/libs/upstreams/src/masticdale_upstreams/engine.py
@@ -19,13 +19,13 @@
     create_connections,
 )
 from masticdale_upstreams.types import (
+    CachedProgram,
     CacheEvent,
     CacheEvents,
     Chunk,
     Completion,
     GenerateRequest,
     Health,
-    HeldProgram,
     LoadReport,
     Order,
 )
@@ -153,14 +153,16 @@
         path = f"/v1/cache/programs/{_quote(program_id)}"
         return await self._command("DELETE", path)
 
-    async def held_programs(self) -> Result[tuple[HeldProgram, ...], Failure]:
-        """See ``ModelEngine.held_programs``."""
+    async def cached_programs(
+        self,
+    ) -> Result[tuple[CachedProgram, ...], Failure]:
+        """See ``ModelEngine.cached_programs``."""
         outcome = await self._ask(
-            wire.HeldProgramsBody, "GET", "/v1/cache/programs"
+            wire.CachedProgramsBody, "GET", "/v1/cache/programs"
         )
         return outcome.map(
             lambda body: tuple(
-                HeldProgram(p.program_id, p.tokens) for p in body.programs
+                CachedProgram(p.program_id, p.tokens) for p in body.programs
             )
         )
 
--- a/libs/upstreams/src/masticdale_upstreams/testing.py
+++ b/libs/upstreams/src/masticdale_upstreams/testing.py
@@ -10,13 +10,13 @@
 
 from masticdale_common import ErrorKind, Failure, hashing
 from masticdale_upstreams.types import (
+    CachedProgram,
     CacheEvent,
     CacheEvents,
     Chunk,
     Completion,
     GenerateRequest,
     Health,
-    HeldProgram,
     LoadReport,
     Order,
     ServiceReply,
@@ -90,7 +90,7 @@
         self.events: list[CacheEvent] = []
         self.tokens_by_program: dict[str, int] = {}
         self._cache_capacity = cache_capacity
-        self._export_by_handle: dict[str, HeldProgram] = {}
+        self._export_by_handle: dict[str, CachedProgram] = {}
         self._running = 0
         self._crashed = asyncio.Event()
 
@@ -125,12 +125,14 @@
             self.tokens_by_program.pop(program_id, None)
         return await self._acknowledge()
 
-    async def held_programs(self) -> Result[tuple[HeldProgram, ...], Failure]:
-        """See ``ModelEngine.held_programs``."""
+    async def cached_programs(
+        self,
+    ) -> Result[tuple[CachedProgram, ...], Failure]:
+        """See ``ModelEngine.cached_programs``."""
         if self.faults.down:
             return _failed(ErrorKind.NO_UPSTREAM)
         held = self.tokens_by_program.items()
-        return Success(tuple(HeldProgram(*item) for item in held))
+        return Success(tuple(CachedProgram(*item) for item in held))
 
     async def load(self) -> Result[LoadReport, Failure]:
         """See ``ModelEngine.load``."""
@@ -168,7 +170,7 @@
         if tokens is None:
             return _failed(ErrorKind.NOT_FOUND)
         handle = f"{program_id}/{branch_id}"
-        self._export_by_handle[handle] = HeldProgram(program_id, tokens)
+        self._export_by_handle[handle] = CachedProgram(program_id, tokens)
         return Success(handle)
 
     async def import_cache(self, handle: str) -> Result[int, Failure]:
--- a/libs/upstreams/src/masticdale_upstreams/types.py
+++ b/libs/upstreams/src/masticdale_upstreams/types.py
@@ -133,7 +133,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeldProgram:
+class CachedProgram:
     """Engine memory held for one program."""
 
     program_id: str
@@ -185,7 +185,9 @@
         """Frees all memory held for a program; idempotent."""
         ...
 
-    async def held_programs(self) -> Result[tuple[HeldProgram, ...], Failure]:
+    async def cached_programs(
+        self,
+    ) -> Result[tuple[CachedProgram, ...], Failure]:
         """Returns the programs that hold memory."""
         ...
 
--- a/libs/upstreams/src/masticdale_upstreams/wire.py
+++ b/libs/upstreams/src/masticdale_upstreams/wire.py
@@ -7,7 +7,7 @@
     GET  /v1/load                     200 LoadBody
     GET  /v1/health                   200 HealthBody
     GET  /v1/cache/events?position=&wait_ms=  200 CacheEventsBody
-    GET  /v1/cache/programs           200 HeldProgramsBody
+    GET  /v1/cache/programs           200 CachedProgramsBody
     DELETE /v1/cache/programs/{id}    204, also when unknown
     POST /v1/cache/export ExportBody  200 ExportedBody; 404
     POST /v1/cache/import ImportBody  200 ImportedBody; 404
@@ -110,17 +110,17 @@
     gap: bool
 
 
-class HeldProgramBody(WireModel):
+class CachedProgramBody(WireModel):
     """Engine memory held for one program."""
 
     program_id: str
     tokens: int
 
 
-class HeldProgramsBody(WireModel):
+class CachedProgramsBody(WireModel):
     """All programs that hold engine memory."""
 
-    programs: tuple[HeldProgramBody, ...]
+    programs: tuple[CachedProgramBody, ...]
 
 
 class ExportBody(WireModel):
--- a/libs/upstreams/tests/test_engine.py
+++ b/libs/upstreams/tests/test_engine.py
@@ -267,7 +267,7 @@
         held = {"programs": [{"program_id": "p", "tokens": 64}]}
         ok = httpx.Response(200, json=held)
         client = ScriptedEngine(ok).client
-        programs = (await client.held_programs()).unwrap()
+        programs = (await client.cached_programs()).unwrap()
         self.assertEqual([p.tokens for p in programs], [64])
         cases = (
             (409, ErrorKind.CONFLICT),
--- a/libs/upstreams/tests/test_testing.py
+++ b/libs/upstreams/tests/test_testing.py
@@ -40,9 +40,9 @@
         completion = (await engine.generate(REQUEST, chunks.append)).unwrap()
         self.assertEqual(completion.text, expected_answer(("prompt",), 8))
         self.assertEqual("".join(c.text for c in chunks), completion.text)
-        self.assertEqual(len((await engine.held_programs()).unwrap()), 1)
+        self.assertEqual(len((await engine.cached_programs()).unwrap()), 1)
         await engine.release("p")
-        self.assertEqual((await engine.held_programs()).unwrap(), ())
+        self.assertEqual((await engine.cached_programs()).unwrap(), ())
 
     @settings(derandomize=True, deadline=None, max_examples=50)
     @given(st.lists(st.text(max_size=9), max_size=3), st.integers(1, 99))
--- a/tools/standins/src/masticdale_standins/engine.py
+++ b/tools/standins/src/masticdale_standins/engine.py
@@ -283,12 +283,12 @@
 
 
 @litestar.get("/v1/cache/programs")
-async def held_programs(engine: Engine) -> wire.HeldProgramsBody:
+async def held_programs(engine: Engine) -> wire.CachedProgramsBody:
     """Answers which programs hold memory."""
     held = engine.model.cache.held_by_program()
-    return wire.HeldProgramsBody(
+    return wire.CachedProgramsBody(
         programs=tuple(
-            wire.HeldProgramBody(program_id=program_id, tokens=tokens)
+            wire.CachedProgramBody(program_id=program_id, tokens=tokens)
             for program_id, tokens in held.items()
         )
     )
--- a/tools/standins/tests/test_engine.py
+++ b/tools/standins/tests/test_engine.py
@@ -62,12 +62,12 @@
         )
         whole = len("".join(following[:3])) // 16 * 4
         self.assertEqual(again.unwrap().cached_tokens, whole)
-        held = (await client.held_programs()).unwrap()
+        held = (await client.cached_programs()).unwrap()
         self.assertEqual([p.program_id for p in held], ["prog"])
         events = (await client.cache_events(0, 2)).unwrap()
         self.assertEqual({e.program_id for e in events.events}, {"prog"})
         (await client.release("prog")).unwrap()
-        self.assertEqual((await client.held_programs()).unwrap(), ())
+        self.assertEqual((await client.cached_programs()).unwrap(), ())
 
     async def test_crossed_truncated_and_silent_streams_end_whole(self):
         """The caller sees the whole answer to its own request.
@@ -128,7 +128,7 @@
             await asyncio.sleep(0.1)
             after = (await client.health()).value_or(before)
         self.assertNotEqual(after.incarnation, before.incarnation)
-        self.assertEqual((await client.held_programs()).unwrap(), ())
+        self.assertEqual((await client.cached_programs()).unwrap(), ())
         stats = await self.stats()
         self.assertEqual(list(stats["crash_count_by_digest"].values()), [1])
 
