--- a/apps/masticdale_entry/src/masticdale_entry/main.py
+++ b/apps/masticdale_entry/src/masticdale_entry/main.py
@@ -25,7 +25,7 @@
             settings: Path of the JSON settings file.
         """
         loaded = _load(settings)
-        logs.configure_bounded(loaded.host)
+        logs.configure_non_blocking(loaded.host)
         asyncio.run(_run(loaded, settings))
 
     def check(self, settings: str) -> str:
--- a/libs/common/src/masticdale_common/logs.py
+++ b/libs/common/src/masticdale_common/logs.py
@@ -75,7 +75,7 @@
     eliot.to_file(stream or sys.stderr)
 
 
-def configure_bounded(host: str) -> None:
+def configure_non_blocking(host: str) -> None:
     """Sends every log line to standard output, never waiting for a reader."""
     eliot.add_global_fields(host=host)
     stream: Any = NonBlockingStream(sys.stdout.fileno())
