--- a/apps/masticdaled/src/masticdaled/replicas/observation.py
+++ b/apps/masticdaled/src/masticdaled/replicas/observation.py
@@ -28,7 +28,7 @@
 async def observe(home: ReplicaHome, client: ModelEngine) -> None:
     """Takes an engine's load and the changes of its cache."""
     now = time.monotonic()
-    load = await client.load()
+    load = await client.load_report()
     if isinstance(load, Success):
         report = load.unwrap()
         home.prefixes.capacity_tokens = report.cache_capacity
--- a/libs/upstreams/src/masticdale_upstreams/engine.py
+++ b/libs/upstreams/src/masticdale_upstreams/engine.py
@@ -166,8 +166,8 @@
             )
         )
 
-    async def load(self) -> Result[LoadReport, Failure]:
-        """See ``ModelEngine.load``."""
+    async def load_report(self) -> Result[LoadReport, Failure]:
+        """See ``ModelEngine.load_report``."""
         outcome = await self._ask(wire.LoadBody, "GET", "/v1/load")
         return outcome.map(
             lambda body: LoadReport(
--- a/libs/upstreams/src/masticdale_upstreams/testing.py
+++ b/libs/upstreams/src/masticdale_upstreams/testing.py
@@ -134,8 +134,8 @@
         held = self.tokens_by_program.items()
         return Success(tuple(CachedProgram(*item) for item in held))
 
-    async def load(self) -> Result[LoadReport, Failure]:
-        """See ``ModelEngine.load``."""
+    async def load_report(self) -> Result[LoadReport, Failure]:
+        """See ``ModelEngine.load_report``."""
         if self.faults.down:
             return _failed(ErrorKind.NO_UPSTREAM)
         held = sum(self.tokens_by_program.values())
--- a/libs/upstreams/src/masticdale_upstreams/types.py
+++ b/libs/upstreams/src/masticdale_upstreams/types.py
@@ -191,7 +191,7 @@
         """Returns the programs that hold memory."""
         ...
 
-    async def load(self) -> Result[LoadReport, Failure]:
+    async def load_report(self) -> Result[LoadReport, Failure]:
         """Returns the latest load report."""
         ...
 
--- a/libs/upstreams/tests/test_engine.py
+++ b/libs/upstreams/tests/test_engine.py
@@ -280,7 +280,7 @@
                 outcome = await ScriptedEngine(step).client.order(order)
                 self.assertIs(outcome.failure().kind, kind)
         malformed = ScriptedEngine(httpx.Response(200, json={"x": 1})).client
-        outcome = await malformed.load()
+        outcome = await malformed.load_report()
         self.assertIs(outcome.failure().kind, ErrorKind.UPSTREAM_FAILED)
 
 
--- a/tools/standins/tests/test_engine.py
+++ b/tools/standins/tests/test_engine.py
@@ -184,7 +184,7 @@
         self.assertTrue((await client.health()).unwrap().leaving)
         await client.generate(request("r1"), lambda chunk: None)
         await asyncio.sleep(0.1)
-        load = (await client.load()).unwrap()
+        load = (await client.load_report()).unwrap()
         self.assertGreater(load.cached_tokens, 0)
         self.assertEqual((await self.stats())["calls_while_leaving"], 1)
 
