--- a/libs/common/src/masticdale_common/dumps.py
+++ b/libs/common/src/masticdale_common/dumps.py
@@ -1,4 +1,4 @@
-"""State dumps: what a process holds, on request."""
+"""Dumps of a process's internal state, collected on request."""
 
 from collections.abc import Callable, Mapping
 
@@ -11,30 +11,34 @@
     | list["JsonValue"]
     | Mapping[str, "JsonValue"]
 )
-Source = Callable[[], JsonValue]
+StateSource = Callable[[], JsonValue]
 
 
 class StateDump:
-    """Collects the state of a process's parts by part name."""
+    """Collects the state of a process's components by section name."""
 
     def __init__(self) -> None:
-        self._source_by_part: dict[str, Source] = {}
+        self._source_by_section: dict[str, StateSource] = {}
 
-    def register(self, part: str, source: Source) -> None:
-        """Adds a part.
+    def register(self, section: str, source: StateSource) -> None:
+        """Adds a section.
 
         Args:
-            part: Name of the part in the dump.
-            source: Returns the part's state as JSON values; no secrets.
+            section: Name of the section in the dump.
+            source: Returns the section's state as JSON values, without
+                secrets.
         """
-        self._source_by_part[part] = source
+        self._source_by_section[section] = source
 
     def collect(self) -> dict[str, JsonValue]:
-        """Returns the state of every part; one that fails says so."""
+        """Returns the state of every section.
+
+        A section whose source raises holds the error as ``dump_failed``.
+        """
         collected: dict[str, JsonValue] = {}
-        for part, source in self._source_by_part.items():
+        for section, source in self._source_by_section.items():
             try:
-                collected[part] = source()
+                collected[section] = source()
             except Exception as error:
-                collected[part] = {"dump_failed": repr(error)}
+                collected[section] = {"dump_failed": repr(error)}
         return collected
--- a/libs/common/src/masticdale_common/exceptions.py
+++ b/libs/common/src/masticdale_common/exceptions.py
@@ -1,11 +1,11 @@
-"""The closed list of error kinds and the one table from kind to answer."""
+"""Error kinds and the HTTP response to each of them."""
 
 import dataclasses
 import enum
 
 
 class ErrorKind(enum.StrEnum):
-    """Everything that can go wrong, as a caller or operator sees it."""
+    """Kinds of errors that callers and operators see."""
 
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
@@ -43,7 +43,7 @@
 
 
 class Executed(enum.StrEnum):
-    """Whether the refused request was run at an upstream."""
+    """Whether a failed request was executed at an upstream."""
 
     NO = "no"
     YES = "yes"
@@ -52,14 +52,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """How one error kind is answered.
+    """The response to a request that failed with one error kind.
 
     Attributes:
         status: HTTP status code.
-        ran: Whether the request ran.
-        retry_after_ms: When sending again may help; None where it never does.
-        message: What is said to the caller.
-        exit_code: Exit code of a command that ends with this error.
+        ran: Whether the request was executed.
+        retry_after_ms: Delay after which a retry may succeed; None if a retry
+            never succeeds.
+        message: Text for the caller.
+        exit_code: Exit code of a command that fails with this error.
     """
 
     status: int
@@ -186,13 +187,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failure:
-    """One failed operation: the error side of every ``Result``.
+    """A failed operation: the error type of every ``Result``.
 
     Attributes:
         kind: The error kind.
-        detail: What was wrong and where, for the reader; no secrets.
-        retry_after_ms: Overrides the table's time to come back.
-        host: The host to ask instead, where one is known.
+        detail: What failed and where, without secrets.
+        retry_after_ms: Overrides the retry delay of the kind.
+        host: The host to ask instead, if known.
     """
 
     kind: ErrorKind
@@ -202,12 +203,12 @@
 
     @property
     def response(self) -> ErrorResponse:
-        """The table's row for this kind."""
+        """The response to this error kind."""
         return ERROR_RESPONSE_BY_KIND[self.kind]
 
     @property
     def effective_retry_after_ms(self) -> int | None:
-        """When to send again: this failure's own time or the table's."""
+        """The retry delay of this failure, or else of its kind."""
         if self.retry_after_ms is not None:
             return self.retry_after_ms
         return self.response.retry_after_ms
@@ -218,7 +219,7 @@
 
 
 class MasticdaleError(Exception):
-    """A failure raised where no ``Result`` can carry it, such as at start."""
+    """Raised where no ``Result`` can carry a failure, such as at startup."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(str(failure))
--- a/libs/common/src/masticdale_common/hashing.py
+++ b/libs/common/src/masticdale_common/hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashes: rendezvous choice of a host, digests, program ids."""
+"""Stable hashes: digests, rendezvous hashing and the shards of programs."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,11 @@
 
 
 def digest(*parts: str) -> str:
-    """Returns a stable 128-bit hex digest of the parts and their borders."""
+    """Returns a 128-bit hex digest of the parts.
+
+    The length of each part is hashed too, so that ("ab", "c") and ("a", "bc")
+    differ.
+    """
     state = xxhash.xxh3_128()
     for part in parts:
         encoded = part.encode()
@@ -18,10 +22,9 @@
 
 
 def rendezvous_rank(key: str, candidates: Iterable[str]) -> list[str]:
-    """Returns hosts by rendezvous weight for a key, heaviest first.
+    """Returns candidates by rendezvous weight for a key, highest first.
 
-    Each host that leaves moves only its own keys, so a change of membership
-    disturbs as few shards and homes as possible.
+    When a candidate leaves, only the keys that ranked it first are moved.
     """
     return sorted(
         candidates,
@@ -34,11 +37,11 @@
 
 
 def rendezvous_choose(key: str, candidates: Iterable[str]) -> str | None:
-    """Returns the heaviest host for a key, or None without hosts."""
+    """Returns the candidate with the highest weight; None without any."""
     ranked = rendezvous_rank(key, candidates)
     return ranked[0] if ranked else None
 
 
 def shard_of(program_id: str, shard_count: int = SHARD_COUNT) -> int:
-    """Returns the shard a program belongs to."""
+    """Returns the number of a program's shard."""
     return xxhash.xxh3_64_intdigest(program_id.encode()) % shard_count
--- a/libs/common/src/masticdale_common/metrics.py
+++ b/libs/common/src/masticdale_common/metrics.py
@@ -8,7 +8,7 @@
 
 
 class Metrics:
-    """Counters, gauges and histograms by name, made on first use."""
+    """Counters, gauges and histograms by name, created on first use."""
 
     def __init__(self) -> None:
         self._registry = collectors.Registry()
@@ -33,7 +33,7 @@
         gauge.set(labels, value)
 
     def observe(self, name: str, value: float, **labels: str) -> None:
-        """Adds a value, in the unit the name ends in, to a histogram."""
+        """Adds a value to a histogram, in the unit that the name ends in."""
         histogram = self._histogram_by_name.get(name)
         if histogram is None:
             histogram = collectors.Histogram(
@@ -43,7 +43,7 @@
         histogram.observe(labels, value)
 
     def counter_value(self, name: str, **labels: str) -> int:
-        """Returns a counter's value; 0 where it was never counted."""
+        """Returns a counter's value, or 0 if it was never incremented."""
         counter = self._counter_by_name.get(name)
         if counter is None:
             return 0
--- a/libs/common/src/masticdale_common/settings.py
+++ b/libs/common/src/masticdale_common/settings.py
@@ -1,4 +1,4 @@
-"""Reading a process's JSON settings file into a validated model."""
+"""Loads a process's JSON settings file into a validated model."""
 
 import pathlib
 from typing import TypeVar
@@ -13,17 +13,17 @@
 
 
 class StrictModel(pydantic.BaseModel):
-    """A border model: unknown fields are errors, instances do not change."""
+    """An immutable model that rejects unknown fields."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
-def describe(error: pydantic.ValidationError, source: str) -> str:
-    """Returns one line per wrong field: file, path, value, expected.
+def describe_errors(error: pydantic.ValidationError, source: str) -> str:
+    """Returns one line per invalid field: source, path, error and value.
 
     Args:
-        error: What the validation said.
-        source: File or object the value came from.
+        error: The failed validation.
+        source: Name of the file or object that was validated.
     """
     lines = []
     for item in error.errors(include_url=False):
@@ -34,14 +34,14 @@
 
 
 def load(path: pathlib.Path, model: type[ModelT]) -> Result[ModelT, Failure]:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
 
     Args:
         path: The JSON file.
-        model: The model it must fit.
+        model: The model to validate against.
 
     Returns:
-        The settings, or INVALID_SETTINGS with each wrong field named.
+        The settings, or INVALID_SETTINGS with one line per invalid field.
     """
     try:
         text = path.read_text()
@@ -51,5 +51,5 @@
     try:
         return Success(model.model_validate_json(text))
     except pydantic.ValidationError as error:
-        detail = describe(error, str(path))
+        detail = describe_errors(error, str(path))
         return Failed(Failure(ErrorKind.INVALID_SETTINGS, detail))
--- a/libs/common/src/masticdale_common/timers.py
+++ b/libs/common/src/masticdale_common/timers.py
@@ -1,4 +1,4 @@
-"""A timer service that parts of a process subscribe to."""
+"""Periodic timers for the components of a process."""
 
 import asyncio
 import dataclasses
@@ -10,7 +10,7 @@
 
 Callback = Callable[[], Awaitable[None]]
 
-_JITTER_SHARE = 0.1
+_JITTER_RATIO = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -18,9 +18,9 @@
     """A periodic callback.
 
     Attributes:
-        name: Shown in state dumps and logs.
+        name: Name in state dumps and logs.
         period_s: Seconds between calls.
-        callback: Called again and again; an exception is logged, not raised.
+        callback: Awaited once per period; its exceptions are logged.
     """
 
     name: str
@@ -29,7 +29,7 @@
 
 
 class TimerService:
-    """Runs subscribed callbacks periodically, one task each."""
+    """Runs each subscription in a task of its own."""
 
     def __init__(self, seed: int | None = None) -> None:
         self._random = random.Random(seed)
@@ -44,11 +44,11 @@
         return time.time_ns() // 1_000_000
 
     def subscribe(self, subscription: Subscription) -> None:
-        """Starts calling the subscription's callback.
+        """Starts a subscription.
 
         Args:
-            subscription: What to call and how often; its name replaces an
-                earlier one of the same name.
+            subscription: Callback and period; replaces a running subscription
+                of the same name.
         """
         self.unsubscribe(subscription.name)
         self._task_by_name[subscription.name] = asyncio.create_task(
@@ -56,7 +56,7 @@
         )
 
     def unsubscribe(self, name: str) -> None:
-        """Stops the named subscription, if there is one."""
+        """Stops a subscription if it is running."""
         task = self._task_by_name.pop(name, None)
         if task is not None:
             task.cancel()
@@ -66,7 +66,7 @@
         return sorted(self._task_by_name)
 
     async def close(self) -> None:
-        """Stops every subscription and waits for their tasks."""
+        """Stops all subscriptions and waits for their tasks to end."""
         tasks = list(self._task_by_name.values())
         self._task_by_name.clear()
         for task in tasks:
@@ -75,9 +75,9 @@
 
     async def _run(self, subscription: Subscription) -> None:
         while True:
-            # Without jitter all hosts restarted together would call their
-            # peers in the same instant for ever.
-            jitter = self._random.uniform(-_JITTER_SHARE, _JITTER_SHARE)
+            # Without jitter, hosts that restart together would call their
+            # peers at the same instants for as long as they run.
+            jitter = self._random.uniform(-_JITTER_RATIO, _JITTER_RATIO)
             await asyncio.sleep(subscription.period_s * (1 + jitter))
             try:
                 await subscription.callback()
--- a/libs/common/tests/test_exceptions.py
+++ b/libs/common/tests/test_exceptions.py
@@ -1,4 +1,4 @@
-"""Tests of the error kinds and their table."""
+"""Tests of the error kinds and their responses."""
 
 import unittest
 
@@ -10,15 +10,15 @@
 )
 
 
-class AnswerTableTest(unittest.TestCase):
-    def test_every_kind_has_one_answer(self):
+class ErrorResponseTest(unittest.TestCase):
+    def test_every_kind_has_a_response(self):
         self.assertEqual(set(ERROR_RESPONSE_BY_KIND), set(ErrorKind))
 
-    def test_kinds_that_may_have_run_never_say_no(self):
+    def test_kinds_with_an_unknown_outcome_are_not_reported_as_not_run(self):
         for kind in (ErrorKind.OUTCOME_UNKNOWN, ErrorKind.UPSTREAM_FAILED):
             self.assertIs(ERROR_RESPONSE_BY_KIND[kind].ran, Executed.UNKNOWN)
 
-    def test_own_retry_time_beats_the_table(self):
+    def test_the_retry_delay_of_a_failure_overrides_that_of_its_kind(self):
         failure = Failure(ErrorKind.OVERLOADED, retry_after_ms=7)
         self.assertEqual(failure.effective_retry_after_ms, 7)
 
--- a/libs/common/tests/test_logs.py
+++ b/libs/common/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of logs that are bounded and never waited for."""
+"""Tests of the rate limit and the non-blocking stream of logs."""
 
 import io
 import json
@@ -16,8 +16,8 @@
         eliot.add_destinations(self.lines.append)
         self.addCleanup(eliot.remove_destination, self.lines.append)
 
-    def test_a_burst_of_one_kind_is_cut_and_counted(self):
-        """A burst of callers must not become a burst of log lines."""
+    def test_a_burst_of_one_message_type_is_limited(self):
+        """A burst of requests must not flood the log."""
         for number in range(500):
             logs.write_bounded("burst_test", number=number)
         kept = [m for m in self.lines if m["message_type"] == "burst_test"]
@@ -27,11 +27,11 @@
 
 
 class NonBlockingStreamTest(unittest.TestCase):
-    def test_a_reader_that_stops_holds_nobody_up(self):
-        """The process would stand still as long as its log is not read.
+    def test_a_stopped_reader_does_not_block_the_writer(self):
+        """A blocked write would stop the whole process.
 
-        Nothing reads the pipe: writing goes on, memory stays bounded, and
-        once somebody reads, a line says how many were left out.
+        The buffer stays bounded, and dropped lines are reported once the
+        reader continues.
         """
         reader, writer = os.pipe()
         stream = logs.NonBlockingStream(writer)
