--- a/libs/upstreams/src/masticdale_upstreams/connections.py
+++ b/libs/upstreams/src/masticdale_upstreams/connections.py
@@ -1,4 +1,4 @@
-"""HTTP connections that are replaced once one of them went silent."""
+"""HTTP connection pools that are replaced when a connection stops answering."""
 
 import asyncio
 import contextlib
@@ -9,31 +9,30 @@
 import httpx
 
 _KEEPALIVE_EXPIRY_S = 5.0
-_CONNECT_SHARE = 0.5
+_CONNECT_TIMEOUT_RATIO = 0.5
 _LIMITS = httpx.Limits(
     max_connections=None,
     max_keepalive_connections=32,
     keepalive_expiry=_KEEPALIVE_EXPIRY_S,
 )
 
-NEVER_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Pool:
     http: httpx.AsyncClient
-    users: int = 0
+    active_calls: int = 0
 
 
 class Connections:
     """The connections to one upstream.
 
-    Between the two ends something may lose track of a connection: it takes
-    our bytes and never answers, while new connections work. The idle ones of
-    the same pool are likely as dead, and a call sent on one would wait out
-    its whole timeout again. So a silent connection retires the whole pool:
-    later calls open new connections, and calls under way keep the old pool
-    until they end.
+    A middlebox may drop the state of a connection, which then accepts bytes
+    and never answers. Idle connections of the same pool are likely affected
+    too, and each would cost one more call its whole timeout. A timeout
+    therefore retires the whole pool: later calls open new connections, and
+    calls in flight keep the old pool until they end.
     """
 
     def __init__(self, make_http: Callable[[], httpx.AsyncClient]) -> None:
@@ -41,57 +40,61 @@
         self._current = _Pool(make_http())
 
     @contextlib.asynccontextmanager
-    async def lease(self) -> AsyncIterator[httpx.AsyncClient]:
-        """Lends the current pool's client for one call."""
+    async def acquire(self) -> AsyncIterator[httpx.AsyncClient]:
+        """Provides the client of the current pool for one call."""
         pool = self._current
-        pool.users += 1
+        pool.active_calls += 1
         try:
             yield pool.http
         finally:
-            pool.users -= 1
-            if pool is not self._current and not pool.users:
+            pool.active_calls -= 1
+            if pool is not self._current and not pool.active_calls:
                 await pool.http.aclose()
 
     async def send(
         self, method: str, path: str, timeout_s: float, **options: Any
     ) -> httpx.Response:
-        """Sends one request, once, and reads its whole answer.
+        """Sends a request without retries and reads the whole response.
 
         Args:
             method: HTTP method.
             path: Path at the upstream.
-            timeout_s: Longest wait for the whole answer.
+            timeout_s: Longest wait for the whole response.
             **options: Passed on to httpx.
 
         Returns:
-            The answer, whatever its status.
+            The response, whatever its status.
 
         Raises:
             httpx.ConnectError: No connection was made; nothing was sent.
-            httpx.ConnectTimeout: The same.
+            httpx.ConnectTimeout: As for ``httpx.ConnectError``.
             httpx.HTTPError: The connection broke.
-            TimeoutError: The answer did not come in time.
+            TimeoutError: The response did not arrive in time.
         """
-        # The connect gets less than the whole time, so that a host that takes
-        # no connection is told from one that took the request.
-        limits = httpx.Timeout(timeout_s, connect=timeout_s * _CONNECT_SHARE)
-        async with self.lease() as http:
+        # The connect timeout is shorter than that of the call, to tell a host
+        # that accepts no connection from one that received the request.
+        timeouts = httpx.Timeout(
+            timeout_s, connect=timeout_s * _CONNECT_TIMEOUT_RATIO
+        )
+        async with self.acquire() as http:
             try:
                 async with asyncio.timeout(timeout_s):
                     return await http.request(
-                        method, path, timeout=limits, **options
+                        method, path, timeout=timeouts, **options
                     )
             except (httpx.ReadTimeout, httpx.WriteTimeout, TimeoutError) as e:
-                self.replace(http)
-                raise TimeoutError(f"{path}: no answer") from e
+                self.retire_pool(http)
+                raise TimeoutError(
+                    f"{path}: no response before the timeout"
+                ) from e
 
-    def replace(self, silent: httpx.AsyncClient) -> None:
-        """Retires the pool of a connection that went silent.
+    def retire_pool(self, client: httpx.AsyncClient) -> None:
+        """Replaces the pool of a connection that stopped answering.
 
         Args:
-            silent: The lent client; nothing happens if it is retired already.
+            client: Client of that pool; ignored if it is retired already.
         """
-        if self._current.http is silent:
+        if self._current.http is client:
             self._current = _Pool(self._make_http())
 
     async def close(self) -> None:
@@ -106,8 +109,9 @@
         base_url: Scheme, IP number and port.
         timeout_s: Longest wait for one connect, read or write.
     """
-    # One context for all pools: loading the authorities takes longer than a
-    # call, and a pool is replaced just when calls are late already.
+    # All pools share one TLS context: loading the certificate authorities
+    # takes longer than a call, and pools are replaced when calls are already
+    # late.
     context = httpx.create_ssl_context()
 
     def make_http() -> httpx.AsyncClient:
--- a/libs/upstreams/src/masticdale_upstreams/engine.py
+++ b/libs/upstreams/src/masticdale_upstreams/engine.py
@@ -1,4 +1,4 @@
-"""A ``ModelEngine`` over HTTP; ``wire`` lists the messages."""
+"""A ``ModelEngine`` over HTTP; ``wire`` defines the messages."""
 
 import asyncio
 import dataclasses
@@ -14,7 +14,7 @@
 from masticdale_common import ErrorKind, Failure, Metrics, hashing
 from masticdale_upstreams import wire
 from masticdale_upstreams.connections import (
-    NEVER_SENT,
+    NOT_SENT_ERRORS,
     Connections,
     create_connections,
 )
@@ -32,8 +32,8 @@
 
 _MAX_LINE_BYTES = 1_000_000
 _EVENTS_GRACE_S = 2.0
-_STREAM_LINE: pydantic.TypeAdapter[wire.StreamLine] = pydantic.TypeAdapter(
-    wire.StreamLine
+_STREAM_LINE_ADAPTER: pydantic.TypeAdapter[wire.StreamLine] = (
+    pydantic.TypeAdapter(wire.StreamLine)
 )
 _KIND_BY_STATUS: dict[int, ErrorKind] = {
     httpx.codes.BAD_REQUEST: ErrorKind.BAD_REQUEST,
@@ -46,19 +46,20 @@
 }
 
 BodyT = TypeVar("BodyT", bound=wire.WireModel)
-Outcome = Result[Completion, Failure]
+GenerateResult = Result[Completion, Failure]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineOptions:
-    """How to talk to one replica.
+    """Address and limits of one replica.
 
     Attributes:
-        base_url: Scheme, IP number and port.
-        call_timeout_s: Longest wait for the answer of a short call.
-        progress_timeout_s: Longest silence on a stream; longer than the
-            engine's pause between keep-alive lines.
-        max_resumes: Most new connections for one call's stream.
+        base_url: Scheme, IP address and port.
+        call_timeout_s: Longest wait for the response to a call that does not
+            stream.
+        progress_timeout_s: Longest time without a line on a stream; must
+            exceed the engine's interval between keep-alive lines.
+        max_resumes: Most new connections to resume the stream of one call.
     """
 
     base_url: str
@@ -68,11 +69,11 @@
 
 
 class _StreamBrokenError(Exception):
-    """The stream ended or erred before its end marker."""
+    """The stream ended or failed before its end marker."""
 
 
-class _Answer:
-    """One answer as far as it has arrived."""
+class _StreamAssembler:
+    """Assembles the generated text of one call from its stream lines."""
 
     def __init__(
         self, request_id: str, on_chunk: Callable[[Chunk], None]
@@ -82,8 +83,8 @@
         self._on_chunk = on_chunk
         self._texts: list[str] = []
 
-    def take(self, line: wire.TextLine) -> None:
-        """Adds a line's text and passes it on."""
+    def append(self, line: wire.TextLine) -> None:
+        """Adds the text of a line and passes it to the caller."""
         if line.offset != self.length:
             raise _StreamBrokenError("offset is not contiguous")
         if not line.text:
@@ -92,14 +93,14 @@
         self.length += len(line.text)
         self._on_chunk(Chunk(line.offset, line.text))
 
-    def finish(self, line: wire.EndLine) -> Outcome:
-        """Checks the whole answer against its end marker."""
+    def finish(self, line: wire.EndLine) -> GenerateResult:
+        """Checks the text against the end marker."""
         if line.length > self.length:
             raise _StreamBrokenError("text is missing before the end marker")
         text = "".join(self._texts)
         if line.length < self.length or line.digest != hashing.digest(text):
-            # The text was passed on already, so resuming can't mend it.
-            detail = "the answer does not match its end marker"
+            # The caller already has the text, so a resume cannot correct it.
+            detail = "the text does not match the end marker's length or digest"
             return Failed(Failure(ErrorKind.UPSTREAM_FAILED, detail))
         return Success(
             Completion(
@@ -123,41 +124,41 @@
         self._cancellations: set[asyncio.Task[Any]] = set()
 
     async def close(self) -> None:
-        """Waits for cancellations under way and closes all connections."""
+        """Waits for pending cancellations and closes all connections."""
         await asyncio.gather(*self._cancellations, return_exceptions=True)
         await self._connections.close()
 
     async def generate(
         self, request: GenerateRequest, on_chunk: Callable[[Chunk], None]
-    ) -> Outcome:
+    ) -> GenerateResult:
         """See ``ModelEngine.generate``."""
-        answer = _Answer(request.request_id, on_chunk)
+        assembler = _StreamAssembler(request.request_id, on_chunk)
         try:
             async with asyncio.timeout(request.deadline_s):
-                return await self._generate(request, answer)
+                return await self._generate(request, assembler)
         except TimeoutError:
-            self._cancel_later(request.request_id)
+            self._cancel_in_background(request.request_id)
             return Failed(Failure(ErrorKind.DEADLINE_EXCEEDED))
         except asyncio.CancelledError:
-            self._cancel_later(request.request_id)
+            self._cancel_in_background(request.request_id)
             raise
 
     async def cancel(self, request_id: str) -> Result[None, Failure]:
         """See ``ModelEngine.cancel``."""
-        return await self._command(
+        return await self._send_command(
             "DELETE", f"/v1/streams/{_quote(request_id)}"
         )
 
     async def release(self, program_id: str) -> Result[None, Failure]:
         """See ``ModelEngine.release``."""
         path = f"/v1/cache/programs/{_quote(program_id)}"
-        return await self._command("DELETE", path)
+        return await self._send_command("DELETE", path)
 
     async def cached_programs(
         self,
     ) -> Result[tuple[CachedProgram, ...], Failure]:
         """See ``ModelEngine.cached_programs``."""
-        outcome = await self._ask(
+        outcome = await self._fetch(
             wire.CachedProgramsBody, "GET", "/v1/cache/programs"
         )
         return outcome.map(
@@ -168,7 +169,7 @@
 
     async def load_report(self) -> Result[LoadReport, Failure]:
         """See ``ModelEngine.load_report``."""
-        outcome = await self._ask(wire.LoadBody, "GET", "/v1/load")
+        outcome = await self._fetch(wire.LoadBody, "GET", "/v1/load")
         return outcome.map(
             lambda body: LoadReport(
                 body.running,
@@ -181,14 +182,14 @@
 
     async def health(self) -> Result[Health, Failure]:
         """See ``ModelEngine.health``."""
-        outcome = await self._ask(wire.HealthBody, "GET", "/v1/health")
+        outcome = await self._fetch(wire.HealthBody, "GET", "/v1/health")
         return outcome.map(lambda body: Health(body.incarnation, body.leaving))
 
     async def cache_events(
         self, position: int, wait_s: float
     ) -> Result[CacheEvents, Failure]:
         """See ``ModelEngine.cache_events``."""
-        outcome = await self._ask(
+        outcome = await self._fetch(
             wire.CacheEventsBody,
             "GET",
             "/v1/cache/events",
@@ -202,7 +203,7 @@
     ) -> Result[str, Failure]:
         """See ``ModelEngine.export_cache``."""
         body = wire.ExportBody(program_id=program_id, branch_id=branch_id)
-        outcome = await self._ask(
+        outcome = await self._fetch(
             wire.ExportedBody,
             "POST",
             "/v1/cache/export",
@@ -212,7 +213,7 @@
 
     async def import_cache(self, handle: str) -> Result[int, Failure]:
         """See ``ModelEngine.import_cache``."""
-        outcome = await self._ask(
+        outcome = await self._fetch(
             wire.ImportedBody,
             "POST",
             "/v1/cache/import",
@@ -225,13 +226,13 @@
         body = wire.OrderBody(
             kind=order.kind, argument=order.argument, fencing=order.fencing
         )
-        return await self._command(
+        return await self._send_command(
             "POST", "/v1/orders", content=body.model_dump_json()
         )
 
     async def _generate(
-        self, request: GenerateRequest, answer: _Answer
-    ) -> Outcome:
+        self, request: GenerateRequest, assembler: _StreamAssembler
+    ) -> GenerateResult:
         body = wire.GenerateBody(
             request_id=request.request_id,
             program_id=request.program_id,
@@ -243,31 +244,34 @@
         )
         try:
             return await self._stream(
-                answer, "POST", "/v1/generate", content=body.model_dump_json()
+                assembler,
+                "POST",
+                "/v1/generate",
+                content=body.model_dump_json(),
             )
-        except NEVER_SENT as error:
+        except NOT_SENT_ERRORS as error:
             return Failed(Failure(ErrorKind.NO_UPSTREAM, repr(error)))
         except _StreamBrokenError as error:
             reason = str(error)
         for _ in range(self._options.max_resumes):
             self._metrics.count("engine_stream_resumes_total")
             try:
-                return await self._resume(answer)
+                return await self._resume(assembler)
             except _StreamBrokenError as error:
                 reason = str(error)
-        self._cancel_later(answer.request_id)
+        self._cancel_in_background(assembler.request_id)
         return Failed(Failure(ErrorKind.UPSTREAM_FAILED, reason))
 
-    async def _resume(self, answer: _Answer) -> Outcome:
-        path = f"/v1/streams/{_quote(answer.request_id)}"
+    async def _resume(self, assembler: _StreamAssembler) -> GenerateResult:
+        path = f"/v1/streams/{_quote(assembler.request_id)}"
         try:
             outcome = await self._stream(
-                answer, "GET", path, params={"offset": answer.length}
+                assembler, "GET", path, params={"offset": assembler.length}
             )
-        except NEVER_SENT as error:
+        except NOT_SENT_ERRORS as error:
             return Failed(Failure(ErrorKind.UPSTREAM_FAILED, repr(error)))
-        # The call was sent before, so a refusal now does not say that it has
-        # not run.
+        # The call was sent already, so a refusal of the resume does not mean
+        # that it was not executed.
         return outcome.lash(
             lambda failure: Failed(
                 Failure(ErrorKind.UPSTREAM_FAILED, failure.detail)
@@ -275,17 +279,21 @@
         )
 
     async def _stream(
-        self, answer: _Answer, method: str, path: str, **options: Any
-    ) -> Outcome:
-        """Reads the answer's lines from one new request.
+        self,
+        assembler: _StreamAssembler,
+        method: str,
+        path: str,
+        **options: Any,
+    ) -> GenerateResult:
+        """Sends one request and reads stream lines from its response.
 
         Raises:
-            _StreamBrokenError: When the rest must be read by a new request.
+            _StreamBrokenError: The rest must be read by another request.
         """
-        async with self._connections.lease() as http:
+        async with self._connections.acquire() as http:
             try:
-                # httpx keeps no connection whose body was left unread, so a
-                # broken stream's connection is never used again.
+                # httpx does not reuse a connection whose body was not read to
+                # its end, so the connection of a broken stream is closed.
                 async with http.stream(
                     method,
                     path,
@@ -293,57 +301,57 @@
                     **options,
                 ) as response:
                     if response.status_code != httpx.codes.OK:
-                        return Failed(_refusal(response))
-                    return await self._read_lines(response, answer)
-            except NEVER_SENT:
+                        return Failed(_refusal_failure(response))
+                    return await self._read_lines(response, assembler)
+            except NOT_SENT_ERRORS:
                 raise
             except (httpx.TimeoutException, TimeoutError) as error:
                 self._metrics.count("engine_streams_silent_total")
-                self._connections.replace(http)
-                raise _StreamBrokenError("no progress") from error
+                self._connections.retire_pool(http)
+                raise _StreamBrokenError("no line arrived in time") from error
             except httpx.HTTPError as error:
                 raise _StreamBrokenError(repr(error)) from error
 
     async def _read_lines(
-        self, response: httpx.Response, answer: _Answer
-    ) -> Outcome:
+        self, response: httpx.Response, assembler: _StreamAssembler
+    ) -> GenerateResult:
         lines = _split_lines(response)
         while True:
-            # httpx's timeout bounds each read: a peer that drips bytes of an
-            # endless line would hold the call without any progress.
+            # httpx's timeout bounds each read: a peer that sends single bytes
+            # of an endless line would keep the call open without progress.
             async with asyncio.timeout(self._options.progress_timeout_s):
                 raw = await anext(lines, None)
             if raw is None:
                 raise _StreamBrokenError("the end marker is missing")
             try:
-                line = _STREAM_LINE.validate_json(raw)
+                line = _STREAM_LINE_ADAPTER.validate_json(raw)
             except pydantic.ValidationError as error:
                 self._metrics.count("engine_lines_malformed_total")
-                raise _StreamBrokenError("malformed line") from error
-            if line.request_id != answer.request_id:
-                # An engine that mixes its streams up would give one caller
-                # another's text. No later line of this connection is to be
-                # trusted either; the resume asks for our text by its id.
+                raise _StreamBrokenError("a line is malformed") from error
+            if line.request_id != assembler.request_id:
+                # An engine that mixes up its streams would give one caller the
+                # text of another. Later lines of this connection are not
+                # trusted either; the resume requests the text by its id.
                 self._metrics.count("engine_lines_crossed_total")
-                raise _StreamBrokenError("a line of another request")
+                raise _StreamBrokenError("a line belongs to another request")
             if isinstance(line, wire.EndLine):
-                return answer.finish(line)
-            answer.take(line)
+                return assembler.finish(line)
+            assembler.append(line)
 
-    def _cancel_later(self, request_id: str) -> None:
+    def _cancel_in_background(self, request_id: str) -> None:
         task = asyncio.create_task(self.cancel(request_id))
         self._cancellations.add(task)
         task.add_done_callback(self._cancellations.discard)
 
-    async def _command(
+    async def _send_command(
         self, method: str, path: str, **options: Any
     ) -> Result[None, Failure]:
-        return (await self._call(method, path, **options)).map(lambda _: None)
+        return (await self._send(method, path, **options)).map(lambda _: None)
 
-    async def _ask(
+    async def _fetch(
         self, body_type: type[BodyT], method: str, path: str, **options: Any
     ) -> Result[BodyT, Failure]:
-        outcome = await self._call(method, path, **options)
+        outcome = await self._send(method, path, **options)
         if isinstance(outcome, Failed):
             return outcome
         try:
@@ -354,7 +362,7 @@
             detail = f"{path}: {error.error_count()} malformed fields"
             return Failed(Failure(ErrorKind.UPSTREAM_FAILED, detail))
 
-    async def _call(
+    async def _send(
         self, method: str, path: str, timeout_s: float = 0, **options: Any
     ) -> Result[httpx.Response, Failure]:
         limit_s = timeout_s or self._options.call_timeout_s
@@ -362,23 +370,23 @@
             response = await self._connections.send(
                 method, path, limit_s, **options
             )
-        except NEVER_SENT as error:
+        except NOT_SENT_ERRORS as error:
             return Failed(Failure(ErrorKind.NO_UPSTREAM, repr(error)))
         except (httpx.HTTPError, TimeoutError) as error:
             return Failed(Failure(ErrorKind.UPSTREAM_FAILED, repr(error)))
         if response.is_success:
             return Success(response)
-        return Failed(_refusal(response))
+        return Failed(_refusal_failure(response))
 
 
 async def _split_lines(response: httpx.Response) -> AsyncIterator[bytes]:
-    # httpx's own line reader also splits at the Unicode line separators,
-    # which may stand unescaped inside JSON text.
-    rest = b""
+    # httpx's own line reader also splits at Unicode line separators, which
+    # JSON strings may contain unescaped.
+    remainder = b""
     async for data in response.aiter_raw():
-        *lines, rest = (rest + data).split(b"\n")
-        if len(rest) > _MAX_LINE_BYTES:
-            raise _StreamBrokenError("a line is too long")
+        *lines, remainder = (remainder + data).split(b"\n")
+        if len(remainder) > _MAX_LINE_BYTES:
+            raise _StreamBrokenError("a line exceeds the size limit")
         for line in lines:
             yield line
 
@@ -387,7 +395,7 @@
     return urllib.parse.quote(part, safe="")
 
 
-def _refusal(response: httpx.Response) -> Failure:
+def _refusal_failure(response: httpx.Response) -> Failure:
     detail = f"{response.url.path}: status {response.status_code}"
     if response.headers.get(wire.NOT_RUN_HEADER) == wire.NOT_RUN_VALUE:
         return Failure(ErrorKind.NO_UPSTREAM, detail)
@@ -409,8 +417,8 @@
     """Returns a client of one replica.
 
     Args:
-        options: How to talk to it.
-        metrics: Counts resumes, silent streams and crossed lines.
+        options: Its address and limits.
+        metrics: Counts resumes, stalled streams and lines of other requests.
     """
     connections = create_connections(options.base_url, options.call_timeout_s)
     return EngineClient(options, connections, metrics)
--- a/libs/upstreams/src/masticdale_upstreams/service.py
+++ b/libs/upstreams/src/masticdale_upstreams/service.py
@@ -1,4 +1,4 @@
-"""A ``PlainService`` over HTTP; ``wire`` lists the messages."""
+"""A ``PlainService`` over HTTP; ``wire`` defines the messages."""
 
 import dataclasses
 import urllib.parse
@@ -11,7 +11,7 @@
 from masticdale_common import ErrorKind, Failure, Metrics
 from masticdale_upstreams import wire
 from masticdale_upstreams.connections import (
-    NEVER_SENT,
+    NOT_SENT_ERRORS,
     Connections,
     create_connections,
 )
@@ -24,11 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceOptions:
-    """How to talk to one replica.
+    """Address and timeout of one replica.
 
     Attributes:
-        base_url: Scheme, IP number and port.
-        call_timeout_s: Longest wait for the answer of a lookup.
+        base_url: Scheme, IP address and port.
+        call_timeout_s: Longest wait for the response to a lookup or a health
+            check.
     """
 
     base_url: str
@@ -56,9 +57,8 @@
         self, request: ServiceRequest
     ) -> Result[ServiceReply, Failure]:
         """See ``PlainService.call``."""
-        # Neither httpx nor this code sends again: the call may be one that
-        # must not run twice, and after the first byte nobody here can tell
-        # whether it ran.
+        # The request is never retried here: the operation may not be safe to
+        # execute twice, and once a byte is sent it may have been executed.
         try:
             response = await self._connections.send(
                 "POST",
@@ -72,17 +72,17 @@
                     payload=request.payload
                 ).model_dump_json(),
             )
-        except NEVER_SENT as error:
+        except NOT_SENT_ERRORS as error:
             return Failed(Failure(ErrorKind.NO_UPSTREAM, repr(error)))
         except (httpx.HTTPError, TimeoutError) as error:
             return Failed(Failure(ErrorKind.OUTCOME_UNKNOWN, repr(error)))
         if response.is_success:
-            return self._match(response, request.key).lash(
+            return self._parse_reply(response, request.key).lash(
                 lambda failure: Failed(
                     Failure(ErrorKind.OUTCOME_UNKNOWN, failure.detail)
                 )
             )
-        return Failed(_refusal(response))
+        return Failed(_refusal_failure(response))
 
     async def lookup(self, key: str) -> Result[ServiceReply | None, Failure]:
         """See ``PlainService.lookup``."""
@@ -91,10 +91,10 @@
             return outcome
         response = outcome.unwrap()
         if response.status_code == httpx.codes.NOT_FOUND:
-            return self._match_unknown(response, key)
+            return self._parse_unknown_key(response, key)
         if response.is_success:
-            return self._match(response, key)
-        return Failed(_failed_status(response))
+            return self._parse_reply(response, key)
+        return Failed(_status_failure(response))
 
     async def health(self) -> Result[Health, Failure]:
         """See ``PlainService.health``."""
@@ -103,41 +103,42 @@
             return outcome
         response = outcome.unwrap()
         if not response.is_success:
-            return Failed(_failed_status(response))
+            return Failed(_status_failure(response))
         try:
             body = wire.HealthBody.model_validate_json(response.content)
         except pydantic.ValidationError:
-            return Failed(_malformed(response))
+            return Failed(_malformed_failure(response))
         return Success(Health(body.incarnation, body.leaving))
 
-    def _match(
+    def _parse_reply(
         self, response: httpx.Response, key: str
     ) -> Result[ServiceReply, Failure]:
         try:
             body = wire.OutcomeBody.model_validate_json(response.content)
         except pydantic.ValidationError:
-            return Failed(_malformed(response))
+            return Failed(_malformed_failure(response))
         if body.key != key:
-            return Failed(self._crossed())
+            return Failed(self._key_mismatch())
         return Success(ServiceReply(body.key, body.result))
 
-    def _match_unknown(
+    def _parse_unknown_key(
         self, response: httpx.Response, key: str
     ) -> Result[ServiceReply | None, Failure]:
-        # A 404 also comes from anything on the way that doesn't know the
-        # path. Taken for the service's word it would let a call that ran be
-        # answered as not run, so the service must repeat the key.
+        # A proxy that does not know the path also answers 404. Without the key
+        # in the body, such a 404 would report an executed call as not run.
         try:
             body = wire.UnknownKeyBody.model_validate_json(response.content)
         except pydantic.ValidationError:
-            return Failed(_malformed(response))
+            return Failed(_malformed_failure(response))
         if body.key != key:
-            return Failed(self._crossed())
+            return Failed(self._key_mismatch())
         return Success(None)
 
-    def _crossed(self) -> Failure:
+    def _key_mismatch(self) -> Failure:
         self._metrics.count("service_answers_crossed_total")
-        return Failure(ErrorKind.UPSTREAM_FAILED, "another call's answer")
+        return Failure(
+            ErrorKind.UPSTREAM_FAILED, "the response is for another key"
+        )
 
     async def _get(self, path: str) -> Result[httpx.Response, Failure]:
         try:
@@ -146,7 +147,7 @@
                     "GET", path, self._options.call_timeout_s
                 )
             )
-        except NEVER_SENT as error:
+        except NOT_SENT_ERRORS as error:
             return Failed(Failure(ErrorKind.NO_UPSTREAM, repr(error)))
         except (httpx.HTTPError, TimeoutError) as error:
             return Failed(Failure(ErrorKind.UPSTREAM_FAILED, repr(error)))
@@ -156,7 +157,7 @@
     return urllib.parse.quote(part, safe="")
 
 
-def _refusal(response: httpx.Response) -> Failure:
+def _refusal_failure(response: httpx.Response) -> Failure:
     detail = f"status {response.status_code}"
     not_run = response.headers.get(wire.NOT_RUN_HEADER) == wire.NOT_RUN_VALUE
     is_unavailable = response.status_code == httpx.codes.SERVICE_UNAVAILABLE
@@ -167,13 +168,13 @@
     return Failure(ErrorKind.OUTCOME_UNKNOWN, detail)
 
 
-def _failed_status(response: httpx.Response) -> Failure:
+def _status_failure(response: httpx.Response) -> Failure:
     detail = f"status {response.status_code}"
     return Failure(ErrorKind.UPSTREAM_FAILED, detail)
 
 
-def _malformed(response: httpx.Response) -> Failure:
-    detail = f"malformed answer with status {response.status_code}"
+def _malformed_failure(response: httpx.Response) -> Failure:
+    detail = f"malformed response with status {response.status_code}"
     return Failure(ErrorKind.UPSTREAM_FAILED, detail)
 
 
@@ -183,8 +184,8 @@
     """Returns a client of one replica.
 
     Args:
-        options: How to talk to it.
-        metrics: Counts crossed answers.
+        options: Its address and timeout.
+        metrics: Counts responses for another key.
     """
     connections = create_connections(options.base_url, options.call_timeout_s)
     return ServiceClient(options, connections, metrics)
--- a/libs/upstreams/src/masticdale_upstreams/testing.py
+++ b/libs/upstreams/src/masticdale_upstreams/testing.py
@@ -1,4 +1,4 @@
-"""A ``ModelEngine`` and a ``PlainService`` in memory that fail on request."""
+"""In-memory ``ModelEngine`` and ``PlainService`` with injected faults."""
 
 import asyncio
 import dataclasses
@@ -26,11 +26,11 @@
 CHARACTERS_PER_TOKEN = 4
 _DIGEST_CHARACTERS = 32
 _PERCENT = 100
-_SHORTEST_ANSWER_PERCENT = 50
+_MIN_ANSWER_PERCENT = 50
 
 
 def tokens_in(text: str) -> int:
-    """Returns how many tokens a text has, the last one perhaps not full."""
+    """Returns the number of tokens of a text, rounded up."""
     return -(-len(text) // CHARACTERS_PER_TOKEN)
 
 
@@ -38,15 +38,15 @@
     """Returns the text that a test engine generates.
 
     Args:
-        prompt: The prompt's parts; only their joined text counts.
-        max_tokens: Most tokens; the answer has half to all of them.
+        prompt: Parts of the prompt; the result depends on their joined text.
+        max_tokens: Most tokens; the result has between half and all of them.
 
     Returns:
-        The whole answer, the same for the same arguments.
+        The generated text, deterministic for the arguments.
     """
     seed = hashing.digest("".join(prompt))
-    spread = _PERCENT - _SHORTEST_ANSWER_PERCENT + 1
-    percent = _SHORTEST_ANSWER_PERCENT + int(seed[:8], 16) % spread
+    spread = _PERCENT - _MIN_ANSWER_PERCENT + 1
+    percent = _MIN_ANSWER_PERCENT + int(seed[:8], 16) % spread
     tokens = max(1, max_tokens * percent // _PERCENT)
     length = tokens * CHARACTERS_PER_TOKEN
     repeats = -(-length // _DIGEST_CHARACTERS)
@@ -57,28 +57,30 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineFaults:
-    """What goes wrong at a ``FakeEngine`` until it is reset.
+    """Faults that a ``FakeEngine`` injects until they are reset.
 
     Attributes:
         down: Every call fails before it is sent.
-        delay_s: Each call takes this long.
-        cuts: This many calls fail with UPSTREAM_FAILED after a first chunk.
-        freeze: Calls give a first chunk and then nothing until the deadline.
-        lose_answers: This many short calls (release, orders) take effect and
-            answer UPSTREAM_FAILED.
-        crash_marker: A prompt that contains it crashes the engine.
+        delay_s: Duration of each call.
+        broken_streams: Number of calls that fail with UPSTREAM_FAILED after
+            the first chunk.
+        stall_streams: Calls send the first chunk and then nothing until the
+            deadline.
+        lose_answers: Number of short calls (release, orders) that take effect,
+            but fail with UPSTREAM_FAILED.
+        crash_marker: Text in a prompt that crashes the engine.
     """
 
     down: bool = False
     delay_s: float = 0.0
-    cuts: int = 0
-    freeze: bool = False
+    broken_streams: int = 0
+    stall_streams: bool = False
     lose_answers: int = 0
     crash_marker: str = ""
 
 
 class FakeEngine:
-    """A replica in memory; what crosses on the wire does not reach it."""
+    """An in-memory ``ModelEngine`` that never mixes up its streams."""
 
     def __init__(self, cache_capacity: int = 1_000_000) -> None:
         self.faults = EngineFaults()
@@ -192,7 +194,7 @@
         return await self._acknowledge()
 
     def crash(self) -> None:
-        """Loses all memory and breaks every call under way."""
+        """Clears the cache and fails all calls in flight."""
         self.crash_count += 1
         self.tokens_by_program.clear()
         self._crashed.set()
@@ -208,15 +210,15 @@
         answer = expected_answer(request.prompt, request.max_tokens)
         half = len(answer) // 2
         on_chunk(Chunk(0, answer[:half]))
-        if self.faults.freeze:
+        if self.faults.stall_streams:
             await asyncio.Event().wait()
         if await self._crashes_within(self.faults.delay_s):
             return _failed(ErrorKind.UPSTREAM_FAILED)
-        if self.faults.cuts:
-            self.faults.cuts -= 1
+        if self.faults.broken_streams:
+            self.faults.broken_streams -= 1
             return _failed(ErrorKind.UPSTREAM_FAILED)
         on_chunk(Chunk(half, answer[half:]))
-        return Success(self._complete(request, prompt, answer))
+        return Success(self._build_completion(request, prompt, answer))
 
     async def _crashes_within(self, seconds: float) -> bool:
         crashed = self._crashed
@@ -227,7 +229,7 @@
             return False
         return True
 
-    def _complete(
+    def _build_completion(
         self, request: GenerateRequest, prompt: str, answer: str
     ) -> Completion:
         prompt_tokens = tokens_in(prompt)
@@ -249,14 +251,16 @@
 
 @dataclasses.dataclass(slots=True)
 class ServiceFaults:
-    """What goes wrong at a ``FakeService`` until it is reset.
+    """Faults that a ``FakeService`` injects until they are reset.
 
     Attributes:
-        down: Calls are refused before they are sent.
-        delay_s: Each call takes this long before it runs.
-        hang: Calls run and never answer; they end at their timeout.
-        lose_answers: This many calls run and answer OUTCOME_UNKNOWN.
-        drop_calls: This many calls do not run and answer OUTCOME_UNKNOWN.
+        down: Calls fail before they are sent.
+        delay_s: Delay before each call is executed.
+        hang: Calls are executed, but return only at their timeout.
+        lose_answers: Number of calls that are executed, but fail with
+            OUTCOME_UNKNOWN.
+        drop_calls: Number of calls that are not executed and fail with
+            OUTCOME_UNKNOWN.
         lookup_down: Lookups fail.
     """
 
@@ -269,7 +273,7 @@
 
 
 class FakeService:
-    """A service in memory that counts every execution by key."""
+    """An in-memory ``PlainService`` that counts executions by key."""
 
     def __init__(self) -> None:
         self.faults = ServiceFaults()
@@ -321,7 +325,7 @@
 
 
 def expected_result(operation: str, payload: str) -> str:
-    """Returns the JSON text that a test service answers."""
+    """Returns the JSON text that a test service returns."""
     return f'{{"done":"{hashing.digest(operation, payload)}"}}'
 
 
--- a/libs/upstreams/src/masticdale_upstreams/types.py
+++ b/libs/upstreams/src/masticdale_upstreams/types.py
@@ -1,7 +1,7 @@
-"""What model engines and plain services offer, as the daemon sees them.
+"""Interfaces of model engines and plain services.
 
-``ModelEngine`` and ``PlainService`` are the narrow interfaces; the modules
-``engine`` and ``service`` speak HTTP, ``testing`` holds fakes.
+The modules ``engine`` and ``service`` implement ``ModelEngine`` and
+``PlainService`` over HTTP; ``testing`` has fakes of both.
 """
 
 import dataclasses
@@ -19,13 +19,14 @@
     """One model call.
 
     Attributes:
-        request_id: Unique per attempt; every chunk must carry it back.
-        program_id: Owner of the engine memory the call leaves behind.
+        request_id: Unique per attempt; every stream line repeats it.
+        program_id: Program that owns the prefix left in the engine's cache.
         branch_id: Branch of the program.
-        prompt: The whole context as ordered parts: template, history, message.
+        prompt: The whole context in order: template, history, message.
         max_tokens: Most tokens to generate.
-        deadline_s: Seconds from now after which the answer is worthless.
-        fencing: Fencing number; an engine that obeys refuses smaller ones.
+        deadline_s: Seconds from now until the call is abandoned.
+        fencing: Fencing number; engines that support fencing reject lower
+            ones.
     """
 
     request_id: str
@@ -42,8 +43,8 @@
     """Newly generated text.
 
     Attributes:
-        offset: Characters of the answer before this chunk.
-        text: The characters.
+        offset: Number of characters generated before this chunk.
+        text: The characters of this chunk.
     """
 
     offset: int
@@ -52,12 +53,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Completion:
-    """A whole answer, checked against the engine's end marker.
+    """The whole generated text, checked against the engine's end marker.
 
     Attributes:
         text: All generated text.
-        prompt_tokens: Tokens of the prompt as the engine counted them.
-        cached_tokens: Prompt tokens that came from the prefix cache.
+        prompt_tokens: Tokens of the prompt, counted by the engine.
+        cached_tokens: Prompt tokens found in the prefix cache.
         generated_tokens: Tokens generated.
     """
 
@@ -69,14 +70,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a replica last said of its load; it lags.
+    """The last load report of a replica, which may be stale.
 
     Attributes:
-        running: Calls in its batch.
-        waiting: Calls it admitted and has not begun.
-        cached_tokens: Tokens its prefix cache holds.
-        cache_capacity: Tokens its prefix cache can hold.
-        age_ms: How old the report was when it was sent.
+        running: Calls in the current batch.
+        waiting: Calls admitted but not started.
+        cached_tokens: Tokens in the prefix cache.
+        cache_capacity: Most tokens that the prefix cache can hold.
+        age_ms: Age of the report when it was sent.
     """
 
     running: int
@@ -88,11 +89,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Health:
-    """Whether a replica serves.
+    """Health of a replica.
 
     Attributes:
-        incarnation: Changes with each restart; memory is lost with it.
-        leaving: True once it takes no new work.
+        incarnation: Changes with each restart, which loses all memory.
+        leaving: Whether the replica has stopped accepting new work.
     """
 
     incarnation: str
@@ -100,7 +101,7 @@
 
 
 class CacheEventKind(enum.StrEnum):
-    """What happened to a program's prefix in an engine."""
+    """Changes of a program's prefix in an engine's cache."""
 
     STORED = "stored"
     EVICTED = "evicted"
@@ -108,13 +109,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """One cache event.
+    """One change in an engine's prefix cache.
 
     Attributes:
-        kind: What happened.
-        program_id: Whose prefix.
-        branch_id: Which branch's prefix.
-        tokens: Prefix tokens held afterwards; 0 when evicted.
+        kind: Kind of the change.
+        program_id: Program of the prefix.
+        branch_id: Branch of the prefix.
+        tokens: Prefix tokens cached after the change; 0 if evicted.
     """
 
     kind: CacheEventKind
@@ -125,7 +126,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvents:
-    """A batch of events, late and perhaps with a gap before it."""
+    """A batch of cache events.
+
+    Attributes:
+        position: Position from which the next request continues.
+        events: The events in order.
+        gap: Whether events before this batch were lost.
+    """
 
     position: int
     events: tuple[CacheEvent, ...]
@@ -134,14 +141,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CachedProgram:
-    """Engine memory held for one program."""
+    """A program with tokens in an engine's prefix cache."""
 
     program_id: str
     tokens: int
 
 
 class OrderKind(enum.StrEnum):
-    """Orders that engines take."""
+    """Kinds of orders to engines."""
 
     LOAD_MODEL = "load_model"
     LOAD_ADAPTER = "load_adapter"
@@ -154,9 +161,10 @@
     """An order to an engine.
 
     Attributes:
-        kind: What to do.
+        kind: Kind of the order.
         argument: Model, adapter, version or role.
-        fencing: Number of the home that orders; grows with each home.
+        fencing: Fencing number of the replica's home, which increases with
+            each home.
     """
 
     kind: OrderKind
@@ -167,28 +175,29 @@
 class ModelEngine(Protocol):
     """One replica of a model.
 
-    Failures of ``generate``: NO_UPSTREAM (surely not run), UPSTREAM_FAILED
-    (the replica died or broke off), OVERLOADED (it refused), DEADLINE_EXCEEDED.
+    Failures of ``generate``: NO_UPSTREAM (not executed), UPSTREAM_FAILED (the
+    replica crashed or the stream broke), OVERLOADED (the replica refused the
+    call), DEADLINE_EXCEEDED.
     """
 
     async def generate(
         self, request: GenerateRequest, on_chunk: Callable[[Chunk], None]
     ) -> Result[Completion, Failure]:
-        """Runs one call; a cut or silent stream is resumed by offset."""
+        """Runs one call and resumes a broken or stalled stream by offset."""
         ...
 
     async def cancel(self, request_id: str) -> Result[None, Failure]:
-        """Stops a call that nobody waits for."""
+        """Stops a call whose result is no longer needed."""
         ...
 
     async def release(self, program_id: str) -> Result[None, Failure]:
-        """Frees all memory held for a program; idempotent."""
+        """Frees all memory of a program; idempotent."""
         ...
 
     async def cached_programs(
         self,
     ) -> Result[tuple[CachedProgram, ...], Failure]:
-        """Returns the programs that hold memory."""
+        """Returns the programs in the prefix cache."""
         ...
 
     async def load_report(self) -> Result[LoadReport, Failure]:
@@ -196,7 +205,7 @@
         ...
 
     async def health(self) -> Result[Health, Failure]:
-        """Returns whether the replica serves."""
+        """Returns the health of the replica."""
         ...
 
     async def cache_events(
@@ -208,15 +217,15 @@
     async def export_cache(
         self, program_id: str, branch_id: str
     ) -> Result[str, Failure]:
-        """Copies a prefix out of the engine and returns its handle."""
+        """Copies a prefix out of the cache and returns the copy's handle."""
         ...
 
     async def import_cache(self, handle: str) -> Result[int, Failure]:
-        """Loads an exported prefix and returns its tokens."""
+        """Loads an exported prefix and returns its number of tokens."""
         ...
 
     async def order(self, order: Order) -> Result[None, Failure]:
-        """Gives an order; CONFLICT when its fencing number is old."""
+        """Sends an order; fails with CONFLICT if its fencing number is old."""
         ...
 
 
@@ -225,11 +234,11 @@
     """One call of a plain service.
 
     Attributes:
-        key: Idempotency key; the same for every send of one request.
+        key: Idempotency key, the same for all attempts of one request.
         operation: Name of the operation.
         payload: JSON text.
         fencing: Epoch of the sender.
-        timeout_s: Longest wait for the answer.
+        timeout_s: Longest wait for the response.
     """
 
     key: str
@@ -241,7 +250,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceReply:
-    """A service's answer, matched to its key.
+    """A service's response, verified to be for the request's key.
 
     Attributes:
         key: The request's idempotency key.
@@ -255,21 +264,21 @@
 class PlainService(Protocol):
     """One replica of a plain service.
 
-    Failures of ``call``: NO_UPSTREAM (surely not run: no connection was made
-    or the service refused before running), OUTCOME_UNKNOWN (anything else),
-    BAD_REQUEST (the service answered that the call is invalid; not run).
+    Failures of ``call``: NO_UPSTREAM (not executed: no connection was made or
+    the service refused the call), BAD_REQUEST (not executed: the service
+    rejected the call as invalid), OUTCOME_UNKNOWN (any other failure).
     """
 
     async def call(
         self, request: ServiceRequest
     ) -> Result[ServiceReply, Failure]:
-        """Sends the request exactly once."""
+        """Sends the request without retries."""
         ...
 
     async def lookup(self, key: str) -> Result[ServiceReply | None, Failure]:
-        """Returns what was done under a key, or None if nothing ever was."""
+        """Returns the result stored for a key, or None if never executed."""
         ...
 
     async def health(self) -> Result[Health, Failure]:
-        """Returns whether the service serves."""
+        """Returns the health of the service."""
         ...
--- a/libs/upstreams/src/masticdale_upstreams/wire.py
+++ b/libs/upstreams/src/masticdale_upstreams/wire.py
@@ -1,8 +1,8 @@
-"""The messages between the daemon and its upstreams, as JSON models.
+"""JSON messages between the daemon and its upstreams.
 
 Model engine:
     POST /v1/generate  GenerateBody   200 application/x-ndjson: StreamLine...
-    GET  /v1/streams/{request_id}?offset=n  200 the same lines from n; 404
+    GET  /v1/streams/{request_id}?offset=n  200 the lines from offset n; 404
     DELETE /v1/streams/{request_id}   204, also when unknown
     GET  /v1/load                     200 LoadBody
     GET  /v1/health                   200 HealthBody
@@ -17,9 +17,9 @@
                                       OperationBody -> 200 OutcomeBody
     GET  /v1/operations/by-key/{key}  200 OutcomeBody; 404 UnknownKeyBody
     GET  /v1/health                   200 HealthBody
-Offsets and lengths count characters. A text line with empty text says that
-the engine is alive while the call waits for a slot or for its prefill. 503
-with ``X-Not-Run: true`` says that the call was refused before it ran.
+Offsets and lengths count characters. A text line with empty text is a
+keep-alive while the call waits for a slot or for its prefill. 503 with
+``X-Not-Run: true`` means that the call was refused before it was executed.
 """
 
 from typing import Literal
@@ -36,7 +36,7 @@
 
 
 class WireModel(pydantic.BaseModel):
-    """A message; unknown fields are ignored so that upstreams can grow."""
+    """A message; unknown fields are ignored for forward compatibility."""
 
     model_config = pydantic.ConfigDict(frozen=True)
 
@@ -62,7 +62,7 @@
 
 
 class EndLine(WireModel):
-    """The end marker, by which a whole answer is known."""
+    """The end marker, which shows whether the text is complete."""
 
     request_id: str
     done: Literal[True]
@@ -87,7 +87,7 @@
 
 
 class HealthBody(WireModel):
-    """Whether the upstream serves."""
+    """Health of an upstream."""
 
     incarnation: str
     leaving: bool
@@ -111,40 +111,40 @@
 
 
 class CachedProgramBody(WireModel):
-    """Engine memory held for one program."""
+    """A program with tokens in the engine's prefix cache."""
 
     program_id: str
     tokens: int
 
 
 class CachedProgramsBody(WireModel):
-    """All programs that hold engine memory."""
+    """All programs in the engine's prefix cache."""
 
     programs: tuple[CachedProgramBody, ...]
 
 
 class ExportBody(WireModel):
-    """Which prefix to copy out."""
+    """Prefix to export."""
 
     program_id: str
     branch_id: str
 
 
 class ExportedBody(WireModel):
-    """Where the copy is."""
+    """Handle of an exported prefix."""
 
     handle: str
     tokens: int
 
 
 class ImportBody(WireModel):
-    """Which copy to load."""
+    """Exported prefix to load."""
 
     handle: str
 
 
 class ImportedBody(WireModel):
-    """How much was loaded."""
+    """Number of tokens loaded."""
 
     tokens: int
 
@@ -164,13 +164,13 @@
 
 
 class OutcomeBody(WireModel):
-    """What was done under an idempotency key; the result is JSON text."""
+    """Result stored for an idempotency key, as JSON text."""
 
     key: str
     result: str
 
 
 class UnknownKeyBody(WireModel):
-    """The service's own word that nothing was done under a key."""
+    """The service's statement that a key was never executed."""
 
     key: str
--- a/libs/upstreams/tests/test_connections.py
+++ b/libs/upstreams/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Tests of connections that are replaced when one goes silent."""
+"""Tests of connection pools that are replaced after a timeout."""
 
 import asyncio
 import unittest
@@ -6,19 +6,19 @@
 from masticdale_upstreams.connections import create_connections
 
 
-class ForgetfulServer:
-    """Answers on a connection until told to forget all open ones."""
+class UnresponsiveServer:
+    """Stops answering on the connections numbered up to ``silenced``."""
 
     def __init__(self):
         self.connections = 0
-        self.forgotten = 0
+        self.silenced = 0
 
     async def serve(self, reader, writer):
         self.connections += 1
         number = self.connections
         try:
             while await reader.readuntil(b"\r\n\r\n"):
-                if number > self.forgotten:
+                if number > self.silenced:
                     writer.write(
                         b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
                     )
@@ -27,26 +27,25 @@
 
 
 class ConnectionsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_silent_connection_retires_the_idle_ones_too(self):
-        """The caller sees one call time out and the next one answered.
+    async def test_a_timeout_retires_the_idle_connections_too(self):
+        """Each idle connection that stopped answering would fail one call.
 
-        Two connections idle in the pool; something on the way forgets both;
-        the next call is taken and never answered. Without retiring the pool
-        the call after it would wait on the other dead connection.
+        Two connections stop answering while idle; only the first call after
+        that may time out.
         """
-        forgetful = ForgetfulServer()
-        server = await asyncio.start_server(forgetful.serve, "127.0.0.1", 0)
+        unresponsive = UnresponsiveServer()
+        server = await asyncio.start_server(unresponsive.serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         connections = create_connections(f"http://127.0.0.1:{port}", 5)
         await asyncio.gather(
             *(connections.send("GET", "/", 5) for _ in range(2))
         )
-        forgetful.forgotten = forgetful.connections
+        unresponsive.silenced = unresponsive.connections
         with self.assertRaises(TimeoutError):
             await connections.send("GET", "/", 0.1)
         response = await connections.send("GET", "/", 5)
         self.assertEqual(response.status_code, 200)
-        self.assertEqual(forgetful.connections, forgetful.forgotten + 1)
+        self.assertEqual(unresponsive.connections, unresponsive.silenced + 1)
         await connections.close()
         server.close()
 
--- a/libs/upstreams/tests/test_engine.py
+++ b/libs/upstreams/tests/test_engine.py
@@ -41,8 +41,8 @@
     return line | changes
 
 
-def rest_from(offset):
-    """Returns the lines of the answer from an offset."""
+def lines_from(offset):
+    """Returns the stream lines from an offset to the end marker."""
     pieces, start = [], 0
     for piece in PIECES:
         if start + len(piece) > offset:
@@ -53,7 +53,7 @@
 
 
 class Body(httpx.AsyncByteStream):
-    """A stream that ends, breaks or goes silent after its lines."""
+    """A stream that ends, breaks or stalls after its lines."""
 
     def __init__(self, lines, ending):
         self.lines = lines
@@ -70,16 +70,16 @@
 
 
 class ScriptedEngine:
-    """Answers each stream request by the next step of a script.
+    """Answers each stream request with the next step of a script.
 
-    A step is a status, an exception, or a pair of a function that turns the
-    rest of the answer's lines into the lines sent and an ending.
+    A step is a status, a response, an exception, or a pair: a function that
+    maps the remaining lines to the lines sent, and the ending of the stream.
     """
 
     def __init__(self, *steps):
         self.steps = list(steps)
         self.requests = []
-        self.asked = asyncio.Event()
+        self.request_received = asyncio.Event()
         self.metrics = Metrics()
         self.client = EngineClient(
             OPTIONS, Connections(self.make_http), self.metrics
@@ -91,7 +91,7 @@
 
     def answer(self, request):
         self.requests.append(request)
-        self.asked.set()
+        self.request_received.set()
         if request.method == "DELETE":
             return httpx.Response(204)
         step = self.steps.pop(0)
@@ -104,7 +104,7 @@
         change, ending = step
         offset = int(request.url.params.get("offset", 0))
         return httpx.Response(
-            200, stream=Body(change(rest_from(offset)), ending)
+            200, stream=Body(change(lines_from(offset)), ending)
         )
 
     async def run(self, request=REQUEST):
@@ -113,33 +113,35 @@
         await self.client.close()
         return outcome, chunks
 
-    def cancelled(self):
+    def cancelled_paths(self):
         return [r.url.path for r in self.requests if r.method == "DELETE"]
 
 
-def whole(lines):
+def all_lines(lines):
     return lines
 
 
-def first(count):
+def first_lines(count):
     return lambda lines: lines[:count]
 
 
 class GenerateTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_broken_stream_is_resumed_where_it_broke(self):
-        """The caller sees one whole answer, each character once.
+    async def test_a_broken_stream_is_resumed_at_its_offset(self):
+        """A resume must neither lose nor repeat text.
 
-        The first connection breaks in some way after its first line; the
-        client closes it and asks for the rest by offset, because the engine
-        goes on generating without a reader.
+        The engine continues to generate without a reader, so the client can
+        request the rest by offset.
         """
-        crossed = text_line(6, "their text", request_id="call-2")
+        other_line = text_line(6, "their text", request_id="call-2")
         cases = {
-            "cut": (first(1), "cut"),
-            "silent": (first(1), "silent"),
+            "cut": (first_lines(1), "cut"),
+            "silent": (first_lines(1), "silent"),
             "no end marker": (lambda lines: lines[:-1], "end"),
-            "crossed": (lambda lines: [lines[0], crossed], "end"),
-            "crossed end": (
+            "line of another request": (
+                lambda lines: [lines[0], other_line],
+                "end",
+            ),
+            "end marker of another request": (
                 lambda lines: [*lines[:-1], end_line(request_id="call-2")],
                 "end",
             ),
@@ -149,7 +151,7 @@
         }
         for name, step in cases.items():
             with self.subTest(name):
-                engine = ScriptedEngine(step, (whole, "end"))
+                engine = ScriptedEngine(step, (all_lines, "end"))
                 outcome, chunks = await engine.run()
                 self.assertEqual(outcome.unwrap().text, TEXT)
                 self.assertEqual("".join(c.text for c in chunks), TEXT)
@@ -161,13 +163,13 @@
                 )
 
     async def test_failures_say_whether_the_call_was_sent(self):
-        """The caller learns NO_UPSTREAM only where nothing can have run.
+        """Reporting NO_UPSTREAM for an executed call could execute it twice.
 
-        A refused connection or a marked refusal came before the call ran;
-        after a broken stream even a refused resume leaves that open.
+        Only a failed connect or a refusal marked as not run excludes an
+        execution; after a broken stream a refused resume does not.
         """
         refused = httpx.ConnectError("refused")
-        cut = (first(1), "cut")
+        cut = (first_lines(1), "cut")
         not_run = httpx.Response(503, headers={"X-Not-Run": "true"})
         wrong_digest = (
             lambda lines: [*lines[:-1], end_line(digest="0")],
@@ -184,7 +186,7 @@
             ([cut, refused], ErrorKind.UPSTREAM_FAILED),
             ([cut, 404], ErrorKind.UPSTREAM_FAILED),
             ([cut, not_run], ErrorKind.UPSTREAM_FAILED),
-            ([(first(0), "cut")] * 4, ErrorKind.UPSTREAM_FAILED),
+            ([(first_lines(0), "cut")] * 4, ErrorKind.UPSTREAM_FAILED),
             ([wrong_digest], ErrorKind.UPSTREAM_FAILED),
             ([too_short], ErrorKind.UPSTREAM_FAILED),
         )
@@ -194,27 +196,26 @@
                 self.assertIs(outcome.failure().kind, kind)
 
     async def test_the_deadline_cancels_the_call_at_the_engine(self):
-        """The caller sees DEADLINE_EXCEEDED though the engine would go on.
+        """Without the cancellation the call would keep its slot.
 
-        The engine keeps its connection alive without any text; the deadline
-        passes; the client cancels there, or the slot would stay taken.
+        The engine sends keep-alive lines only, until the deadline passes.
         """
-        alive = [text_line(0, "")]
-        engine = ScriptedEngine((lambda _: alive, "silent"))
-        hurried = GenerateRequest("call-1", "p", "main", (), 8, 0.01, 1)
-        outcome, _ = await engine.run(hurried)
+        keep_alive_lines = [text_line(0, "")]
+        engine = ScriptedEngine((lambda _: keep_alive_lines, "silent"))
+        short_request = GenerateRequest("call-1", "p", "main", (), 8, 0.01, 1)
+        outcome, _ = await engine.run(short_request)
         self.assertIs(outcome.failure().kind, ErrorKind.DEADLINE_EXCEEDED)
-        self.assertEqual(engine.cancelled(), ["/v1/streams/call-1"])
+        self.assertEqual(engine.cancelled_paths(), ["/v1/streams/call-1"])
 
     async def test_cancelling_the_task_cancels_the_call(self):
         engine = ScriptedEngine((lambda _: [], "silent"))
         task = asyncio.create_task(engine.run())
-        await engine.asked.wait()
+        await engine.request_received.wait()
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await task
         await engine.client.close()
-        self.assertEqual(engine.cancelled(), ["/v1/streams/call-1"])
+        self.assertEqual(engine.cancelled_paths(), ["/v1/streams/call-1"])
 
     @settings(derandomize=True, deadline=None, max_examples=150)
     @given(
@@ -226,11 +227,11 @@
             max_size=5,
         )
     )
-    def test_no_mix_of_faults_gives_a_wrong_answer(self, faults):
-        """The caller sees the whole answer or a failure, whatever breaks.
+    def test_no_combination_of_faults_gives_wrong_text(self, faults):
+        """The caller gets the whole text or a failure.
 
-        Each connection is cut, ended early, crossed, reordered or thinned
-        out at some line; offsets and the end marker show each of them.
+        Each connection is cut or ended early, or has a line of another
+        request, swapped lines or a missing line.
         """
 
         def step(at, fault):
@@ -248,7 +249,7 @@
             return change, "cut" if fault == "cut" else "end"
 
         engine = ScriptedEngine(
-            *(step(*fault) for fault in faults), (whole, "end")
+            *(step(*fault) for fault in faults), (all_lines, "end")
         )
         outcome, chunks = asyncio.run(engine.run())
         text = "".join(chunk.text for chunk in chunks)
--- a/libs/upstreams/tests/test_service.py
+++ b/libs/upstreams/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Tests of the service client against scripted answers."""
+"""Tests of the service client against scripted responses."""
 
 import unittest
 
@@ -30,7 +30,7 @@
 
 
 class CallTest(unittest.IsolatedAsyncioTestCase):
-    async def test_an_answer_is_matched_to_its_key(self):
+    async def test_a_response_is_matched_to_its_key(self):
         requests = []
         client = create_client(httpx.Response(200, json=DONE), requests)
         reply = (await client.call(REQUEST)).unwrap()
@@ -38,14 +38,13 @@
         self.assertEqual(requests[0].headers["Idempotency-Key"], "key-1")
         self.assertEqual(requests[0].headers["Fencing"], "7")
 
-    async def test_every_failure_is_sent_once_and_told_truly(self):
-        """The caller sees NO_UPSTREAM only where the operation did not run.
+    async def test_every_failure_is_sent_once_and_reports_whether_it_ran(self):
+        """A retry or a wrong NO_UPSTREAM could execute an operation twice.
 
-        The call fails before, while or after it is sent. Once sent, only the
-        service's own word that it did not run counts; otherwise the outcome
-        is unknown, and the client never sends it a second time.
+        Once the call is sent, only a refusal by the service shows that it was
+        not executed; otherwise its outcome is unknown.
         """
-        crossed = {"key": "key-2", "result": "1"}
+        other_key = {"key": "key-2", "result": "1"}
         unknown = ErrorKind.OUTCOME_UNKNOWN
         cases = (
             (httpx.ConnectError("refused"), ErrorKind.NO_UPSTREAM),
@@ -55,7 +54,7 @@
             (httpx.Response(503), unknown),
             (httpx.Response(500, headers=NOT_RUN), unknown),
             (httpx.Response(404), unknown),
-            (httpx.Response(200, json=crossed), unknown),
+            (httpx.Response(200, json=other_key), unknown),
             (httpx.Response(200, content=b"{"), unknown),
             (httpx.WriteError("cut"), unknown),
             (httpx.ReadError("cut"), unknown),
@@ -71,12 +70,8 @@
 
 
 class LookupTest(unittest.IsolatedAsyncioTestCase):
-    async def test_only_the_services_own_404_means_never_done(self):
-        """A caller would be told "not run" on a lookup's None.
-
-        Something on the way that doesn't know the path also answers 404; if
-        that counted, an operation that ran could be reported as not run.
-        """
+    async def test_only_a_404_with_the_key_means_never_executed(self):
+        """A 404 from a proxy would report an executed operation as not run."""
         unknown = httpx.Response(404, json={"key": "key-1"})
         outcome = await create_client(unknown, []).lookup("key-1")
         self.assertIsNone(outcome.unwrap())
--- a/libs/upstreams/tests/test_testing.py
+++ b/libs/upstreams/tests/test_testing.py
@@ -1,4 +1,4 @@
-"""Tests of the fakes."""
+"""Tests of the fake engine and the fake service."""
 
 import unittest
 
@@ -18,11 +18,11 @@
 
 
 class FakeEngineTest(unittest.IsolatedAsyncioTestCase):
-    async def test_faults_fail_as_the_client_does(self):
+    async def test_faults_fail_with_the_clients_error_kinds(self):
         cases = (
             ({"down": True}, ErrorKind.NO_UPSTREAM),
-            ({"cuts": 1}, ErrorKind.UPSTREAM_FAILED),
-            ({"freeze": True}, ErrorKind.DEADLINE_EXCEEDED),
+            ({"broken_streams": 1}, ErrorKind.UPSTREAM_FAILED),
+            ({"stall_streams": True}, ErrorKind.DEADLINE_EXCEEDED),
             ({"delay_s": 1}, ErrorKind.DEADLINE_EXCEEDED),
             ({"crash_marker": "prom"}, ErrorKind.UPSTREAM_FAILED),
         )
@@ -34,7 +34,7 @@
                 outcome = await engine.generate(REQUEST, lambda chunk: None)
                 self.assertIs(outcome.failure().kind, kind)
 
-    async def test_a_whole_answer_leaves_memory_until_released(self):
+    async def test_a_completed_call_stays_cached_until_released(self):
         engine = FakeEngine()
         chunks = []
         completion = (await engine.generate(REQUEST, chunks.append)).unwrap()
@@ -46,14 +46,16 @@
 
     @settings(derandomize=True, deadline=None, max_examples=50)
     @given(st.lists(st.text(max_size=9), max_size=3), st.integers(1, 99))
-    def test_answers_depend_on_the_joined_prompt_only(self, parts, tokens):
+    def test_generated_text_depends_on_the_joined_prompt_only(
+        self, parts, tokens
+    ):
         answer = expected_answer(parts, tokens)
         self.assertEqual(answer, expected_answer(["".join(parts)], tokens))
         self.assertIn(tokens_in(answer), range(1, tokens + 1))
 
 
 class FakeServiceTest(unittest.IsolatedAsyncioTestCase):
-    async def test_counts_what_ran(self):
+    async def test_counts_executions(self):
         request = ServiceRequest("key-1", "charge", "{}", 1, 0.05)
         cases = (
             ({}, None, 1),
