--- a/libs/platform/src/masticdale_platform/testing.py
+++ b/libs/platform/src/masticdale_platform/testing.py
@@ -50,7 +50,7 @@
 
     async def read(self, key: str) -> Result[StoredObject | None, Failure]:
         """See ``ObjectStore.read``."""
-        if await self._is_down():
+        if await self._is_down_after_delay():
             return _unavailable()
         return Success(self._object_by_key.get(key))
 
@@ -58,7 +58,7 @@
         self, key: str, value: bytes, expected_version: int
     ) -> Result[int, Failure]:
         """See ``ObjectStore.write``."""
-        if await self._is_down():
+        if await self._is_down_after_delay():
             return _unavailable()
         if len(value) > MAX_VALUE_BYTES:
             return Failed(Failure(ErrorKind.TOO_LARGE, key))
@@ -80,7 +80,7 @@
         self, key: str, expected_version: int
     ) -> Result[None, Failure]:
         """See ``ObjectStore.delete``."""
-        if await self._is_down():
+        if await self._is_down_after_delay():
             return _unavailable()
         if not self._version_matches(key, expected_version):
             return Failed(Failure(ErrorKind.CONFLICT, key))
@@ -93,7 +93,7 @@
         self, prefix: str
     ) -> Result[tuple[StoredObject, ...], Failure]:
         """See ``ObjectStore.list``."""
-        if await self._is_down():
+        if await self._is_down_after_delay():
             return _unavailable()
         keys = sorted(k for k in self._object_by_key if k.startswith(prefix))
         return Success(tuple(self._object_by_key[k] for k in keys))
@@ -102,7 +102,7 @@
         self, prefix: str, position: int, wait_s: float
     ) -> Result[WatchBatch, Failure]:
         """See ``ObjectStore.watch``."""
-        if await self._is_down():
+        if await self._is_down_after_delay():
             return _unavailable()
         if 0 < position < self.faults.compacted_before:
             return Failed(Failure(ErrorKind.HISTORY_GONE, prefix))
@@ -116,17 +116,17 @@
                     batch = self._changes_since(prefix, position)
         except TimeoutError:
             pass
-        if await self._is_down():
+        if await self._is_down_after_delay():
             return _unavailable()
         return Success(batch)
 
     async def hosts(self) -> Result[tuple[ListedHost, ...], Failure]:
         """See ``ObjectStore.hosts``."""
-        if await self._is_down():
+        if await self._is_down_after_delay():
             return _unavailable()
         return Success(tuple(self.listed_hosts))
 
-    async def _is_down(self) -> bool:
+    async def _is_down_after_delay(self) -> bool:
         await asyncio.sleep(self.faults.delay_s)
         return self.faults.down
 
