--- a/libs/upstreams/src/masticdale_upstreams/testing.py
+++ b/libs/upstreams/src/masticdale_upstreams/testing.py
@@ -133,16 +133,16 @@
         """See ``ModelEngine.cached_programs``."""
         if self.faults.down:
             return _failed(ErrorKind.NO_UPSTREAM)
-        held = self.tokens_by_program.items()
-        return Success(tuple(CachedProgram(*item) for item in held))
+        cached = self.tokens_by_program.items()
+        return Success(tuple(CachedProgram(*item) for item in cached))
 
     async def load_report(self) -> Result[LoadReport, Failure]:
         """See ``ModelEngine.load_report``."""
         if self.faults.down:
             return _failed(ErrorKind.NO_UPSTREAM)
-        held = sum(self.tokens_by_program.values())
+        cached_tokens = sum(self.tokens_by_program.values())
         return Success(
-            LoadReport(self._running, 0, held, self._cache_capacity, 0)
+            LoadReport(self._running, 0, cached_tokens, self._cache_capacity, 0)
         )
 
     async def health(self) -> Result[Health, Failure]:
@@ -233,10 +233,13 @@
         self, request: GenerateRequest, prompt: str, answer: str
     ) -> Completion:
         prompt_tokens = tokens_in(prompt)
-        held = self.tokens_by_program.get(request.program_id, 0)
+        cached_tokens = self.tokens_by_program.get(request.program_id, 0)
         self.tokens_by_program[request.program_id] = tokens_in(prompt + answer)
         return Completion(
-            answer, prompt_tokens, min(held, prompt_tokens), tokens_in(answer)
+            answer,
+            prompt_tokens,
+            min(cached_tokens, prompt_tokens),
+            tokens_in(answer),
         )
 
     async def _acknowledge(self) -> Result[None, Failure]:
