--- a/apps/masticdaled/src/masticdaled/replicas/observation.py
+++ b/apps/masticdaled/src/masticdaled/replicas/observation.py
@@ -26,7 +26,7 @@
 async def observe(home: ReplicaHome, client: ModelEngine) -> None:
     """Updates a replica's state by its engine's load and cache events."""
     now = time.monotonic()
-    load = await client.load()
+    load = await client.load_report()
     if isinstance(load, Success):
         report = load.unwrap()
         home.prefixes.capacity_tokens = report.cache_capacity
