--- a/apps/masticdaled/src/masticdaled/directory.py
+++ b/apps/masticdaled/src/masticdaled/directory.py
@@ -1,17 +1,17 @@
 """Which declared upstreams may get work now."""
 
 from masticdale_config import (
-    ConfigInForce,
+    ActiveConfig,
     RenderedService,
     RenderedUpstream,
 )
-from masticdaled.replicas.homes import Homes
+from masticdaled.replicas.homes import ReplicaHomes
 
 
 class UpstreamDirectory:
     """The declared upstreams and the platform's list of leaving ones."""
 
-    def __init__(self, in_force: ConfigInForce, homes: Homes) -> None:
+    def __init__(self, in_force: ActiveConfig, homes: ReplicaHomes) -> None:
         self._in_force = in_force
         self._homes = homes
 
--- a/apps/masticdaled/src/masticdaled/execution/placement.py
+++ b/apps/masticdaled/src/masticdaled/execution/placement.py
@@ -1,4 +1,4 @@
-"""Placement of a call: probes of a few homes, then the routing library."""
+"""Placement of model calls: probes a few replicas and picks the cheapest."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 from returns.result import Result, Success
 
 from masticdale_common import ErrorKind, Failure
-from masticdale_config import ConfigInForce, RenderedEngine, engines_of
+from masticdale_config import ActiveConfig, RenderedEngine, eligible_engines
 from masticdale_peers import ProbeReply, ProbeRequest
 from masticdale_routing import (
     Candidate,
@@ -20,75 +20,88 @@
 from masticdaled.cluster import MOVING_KINDS, Cluster
 from masticdaled.directory import UpstreamDirectory
 from masticdaled.execution.runs import Run, prefix_note
-from masticdaled.execution.tool_pauses import CacheKeeper
+from masticdaled.execution.tool_pauses import PrefixOffloader
 
 _PROBE_TIMEOUT_S = 0.5
-_PROBES = 3
-_PROBES_OF_NEW_BRANCH = 9
-_GUESS = 50.0  # Tokens a second, where no probed replica has served yet.
+_PROBE_COUNT = 3
+_NEW_BRANCH_PROBE_COUNT = 9
+# Assumed where no probed replica has completed a call.
+_DEFAULT_DECODE_TOKENS_PER_S = 50.0
 
 
 class Placer:
-    """Places calls by the cost in seconds that the homes tell."""
+    """Places calls by their expected cost in seconds."""
 
     def __init__(
         self,
         cluster: Cluster,
-        in_force: ConfigInForce,
+        in_force: ActiveConfig,
         directory: UpstreamDirectory,
-        keeper: CacheKeeper,
+        offloader: PrefixOffloader,
     ) -> None:
         self._cluster = cluster
         self._in_force = in_force
         self._directory = directory
-        self._keeper = keeper
+        self._offloader = offloader
         self._policy = LeastCost()
 
     async def place(self, run: Run) -> Result[Placement, Failure]:
         """Probes a few replicas and chooses among them.
 
         Args:
-            run: The call; what the homes told is noted in it.
+            run: The call. Its probe replies and unusable replicas are updated.
 
         Returns:
-            The placement, or NO_UPSTREAM.
+            The placement; NO_UPSTREAM where no replica can take the call;
+            NOT_OWNER while homes are moving to other hosts.
         """
         engines = self._usable_engines(run)
         if not engines:
             return Failed(Failure(ErrorKind.NO_UPSTREAM, run.call.model))
         engine_by_name = {engine.name: engine for engine in engines}
         locations = [Location(e.name, e.failure_domain) for e in engines]
-        last = run.call.replica
-        # A new branch stays where it begins, so many are asked
-        # (docs/POLICY.md).
-        count = _PROBES if last in engine_by_name else _PROBES_OF_NEW_BRANCH
+        last_replica = run.call.replica
+        # A branch stays on the replica of its first turn, so a new one probes
+        # more replicas.
+        count = (
+            _PROBE_COUNT
+            if last_replica in engine_by_name
+            else _NEW_BRANCH_PROBE_COUNT
+        )
         names = choose_probes(run.run_id, locations, count)
-        if last in engine_by_name and last not in names:
-            names = [last, *names]
+        if last_replica in engine_by_name and last_replica not in names:
+            names = [last_replica, *names]
         replies = await asyncio.gather(
             *(self._probe(run, name) for name in names)
         )
         run.reply_by_replica.update(zip(names, replies, strict=True))
-        importable = self._keeper.importable_tokens(run.call)
-        fastest = max(reply.decode_tokens_per_s for reply in replies)
+        exported_tokens = self._offloader.exported_tokens(run.call)
+        max_decode_tokens_per_s = max(
+            reply.decode_tokens_per_s for reply in replies
+        )
         candidates = [
-            _candidate(engine_by_name[name], reply, fastest, importable)
+            _candidate(
+                engine_by_name[name],
+                reply,
+                max_decode_tokens_per_s,
+                exported_tokens,
+            )
             for name, reply in zip(names, replies, strict=True)
         ]
         request = PlacementRequest(
             run.call.program_id,
             run.prompt_tokens,
             run.call.max_tokens,
-            last if last in engine_by_name else "",
+            last_replica if last_replica in engine_by_name else "",
         )
         placed = place(request, candidates, self._policy)
         if isinstance(placed, Success):
             return placed
         if any(_is_moving(reply) for reply in replies):
-            # Not refused: a host that stops has given its homes up and the
-            # next ones have not yet heard of it.
+            # A stopping host has released its homes and the hosts that take
+            # them over do not know it yet. The caller retries shortly.
             return Failed(Failure(ErrorKind.NOT_OWNER, "homes are moving"))
-        # Those probed are full or gone; the next try probes others.
+        # The probed replicas are full or gone; the next attempt probes others.
         run.failed_replicas.update(names)
         return placed
 
@@ -99,7 +112,7 @@
             return []
         engines = [
             engine
-            for engine in engines_of(workspace, run.call.model, config)
+            for engine in eligible_engines(workspace, run.call.model, config)
             if self._directory.may_get_work(engine)
         ]
         untried = [e for e in engines if e.name not in run.failed_replicas]
@@ -118,12 +131,12 @@
             call.workspace,
             call.attained_s,
         )
-        reply = await self._ask(self._cluster.home_of(replica), request)
+        reply = await self._send_probe(self._cluster.home_of(replica), request)
         if reply.failure is None or not reply.failure.host:
             return reply
-        return await self._ask(reply.failure.host, request)
+        return await self._send_probe(reply.failure.host, request)
 
-    async def _ask(self, home: str, request: ProbeRequest) -> ProbeReply:
+    async def _send_probe(self, home: str, request: ProbeRequest) -> ProbeReply:
         outcome = await self._cluster.calls(home).probe(
             request, _PROBE_TIMEOUT_S
         )
@@ -137,12 +150,15 @@
 
 
 def _candidate(
-    engine: RenderedEngine, reply: ProbeReply, fastest: float, importable: int
+    engine: RenderedEngine,
+    reply: ProbeReply,
+    max_decode_tokens_per_s: float,
+    exported_tokens: int,
 ) -> Candidate:
-    """Returns a probed replica as placement sees it.
+    """Returns the placement candidate of a probed replica.
 
-    A replica that has served nothing yet counts as fast as the fastest: with
-    a guess of its own it would look slow and never be tried.
+    A replica that has not completed a call is assumed to decode as fast as the
+    fastest one probed. With a lower estimate it might never be chosen.
     """
     if reply.failure is not None or not reply.usable:
         return Candidate(engine.name, engine.failure_domain, usable=False)
@@ -151,19 +167,25 @@
         engine.failure_domain,
         expected_wait_s=reply.expected_wait_ms / 1000,
         cached_tokens=max(
-            reply.cached_tokens, _import_worth(engine, reply, importable)
+            reply.cached_tokens,
+            _tokens_saved_by_import(engine, reply, exported_tokens),
         ),
         prefill_tokens_per_s=reply.prefill_tokens_per_s,
-        decode_tokens_per_s=reply.decode_tokens_per_s or fastest or _GUESS,
+        decode_tokens_per_s=reply.decode_tokens_per_s
+        or max_decode_tokens_per_s
+        or _DEFAULT_DECODE_TOKENS_PER_S,
         in_flight=reply.in_flight,
     )
 
 
-def _import_worth(
-    engine: RenderedEngine, reply: ProbeReply, importable: int
+def _tokens_saved_by_import(
+    engine: RenderedEngine, reply: ProbeReply, exported_tokens: int
 ) -> int:
-    """Returns what an import saves, in tokens that need not be computed."""
+    """Returns the tokens of recomputation that an import saves.
+
+    The time of the transfer is deducted.
+    """
     if engine.transfer_tokens_per_s <= 0:
         return 0
-    spent = reply.prefill_tokens_per_s / engine.transfer_tokens_per_s
-    return int(importable * max(0.0, 1 - spent))
+    transfer_share = reply.prefill_tokens_per_s / engine.transfer_tokens_per_s
+    return int(exported_tokens * max(0.0, 1 - transfer_share))
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -6,7 +6,7 @@
 
 from returns.result import Failure as Failed
 
-from masticdale_config import ConfigInForce
+from masticdale_config import ActiveConfig
 from masticdale_peers import (
     CopyReply,
     CopyRequest,
@@ -42,12 +42,12 @@
     encode_outcome,
     encode_result,
 )
-from masticdaled.execution.tickets import TicketDesk
+from masticdaled.execution.tickets import TicketClient
 from masticdaled.operators.programs import ProgramsDesk
-from masticdaled.replicas.crash_suspects import SuspectHome
-from masticdaled.replicas.homes import Homes
-from masticdaled.shards.copies import CopyDesk
-from masticdaled.shards.owners import Owners
+from masticdaled.replicas.crash_suspects import DigestHome
+from masticdaled.replicas.homes import ReplicaHomes
+from masticdaled.shards.copies import CopyService
+from masticdaled.shards.owners import OwnedShards
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -55,13 +55,13 @@
     """The parts of the daemon that serve peers."""
 
     membership: Membership
-    owners: Owners
-    homes: Homes
-    desk: TicketDesk
-    suspects: SuspectHome
+    owners: OwnedShards
+    homes: ReplicaHomes
+    desk: TicketClient
+    suspects: DigestHome
     programs: ProgramsDesk
-    copies: CopyDesk
-    in_force: ConfigInForce
+    copies: CopyService
+    in_force: ActiveConfig
 
 
 class Handler:
@@ -123,7 +123,7 @@
 
     async def grant(self, notice: GrantNotice) -> Empty:
         """See ``PeerHandler.grant``."""
-        self._parts().desk.granted(notice)
+        self._parts().desk.handle_grant(notice)
         return Empty()
 
     async def probe(self, request: ProbeRequest) -> ProbeReply:
@@ -132,7 +132,9 @@
 
     async def revisions(self, request: RevisionsRequest) -> RevisionsReply:
         """See ``PeerHandler.revisions``."""
-        export = await self._parts().in_force.make_export(request.after)
+        export = await self._parts().in_force.export_after_in_thread(
+            request.after
+        )
         return RevisionsReply(export.newest, export.revisions, export.snapshot)
 
     async def put_copy(self, request: CopyRequest) -> CopyReply:
--- a/apps/masticdaled/src/masticdaled/operators/desk.py
+++ b/apps/masticdaled/src/masticdaled/operators/desk.py
@@ -14,7 +14,7 @@
     StateDump,
     hashing,
 )
-from masticdale_config import ConfigInForce, ConfigStore, RenderedEngine
+from masticdale_config import ActiveConfig, ConfigStore, RenderedEngine
 from masticdale_config.messages import (
     DrainReport,
     HostStatus,
@@ -29,8 +29,8 @@
 from masticdale_peers import ProbeRequest, ProgramsRequest
 from masticdaled.cluster import Cluster
 from masticdaled.operators.programs import decode_detail
-from masticdaled.replicas.crash_suspects import SuspectHome
-from masticdaled.shards.owners import Owners
+from masticdaled.replicas.crash_suspects import DigestHome
+from masticdaled.shards.owners import OwnedShards
 from masticdaled.upstream_clients import UpstreamClients
 
 
@@ -53,13 +53,13 @@
 
     host: str
     config_store: ConfigStore | None
-    in_force: ConfigInForce
+    in_force: ActiveConfig
     metrics: Metrics
     state_dump: StateDump
     cluster: Cluster
-    owners: Owners
+    owners: OwnedShards
     clients: UpstreamClients
-    suspects: SuspectHome
+    suspects: DigestHome
     find_readiness: Callable[[], Readiness]
 
     def hosts(self) -> tuple[HostStatus, ...]:
@@ -151,7 +151,7 @@
         if not 0 <= shard < hashing.SHARD_COUNT:
             detail = f"shard {shard}; there are {hashing.SHARD_COUNT}"
             return Failed(Failure(ErrorKind.NOT_FOUND, detail))
-        forced = await self.owners.force(shard)
+        forced = await self.owners.force_takeover(shard)
         if isinstance(forced, Failed):
             return Failed(forced.failure())
         epoch = forced.unwrap().epoch
@@ -169,7 +169,7 @@
         answer = await home.probe(probe)
         if isinstance(answer, Failed):
             return Failed(answer.failure())
-        held = await self.clients.engine(upstream).held_programs()
+        held = await self.clients.engine(upstream).cached_programs()
         programs = len(held.unwrap()) if isinstance(held, Success) else 0
         in_flight = answer.unwrap().in_flight
         report = DrainReport(name, upstream.draining, in_flight, programs)
--- a/apps/masticdaled/src/masticdaled/replicas/orders.py
+++ b/apps/masticdaled/src/masticdaled/replicas/orders.py
@@ -1,9 +1,10 @@
-"""Orders to engines: what a declaration wants loaded, given by one home only.
+"""Orders to engines to load what their declaration lists, from one home only.
 
-``orders/{replica}`` on the platform names the home that may give orders and
-its fencing number. Engines that obey refuse a smaller number. To engines that
-ignore it, a new home gives orders only after the earlier home's lease has
-lapsed on its own clock, and a home stops in time before its lease does.
+The object ``orders/{replica}`` on the platform holds a lease: the home that
+may send orders, and its fencing number. Engines that obey fencing refuse orders
+with a smaller number. For engines that ignore it, a new home waits until the
+previous lease has expired on its own clock, and a home sends no order that
+might outlast its lease.
 """
 
 import dataclasses
@@ -20,23 +21,23 @@
 from masticdale_upstreams import ModelEngine, Order, OrderKind
 
 LEASE_S = 15.0
-# Clocks of two hosts may run at slightly different speeds, and an order that
-# was sent at the lease's end may take as long as a call to be obeyed.
-_LAPSE_MARGIN_S = 6.0
-_LONGEST_ORDER_S = 5.0
+# Added to another home's lease: the clocks of two hosts may drift, and an order
+# sent at the end of the lease may still be in progress.
+_EXPIRY_MARGIN_S = 6.0
+_MAX_ORDER_S = 5.0
 _PREFIX = "orders/"
 
 
 class OrderRecord(pydantic.BaseModel):
-    """The object that names who gives orders to a replica.
+    """The stored lease on the orders of a replica.
 
     Attributes:
-        number: Fencing number; grows with each holder.
+        number: Fencing number; increases with each acquisition.
         holder: Process that holds the lease.
-        lease_s: How long it may give orders after it wrote this.
-        released: True once it has finished.
-        done_digest: Digest of the orders last obeyed.
-        done_incarnation: Engine process that obeyed them.
+        lease_s: Seconds after this write in which it may send orders.
+        released: Whether the holder has released the lease.
+        done_digest: Digest of the orders that were last applied.
+        done_incarnation: Engine process that applied them.
     """
 
     number: int = 0
@@ -48,24 +49,24 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Seen:
-    """A record as it was first seen here, on this host's clock."""
+class _ObservedRecord:
+    """When this host first read a version of a record, on its own clock."""
 
     version: int
-    at: float
+    first_seen_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Held:
+class _HeldLease:
     """A lease that this process holds."""
 
     record: OrderRecord
     version: int
-    until: float
+    expires_at: float
 
 
-class OrderGiver:
-    """Gives each replica the orders its declaration wants."""
+class OrderDispatcher:
+    """Sends each replica the orders of its declaration."""
 
     def __init__(
         self,
@@ -78,35 +79,38 @@
         self._holder = holder
         self._metrics = metrics
         self._clock = clock
-        self._seen_by_replica: dict[str, _Seen] = {}
-        self._done_by_replica: dict[str, str] = {}
+        self._observed_by_replica: dict[str, _ObservedRecord] = {}
+        self._applied_by_replica: dict[str, str] = {}
 
     async def reconcile(
         self, engine: RenderedEngine, client: ModelEngine, incarnation: str
     ) -> None:
-        """Gives what is wanted and was not obeyed yet; idempotent.
+        """Sends the declared orders unless they are applied already.
 
         Args:
             engine: The replica's declaration.
-            client: Talks to it.
-            incarnation: Its process now; a restart forgets what it loaded.
+            client: Client of the replica's engine.
+            incarnation: The current engine process. A restarted engine has lost
+                what it loaded.
         """
         if not engine.orders:
             return
-        wanted = _digest(engine)
-        mark = f"{wanted}/{incarnation}"
-        if self._done_by_replica.get(engine.name) == mark:
+        desired_digest = _digest(engine)
+        applied = f"{desired_digest}/{incarnation}"
+        if self._applied_by_replica.get(engine.name) == applied:
             return
-        held = await self._acquire(engine, wanted, incarnation)
-        if held is None:
+        lease = await self._acquire_lease(engine, desired_digest, incarnation)
+        if lease is None:
             return
-        if await self._give(engine, client, held):
-            await self._finish(engine, held, wanted, incarnation)
-            self._done_by_replica[engine.name] = mark
+        if await self._send_orders(engine, client, lease):
+            await self._release_lease(
+                engine, lease, desired_digest, incarnation
+            )
+            self._applied_by_replica[engine.name] = applied
 
-    async def _acquire(
-        self, engine: RenderedEngine, wanted: str, incarnation: str
-    ) -> _Held | None:
+    async def _acquire_lease(
+        self, engine: RenderedEngine, desired_digest: str, incarnation: str
+    ) -> _HeldLease | None:
         key = _PREFIX + engine.name
         read = await self._store.read(key)
         if isinstance(read, Failed):
@@ -118,16 +122,18 @@
             if stored
             else OrderRecord()
         )
-        is_done = (record.done_digest, record.done_incarnation) == (
-            wanted,
+        is_applied = (record.done_digest, record.done_incarnation) == (
+            desired_digest,
             incarnation,
         )
-        if is_done and record.released:
-            self._done_by_replica[engine.name] = f"{wanted}/{incarnation}"
+        if is_applied and record.released:
+            self._applied_by_replica[engine.name] = (
+                f"{desired_digest}/{incarnation}"
+            )
             return None
-        if not self._may_take(engine, record, version):
+        if not self._may_acquire(engine, record, version):
             return None
-        taken = record.model_copy(
+        acquired = record.model_copy(
             update={
                 "number": record.number + 1,
                 "holder": self._holder,
@@ -135,37 +141,37 @@
                 "released": False,
             }
         )
-        # Counted from before the write: the others count from when they see
-        # it, which is later, so this lease always ends first.
-        until = self._clock() + LEASE_S
+        # Counted from before the write. Other hosts count from their first read
+        # of it, which is later, so the holder's lease expires first.
+        expires_at = self._clock() + LEASE_S
         written = await self._store.write(
-            key, taken.model_dump_json().encode(), version
+            key, acquired.model_dump_json().encode(), version
         )
         if isinstance(written, Failed):
             return None
-        return _Held(taken, written.unwrap(), until)
+        return _HeldLease(acquired, written.unwrap(), expires_at)
 
-    def _may_take(
+    def _may_acquire(
         self, engine: RenderedEngine, record: OrderRecord, version: int
     ) -> bool:
         is_free = record.released or record.holder == self._holder
-        if is_free or engine.obeys_fencing:
+        if is_free or engine.enforces_fencing:
             return True
-        seen = self._seen_by_replica.get(engine.name)
-        if seen is None or seen.version != version:
-            seen = _Seen(version, self._clock())
-            self._seen_by_replica[engine.name] = seen
-        lapses_at = seen.at + record.lease_s + _LAPSE_MARGIN_S
-        return self._clock() >= lapses_at
-
-    async def _give(
-        self, engine: RenderedEngine, client: ModelEngine, held: _Held
+        observed = self._observed_by_replica.get(engine.name)
+        if observed is None or observed.version != version:
+            observed = _ObservedRecord(version, self._clock())
+            self._observed_by_replica[engine.name] = observed
+        expires_at = observed.first_seen_at + record.lease_s + _EXPIRY_MARGIN_S
+        return self._clock() >= expires_at
+
+    async def _send_orders(
+        self, engine: RenderedEngine, client: ModelEngine, lease: _HeldLease
     ) -> bool:
-        for wanted in engine.orders:
-            if self._clock() + _LONGEST_ORDER_S > held.until:
+        for desired in engine.orders:
+            if self._clock() + _MAX_ORDER_S > lease.expires_at:
                 return False
             order = Order(
-                OrderKind(wanted.kind), wanted.argument, held.record.number
+                OrderKind(desired.kind), desired.argument, lease.record.number
             )
             outcome = await client.order(order)
             if isinstance(outcome, Success):
@@ -178,26 +184,26 @@
             return False
         return True
 
-    async def _finish(
+    async def _release_lease(
         self,
         engine: RenderedEngine,
-        held: _Held,
-        wanted: str,
+        lease: _HeldLease,
+        desired_digest: str,
         incarnation: str,
     ) -> None:
-        # Where this write fails, the next home waits for the lease and gives
-        # the same orders again, which loads nothing new.
-        record = held.record.model_copy(
+        # If this write fails, the next home waits for the lease to expire and
+        # sends the same orders again, which is harmless.
+        record = lease.record.model_copy(
             update={
                 "released": True,
-                "done_digest": wanted,
+                "done_digest": desired_digest,
                 "done_incarnation": incarnation,
             }
         )
         await self._store.write(
             _PREFIX + engine.name,
             record.model_dump_json().encode(),
-            held.version,
+            lease.version,
         )
 
 
--- a/apps/masticdaled/src/masticdaled/shards/orphans.py
+++ b/apps/masticdaled/src/masticdaled/shards/orphans.py
@@ -1,4 +1,4 @@
-"""Engine memory held for programs that are gone: found and released."""
+"""Releases engine memory that is held for ended or unknown programs."""
 
 import time
 
@@ -8,24 +8,24 @@
 from masticdale_peers import StatesRequest
 from masticdaled.cluster import Cluster
 from masticdaled.replicas.home import ReplicaHome
-from masticdaled.replicas.homes import Homes
+from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.upstream_clients import UpstreamClients
 
-_CONFIRM_S = 5.0
-_BATCH = 200
+_CONFIRMATION_S = 5.0
+_BATCH_SIZE = 200
 
 
 class OrphanSweeper:
-    """Compares each replica's list of programs with their owners.
+    """Releases programs held at replicas that ended or are unknown.
 
-    A release is owed by the program's record, but memory can also be held by
-    a call that an owner sent just before it died, of which no record speaks.
+    The record of a program lists the releases due, but no record covers memory
+    that is held by a call which an owner sent just before it died.
     """
 
     def __init__(
         self,
         cluster: Cluster,
-        homes: Homes,
+        homes: ReplicaHomes,
         clients: UpstreamClients,
         metrics: Metrics,
     ) -> None:
@@ -36,34 +36,37 @@
         self._gone_since_by_key: dict[str, float] = {}
 
     async def sweep(self) -> None:
-        """Looks at every replica whose home is here; run now and then."""
-        for home in self._homes.held_homes():
+        """Sweeps every replica whose home is here; call it periodically."""
+        for home in self._homes.local_homes():
             await self._sweep_replica(home)
 
     async def _sweep_replica(self, home: ReplicaHome) -> None:
         client = self._clients.engine(home.engine)
-        held = await client.held_programs()
+        held = await client.cached_programs()
         if isinstance(held, Failed):
             return
         ids = [program.program_id for program in held.unwrap()]
-        gone = await self._find_gone(ids)
+        gone_ids = await self._find_gone(ids)
         prefix = f"{home.engine.name}/"
         for key in list(self._gone_since_by_key):
-            if key.startswith(prefix) and key.removeprefix(prefix) not in gone:
+            if (
+                key.startswith(prefix)
+                and key.removeprefix(prefix) not in gone_ids
+            ):
                 del self._gone_since_by_key[key]
         now = time.monotonic()
-        for program_id in gone:
+        for program_id in gone_ids:
             key = prefix + program_id
             since = self._gone_since_by_key.setdefault(key, now)
-            # Seen gone twice: a program just being created at an owner that
-            # another host still believed to be elsewhere is not an orphan.
-            if now - since < _CONFIRM_S:
+            # A program must be missing for some time. While it is created at
+            # an owner that this host does not know of yet, it is no orphan.
+            if now - since < _CONFIRMATION_S:
                 continue
             released = await client.release(program_id)
             if isinstance(released, Failed):
                 continue
             del self._gone_since_by_key[key]
-            self._homes.released(home.engine.name, program_id)
+            self._homes.record_released(home.engine.name, program_id)
             self._metrics.count("orphans_released_total")
             logs.write(
                 "orphan_released", replica=home.engine.name, program=program_id
@@ -75,14 +78,14 @@
             shard = hashing.shard_of(program_id)
             host = self._cluster.owner_of_shard(shard)
             ids_by_host.setdefault(host, []).append(program_id)
-        gone: set[str] = set()
+        gone_ids: set[str] = set()
         for host, ids in ids_by_host.items():
-            for start in range(0, len(ids), _BATCH):
-                request = StatesRequest(tuple(ids[start : start + _BATCH]))
+            for start in range(0, len(ids), _BATCH_SIZE):
+                request = StatesRequest(tuple(ids[start : start + _BATCH_SIZE]))
                 outcome = await self._cluster.calls(host).states(request)
                 if isinstance(outcome, Failed):
                     continue
                 reply = outcome.unwrap()
                 if reply.failure is None:
-                    gone.update(reply.gone_ids)
-        return gone
+                    gone_ids.update(reply.gone_ids)
+        return gone_ids
--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -1,4 +1,4 @@
-"""The program shards that this host owns: taken over, served, handed over."""
+"""The program shards that this host owns, from takeover to handoff."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
     hashing,
     logs,
 )
-from masticdale_config import ConfigInForce, RenderedConfig, RenderedProgram
+from masticdale_config import ActiveConfig, RenderedConfig, RenderedProgram
 from masticdale_peers import MembershipLimits
 from masticdale_platform import ObjectStore
 from masticdale_programs import (
@@ -38,15 +38,15 @@
 from masticdaled.cluster import Cluster
 from masticdaled.shards.ownership_checks import Ownership, OwnershipChecks
 
-_PATIENCE_S = 3.0
-_OPEN_AT_ONCE = 8
+_HANDOFF_GRACE_S = 3.0
+_MAX_CONCURRENT_OPENS = 8
 _OUTAGE_KINDS = frozenset(
     {ErrorKind.PLATFORM_UNAVAILABLE, ErrorKind.WRITE_UNKNOWN}
 )
 
 
 def render_kind(program: RenderedProgram, revision: int) -> ProgramKind:
-    """Returns what a program keeps of its declaration, and its budget."""
+    """Returns the program kind of a declared program, with its budget."""
     body = program.body
     budget = program.budget
     return ProgramKind(
@@ -66,7 +66,7 @@
 def find_kind(
     config: RenderedConfig, workspace_name: str, kind_name: str
 ) -> ProgramKind | None:
-    """Returns a program kind in force, or None where it is not declared."""
+    """Returns a program kind of the active configuration, or None."""
     workspace = config.workspace_by_name.get(workspace_name)
     if workspace is None:
         return None
@@ -78,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnedProgram:
-    """A program and the shard that holds it here."""
+    """A program and the owned shard that contains it."""
 
     number: int
     shard: Shard
@@ -91,15 +91,15 @@
     return outcome.failure().kind is ErrorKind.NOT_FOUND
 
 
-class Owners:
-    """Opens shards on demand and hands them over when they belong elsewhere."""
+class OwnedShards:
+    """Opens shards on demand and hands off those that belong to other hosts."""
 
     def __init__(
         self,
         cluster: Cluster,
         store: ObjectStore,
         executor: Executor,
-        in_force: ConfigInForce,
+        in_force: ActiveConfig,
         settings: ShardSettings,
         writer: str,
         metrics: Metrics,
@@ -114,7 +114,7 @@
         self._writer = writer
         self._metrics = metrics
         self._shard_by_number: dict[int, Shard] = {}
-        self._opening_by_number: dict[int, asyncio.Lock] = {}
+        self._open_lock_by_number: dict[int, asyncio.Lock] = {}
         self._misplaced_since: dict[int, float] = {}
         self._stopping = False
         self._created_at = time.monotonic()
@@ -123,23 +123,25 @@
     async def submit(
         self, operation: Operation, caller: Caller
     ) -> Result[OperationResult, Failure]:
-        """Runs or accepts an operation on a program owned here.
+        """Executes an operation on a program, opening its shard if needed.
 
         Returns:
-            NOT_OWNER, with the host to ask instead, where this is not it.
+            The shard's result; NOT_OWNER, with the host to ask instead, if this
+            host does not own the program; PLATFORM_UNAVAILABLE if the program
+            is not found and the ownership cannot be checked.
         """
         number = hashing.shard_of(operation.program_id)
-        if self._is_handing_over(number):
-            return Failed(self._not_owner(number))
-        found = await self._find(number)
+        if self._is_handing_off(number):
+            return Failed(self._not_owner_failure(number))
+        found = await self._find_or_open(number)
         if isinstance(found, Failed):
             return Failed(found.failure())
         shard = found.unwrap()
         ownership = await self._ownership.check(shard)
         if ownership is Ownership.LOST:
-            return Failed(self._not_owner(number))
+            return Failed(self._not_owner_failure(number))
         outcome = await shard.submit(operation, caller)
-        if ownership is Ownership.UNSURE and _is_not_found(outcome):
+        if ownership is Ownership.UNKNOWN and _is_not_found(outcome):
             detail = f"shard {number} cannot be checked"
             return Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail))
         return outcome
@@ -152,25 +154,25 @@
         offset: int,
         wait_s: float,
     ) -> Result[StreamPart, Failure]:
-        """Follows an answer; see ``Shard.read``."""
+        """Reads an answer stream; see ``Shard.read``."""
         number = hashing.shard_of(key.program_id)
         shard = self._shard_by_number.get(number)
         if shard is None or not shard.is_owned:
-            return Failed(self._not_owner(number))
+            return Failed(self._not_owner_failure(number))
         return await shard.read(key, workspace, attempt, offset, wait_s)
 
     async def gone_ids(self, program_ids: tuple[str, ...]) -> tuple[str, ...]:
-        """Returns which of the programs have ended or never existed here.
+        """Returns which of the programs have ended or never existed.
 
-        Programs of shards that this host cannot serve now are not named.
+        Programs of shards that this host cannot serve now are left out.
         """
         gone: list[str] = []
         for program_id in program_ids:
-            found = await self._find(hashing.shard_of(program_id))
+            found = await self._find_or_open(hashing.shard_of(program_id))
             if isinstance(found, Failed):
                 continue
             ownership = await self._ownership.check(found.unwrap())
-            if ownership is not Ownership.HELD:
+            if ownership is not Ownership.OWNED:
                 continue
             program = found.unwrap().state.program_by_id.get(program_id)
             if program is None or program.end_reason is not None:
@@ -178,7 +180,7 @@
         return tuple(gone)
 
     def programs(self) -> Iterator[OwnedProgram]:
-        """Returns every program owned here."""
+        """Returns every program in the owned shards."""
         for number, shard in self._shard_by_number.items():
             if not shard.is_owned:
                 continue
@@ -188,9 +190,9 @@
     async def find_program(
         self, program_id: str
     ) -> Result[OwnedProgram, Failure]:
-        """Returns one program; NOT_FOUND, or NOT_OWNER with its host."""
+        """Returns a program; NOT_FOUND, or NOT_OWNER with the owning host."""
         number = hashing.shard_of(program_id)
-        found = await self._find(number)
+        found = await self._find_or_open(number)
         if isinstance(found, Failed):
             return Failed(found.failure())
         shard = found.unwrap()
@@ -199,76 +201,80 @@
             return Failed(Failure(ErrorKind.NOT_FOUND, program_id))
         return Success(OwnedProgram(number, shard, program))
 
-    async def check_heads(self) -> None:
-        """Gives up shards that were taken over while this host stood still.
+    async def check_ownership(self) -> None:
+        """Checks all owned shards for takeovers, such as after a pause.
 
-        Until its next commit fails, a host that was paused past its lease
-        would go on accepting calls that can never be committed.
+        A host that was paused past its lease would otherwise accept calls that
+        it cannot commit, until its first commit fails.
         """
-        shards = self.held_shards()
+        shards = self.owned_shards()
         await asyncio.gather(*(shard.check_ownership() for shard in shards))
 
-    def held_shards(self) -> tuple[Shard, ...]:
-        """Returns the shards this host holds now."""
+    def owned_shards(self) -> tuple[Shard, ...]:
+        """Returns the shards that this host owns now."""
         return tuple(s for s in self._shard_by_number.values() if s.is_owned)
 
     async def tick(self) -> None:
-        """Sweeps shards and hands over those that belong elsewhere."""
+        """Sweeps the shards and hands off those that belong to other hosts."""
         for number, shard in list(self._shard_by_number.items()):
             if not shard.is_owned:
-                await self._drop(number, shard)
+                await self._close_shard(number, shard)
                 continue
             await shard.sweep()
             await self._rebalance(number, shard)
-        self._ownership.renew(self.held_shards())
+        self._ownership.renew_aging(self.owned_shards())
         self._metrics.gauge("shards_held", len(self._shard_by_number))
 
     async def stop(self, finish_s: float) -> None:
-        """Hands every shard over; calls in flight are finished first."""
+        """Hands off every shard after its calls in flight.
+
+        Args:
+            finish_s: Longest wait for the calls of a shard, in seconds.
+        """
         self._stopping = True
         await asyncio.gather(
             *(
-                self._finish_and_hand_over(number, shard, finish_s)
+                self._finish_and_hand_off(number, shard, finish_s)
                 for number, shard in list(self._shard_by_number.items())
             )
         )
 
-    async def force(self, number: int) -> Result[Shard, Failure]:
-        """Takes a shard over, whoever holds it."""
-        lock = self._opening_by_number.setdefault(number, asyncio.Lock())
+    async def force_takeover(self, number: int) -> Result[Shard, Failure]:
+        """Takes over a shard even from a live owner."""
+        lock = self._open_lock_by_number.setdefault(number, asyncio.Lock())
         async with lock:
-            return await self._take(number, forced=True)
+            return await self._take_over(number, forced=True)
 
     def dump(self) -> JsonValue:
-        """Returns the shards' states."""
+        """Returns the states of the shards as JSON."""
         return {
             str(number): shard.describe()
             for number, shard in sorted(self._shard_by_number.items())
         }
 
-    async def _find(self, number: int) -> Result[Shard, Failure]:
+    async def _find_or_open(self, number: int) -> Result[Shard, Failure]:
         shard = self._shard_by_number.get(number)
         if shard is not None and shard.is_owned:
             return Success(shard)
-        lock = self._opening_by_number.setdefault(number, asyncio.Lock())
+        lock = self._open_lock_by_number.setdefault(number, asyncio.Lock())
         async with lock:
             shard = self._shard_by_number.get(number)
             if shard is not None and shard.is_owned:
                 return Success(shard)
-            return await self._open(number)
+            return await self._open_if_allowed(number)
 
-    async def _open(self, number: int) -> Result[Shard, Failure]:
-        refused = await self._refuse_to_open(number)
-        if refused is not None:
-            return Failed(refused)
-        return await self._take(number)
+    async def _open_if_allowed(self, number: int) -> Result[Shard, Failure]:
+        refusal = await self._reason_not_to_open(number)
+        if refusal is not None:
+            return Failed(refusal)
+        return await self._take_over(number)
 
-    async def _take(
+    async def _take_over(
         self, number: int, forced: bool = False
     ) -> Result[Shard, Failure]:
-        earlier = self._shard_by_number.get(number)
-        if earlier is not None:
-            await self._drop(number, earlier)
+        previous = self._shard_by_number.get(number)
+        if previous is not None:
+            await self._close_shard(number, previous)
         started = time.monotonic()
         opened = await open_shard(
             self._store,
@@ -287,7 +293,7 @@
             return opened
         shard = opened.unwrap()
         self._shard_by_number[number] = shard
-        self._ownership.opened(number, started)
+        self._ownership.record_takeover(number, started)
         logs.write(
             "shard_opened",
             shard=number,
@@ -297,96 +303,100 @@
         )
         return opened
 
-    async def _refuse_to_open(self, number: int) -> Failure | None:
-        """Returns why this host should not take a shard over now.
+    async def _reason_not_to_open(self, number: int) -> Failure | None:
+        """Returns why this host should not take over a shard now, or None.
 
-        Taking it from a live owner would be safe, since that owner's next
-        commit fails, but every call it has in flight would be run again.
+        A takeover from a live owner is safe, since that owner's next commit
+        fails, but it repeats every call that the owner has in flight.
         """
         if self._stopping:
-            return self._not_owner(number)
+            return self._not_owner_failure(number)
         if self._cluster.owner_of_shard(number) != self._cluster.host:
-            return self._not_owner(number)
-        head = await read_head(self._store, number)
-        if isinstance(head, Failed):
-            failure: Failure = head.failure()
+            return self._not_owner_failure(number)
+        read = await read_head(self._store, number)
+        if isinstance(read, Failed):
+            failure: Failure = read.failure()
             return failure
-        found = head.unwrap()
-        if found is None or found.released:
+        head = read.unwrap()
+        if head is None or head.released:
             return None
-        if found.owner == self._cluster.host:
+        if head.owner == self._cluster.host:
             return None
-        held = Failure(ErrorKind.NOT_OWNER, f"shard {number}", host=found.owner)
+        refusal = Failure(
+            ErrorKind.NOT_OWNER, f"shard {number}", host=head.owner
+        )
         for member in self._cluster.membership.members():
-            if member.name != found.owner:
+            if member.name != head.owner:
                 continue
-            is_same = found.writer.startswith(member.beat.incarnation)
-            return held if is_same else None
-        # A host that has just started may not have heard from a live owner
-        # yet. Taken over without its lease's end, that owner would answer
-        # from memory, which it renews on the strength of that lease.
+            is_same = head.writer.startswith(member.beat.incarnation)
+            return refusal if is_same else None
+        # A host that has just started may not have heard from a live owner yet.
+        # Until that owner's lease expires it may answer from memory, so a
+        # takeover would let it serve stale reads.
         age_s = time.monotonic() - self._created_at
-        return held if age_s < MembershipLimits().lease_s else None
+        return refusal if age_s < MembershipLimits().lease_s else None
 
-    def _not_owner(self, number: int) -> Failure:
+    def _not_owner_failure(self, number: int) -> Failure:
         host = self._cluster.owner_of_shard(number)
         hint = "" if host == self._cluster.host else host
         return Failure(ErrorKind.NOT_OWNER, f"shard {number}", host=hint)
 
-    def _is_handing_over(self, number: int) -> bool:
+    def _is_handing_off(self, number: int) -> bool:
         if self._stopping:
             return True
         since = self._misplaced_since.get(number)
-        return since is not None and time.monotonic() - since > _PATIENCE_S
+        return since is not None and time.monotonic() - since > _HANDOFF_GRACE_S
 
     async def _rebalance(self, number: int, shard: Shard) -> None:
         if self._cluster.owner_of_shard(number) == self._cluster.host:
             self._misplaced_since.pop(number, None)
             return
         self._misplaced_since.setdefault(number, time.monotonic())
-        # A shard that is never idle would never move: after a while new
-        # calls are refused with the new owner's name until it is.
+        # A shard is handed off when it is idle. One that stays busy refuses new
+        # calls after a grace period, so that it becomes idle.
         if shard.in_flight == 0:
-            await self._hand_over(number, shard)
+            await self._hand_off(number, shard)
 
-    async def _hand_over(self, number: int, shard: Shard) -> None:
+    async def _hand_off(self, number: int, shard: Shard) -> None:
         self._shard_by_number.pop(number, None)
         self._misplaced_since.pop(number, None)
         await shard.hand_off()
         await shard.close()
         logs.write("shard_handed_over", shard=number)
 
-    async def _finish_and_hand_over(
+    async def _finish_and_hand_off(
         self, number: int, shard: Shard, finish_s: float
     ) -> None:
         deadline = time.monotonic() + finish_s
         while shard.in_flight and time.monotonic() < deadline:
             await asyncio.sleep(0.02)
-        await self._hand_over(number, shard)
+        await self._hand_off(number, shard)
 
-    async def _drop(self, number: int, shard: Shard) -> None:
+    async def _close_shard(self, number: int, shard: Shard) -> None:
         self._shard_by_number.pop(number, None)
         self._misplaced_since.pop(number, None)
         await shard.close()
 
-    async def take_misplaced(self) -> None:
-        """Opens shards that belong here, so that nothing waits for a caller.
+    async def open_assigned(self) -> None:
+        """Opens the shards assigned to this host without waiting for a call.
 
-        Programs of a dead owner expire, and owe releases of engine memory,
-        also when their callers never come back.
+        Programs of a dead owner must expire and release engine memory even if
+        their callers do not return.
         """
         if self._stopping:
             return
-        mine = [
+        assigned = [
             number
             for number in range(hashing.SHARD_COUNT)
             if number not in self._shard_by_number
             and self._cluster.owner_of_shard(number) == self._cluster.host
         ]
-        for start in range(0, len(mine), _OPEN_AT_ONCE):
-            batch = mine[start : start + _OPEN_AT_ONCE]
-            found = await asyncio.gather(*(self._find(n) for n in batch))
+        for start in range(0, len(assigned), _MAX_CONCURRENT_OPENS):
+            batch = assigned[start : start + _MAX_CONCURRENT_OPENS]
+            found = await asyncio.gather(
+                *(self._find_or_open(n) for n in batch)
+            )
             failures = [f.failure() for f in found if isinstance(f, Failed)]
-            # One round of timeouts is enough to learn of an outage.
+            # Stops at the first sign of an outage; each batch would time out.
             if any(f.kind in _OUTAGE_KINDS for f in failures):
                 return
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from masticdale_common import Metrics, TimerService
-from masticdale_config import ConfigInForce
+from masticdale_config import ActiveConfig
 from masticdale_peers import Heartbeat, Membership, join
 from masticdale_peers.testing import MemoryNetwork
 from masticdale_platform import ObjectStore
@@ -12,15 +12,15 @@
 from masticdaled.callers.limits import WorkspaceLimiter
 from masticdaled.callers.listener import CallersContext
 from masticdaled.cluster import Cluster
-from masticdaled.execution.tickets import TicketDesk
+from masticdaled.execution.tickets import TicketClient
 from masticdaled.handler import Handler, Parts
 from masticdaled.operators.programs import ProgramsDesk
-from masticdaled.replicas.crash_suspects import SuspectHome
-from masticdaled.replicas.homes import Homes
-from masticdaled.replicas.orders import OrderGiver
+from masticdaled.replicas.crash_suspects import DigestHome
+from masticdaled.replicas.homes import ReplicaHomes
+from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.settings import RequestSettings
-from masticdaled.shards.copies import CopyDesk, PeerCopyHolders
-from masticdaled.shards.owners import Owners
+from masticdaled.shards.copies import CopyService, PeerCopyHolders
+from masticdaled.shards.owners import OwnedShards
 from masticdaled.upstream_clients import UpstreamClients
 
 DOMAIN = "domain-1"
@@ -52,8 +52,8 @@
     name: str
     membership: Membership
     cluster: Cluster
-    owners: Owners
-    homes: Homes
+    owners: OwnedShards
+    homes: ReplicaHomes
     entry: Entry
     callers: CallersContext
     timers: TimerService
@@ -62,7 +62,7 @@
         """Stops its parts."""
         await self.timers.close()
         await self.membership.close()
-        for shard in self.owners.held_shards():
+        for shard in self.owners.owned_shards():
             await shard.close()
         await self.homes.close()
 
@@ -72,7 +72,7 @@
     names: tuple[str, ...],
     network: MemoryNetwork,
     store: ObjectStore,
-    in_force: ConfigInForce,
+    in_force: ActiveConfig,
     executor: Executor,
     settings: ShardSettings | None = None,
 ) -> MemoryHost:
@@ -97,14 +97,14 @@
         timers,
     )
     cluster = Cluster(name, membership, network.peers(name))
-    homes = Homes(
+    homes = ReplicaHomes(
         cluster,
         in_force,
         UpstreamClients(metrics),
-        OrderGiver(store, name, metrics),
+        OrderDispatcher(store, name, metrics),
         metrics,
     )
-    owners = Owners(
+    owners = OwnedShards(
         cluster,
         store,
         executor,
@@ -118,10 +118,10 @@
         membership,
         owners,
         homes,
-        TicketDesk(cluster),
-        SuspectHome(store),
+        TicketClient(cluster),
+        DigestHome(store),
         ProgramsDesk(name, owners),
-        CopyDesk(CopyStore()),
+        CopyService(CopyStore()),
         in_force,
     )
     handler = Handler(lambda: parts)
--- a/apps/masticdaled/tests/test_homes.py
+++ b/apps/masticdaled/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Tests of the homes of replicas: leaving, crashes, queues."""
+"""Tests of the homes of replicas."""
 
 import asyncio
 import unittest
@@ -10,8 +10,8 @@
 from masticdale_platform.testing import MemoryStore
 from masticdale_programs.testing import FakeExecutor
 from masticdale_upstreams.testing import FakeEngine
-from masticdaled.replicas.homes import Homes
-from masticdaled.replicas.orders import OrderGiver
+from masticdaled.replicas.homes import ReplicaHomes
+from masticdaled.replicas.orders import OrderDispatcher
 from masticdaled.testing import create_memory_host
 from masticdaled.upstream_clients import UpstreamClients
 
@@ -27,7 +27,7 @@
         return self.fakes.setdefault(upstream.name, FakeEngine())
 
 
-def ticket(number):
+def ticket_request(number):
     return TicketRequest(
         ticket_id=f"t{number}",
         replica=REPLICA,
@@ -48,7 +48,7 @@
 
 class LeavingTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        in_force = config_testing.in_force(*config_testing.tengri_trails())
+        in_force = config_testing.active_config(*config_testing.tengri_trails())
         store = MemoryStore()
         self.host = create_memory_host(
             "host-1",
@@ -60,8 +60,8 @@
         )
         self.clients = FakeClients()
         metrics = Metrics()
-        orders = OrderGiver(store, "host-1", metrics)
-        self.homes = Homes(
+        orders = OrderDispatcher(store, "host-1", metrics)
+        self.homes = ReplicaHomes(
             self.host.cluster, in_force, self.clients, orders, metrics
         )
 
@@ -73,25 +73,24 @@
         await self.homes.tick()
         await asyncio.sleep(0.05)
 
-    async def test_list_does_not_take_back_what_the_engine_says_itself(self):
-        # Callers' turns went on to an engine that had said it leaves: each
-        # reading of the platform's list, which did not show it yet, opened
-        # its queue again until the next health check.
+    async def test_list_does_not_override_an_engine_that_reports_leaving(self):
+        # Guards against new work for a leaving engine: a platform list that
+        # does not show it yet must not reopen its queue.
         await self.check()
-        self.assertTrue(self.homes.enqueue(ticket(1)).granted)
+        self.assertTrue(self.homes.enqueue(ticket_request(1)).granted)
         self.clients.fakes[REPLICA].leaving = True
         await self.check()
         self.homes.set_leaving(())
-        refused = self.homes.enqueue(ticket(2)).failure
+        refused = self.homes.enqueue(ticket_request(2)).failure
         self.assertIs(refused.kind, ErrorKind.NO_UPSTREAM)
         self.clients.fakes[REPLICA].leaving = False
         await self.check()
-        self.assertTrue(self.homes.enqueue(ticket(3)).granted)
+        self.assertTrue(self.homes.enqueue(ticket_request(3)).granted)
 
-    async def test_engine_on_the_list_as_leaving_gets_no_new_work(self):
+    async def test_engine_listed_as_leaving_gets_no_new_work(self):
         await self.check()
         self.homes.set_leaving([REPLICA])
-        refused = self.homes.enqueue(ticket(1)).failure
+        refused = self.homes.enqueue(ticket_request(1)).failure
         self.assertIs(refused.kind, ErrorKind.NO_UPSTREAM)
 
 
--- a/libs/common/src/masticdale_common/exceptions.py
+++ b/libs/common/src/masticdale_common/exceptions.py
@@ -1,11 +1,11 @@
-"""The closed list of error kinds and the one table from kind to answer."""
+"""Error kinds and the HTTP response to each of them."""
 
 import dataclasses
 import enum
 
 
 class ErrorKind(enum.StrEnum):
-    """Everything that can go wrong, as a caller or operator sees it."""
+    """Kinds of errors that callers and operators see."""
 
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
@@ -42,8 +42,8 @@
     INTERNAL = "internal"
 
 
-class Ran(enum.StrEnum):
-    """Whether the refused request was run at an upstream."""
+class Executed(enum.StrEnum):
+    """Whether a failed request was executed at an upstream."""
 
     NO = "no"
     YES = "yes"
@@ -51,135 +51,149 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
-    """How one error kind is answered.
+class ErrorResponse:
+    """The response to a request that failed with one error kind.
 
     Attributes:
         status: HTTP status code.
-        ran: Whether the request ran.
-        retry_after_ms: When sending again may help; None where it never does.
-        message: What is said to the caller.
-        exit_code: Exit code of a command that ends with this error.
+        ran: Whether the request was executed.
+        retry_after_ms: Delay after which a retry may succeed; None if a retry
+            never succeeds.
+        message: Text for the caller.
+        exit_code: Exit code of a command that fails with this error.
     """
 
     status: int
-    ran: Ran
+    ran: Executed
     retry_after_ms: int | None
     message: str
     exit_code: int = 1
 
 
-ANSWER_BY_KIND: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(
-        400, Ran.NO, None, "The request is malformed.", 2
+ERROR_RESPONSE_BY_KIND: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(
+        400, Executed.NO, None, "The request is malformed.", 2
     ),
-    ErrorKind.TOO_LARGE: Answer(
-        413, Ran.NO, None, "The request is larger than allowed.", 2
+    ErrorKind.TOO_LARGE: ErrorResponse(
+        413, Executed.NO, None, "The request is larger than allowed.", 2
     ),
-    ErrorKind.HEADERS_TOO_LARGE: Answer(
-        431, Ran.NO, None, "The headers are larger than allowed.", 2
+    ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(
+        431, Executed.NO, None, "The headers are larger than allowed.", 2
     ),
-    ErrorKind.REQUEST_TIMEOUT: Answer(
-        408, Ran.NO, None, "The request did not arrive in time."
+    ErrorKind.REQUEST_TIMEOUT: ErrorResponse(
+        408, Executed.NO, None, "The request did not arrive in time."
     ),
-    ErrorKind.NO_ROUTE: Answer(
-        404, Ran.NO, None, "No route matches the host and path."
+    ErrorKind.NO_ROUTE: ErrorResponse(
+        404, Executed.NO, None, "No route matches the host and path."
     ),
-    ErrorKind.UNAUTHENTICATED: Answer(
-        401, Ran.NO, None, "The key is missing or unknown.", 3
+    ErrorKind.UNAUTHENTICATED: ErrorResponse(
+        401, Executed.NO, None, "The key is missing or unknown.", 3
     ),
-    ErrorKind.FORBIDDEN: Answer(
-        403, Ran.NO, None, "The token's role does not allow this.", 3
+    ErrorKind.FORBIDDEN: ErrorResponse(
+        403, Executed.NO, None, "The token's role does not allow this.", 3
     ),
-    ErrorKind.NOT_FOUND: Answer(404, Ran.NO, None, "No such object.", 4),
-    ErrorKind.CONFLICT: Answer(
-        409, Ran.NO, None, "Another change came first.", 5
+    ErrorKind.NOT_FOUND: ErrorResponse(
+        404, Executed.NO, None, "No such object.", 4
     ),
-    ErrorKind.REQUEST_ID_REUSED: Answer(
-        409, Ran.NO, None, "The request id was used with other content."
+    ErrorKind.CONFLICT: ErrorResponse(
+        409, Executed.NO, None, "Another change came first.", 5
     ),
-    ErrorKind.OUT_OF_ORDER: Answer(
-        409, Ran.NO, 200, "An earlier call of the branch has not arrived."
+    ErrorKind.REQUEST_ID_REUSED: ErrorResponse(
+        409, Executed.NO, None, "The request id was used with other content."
     ),
-    ErrorKind.PROGRAM_ENDED: Answer(
-        409, Ran.NO, None, "The program has ended."
+    ErrorKind.OUT_OF_ORDER: ErrorResponse(
+        409, Executed.NO, 200, "An earlier call of the branch has not arrived."
     ),
-    ErrorKind.BUDGET_EXCEEDED: Answer(
-        402, Ran.NO, None, "The program's budget does not cover the call."
+    ErrorKind.PROGRAM_ENDED: ErrorResponse(
+        409, Executed.NO, None, "The program has ended."
     ),
-    ErrorKind.LIMIT_REACHED: Answer(
-        429, Ran.NO, 1000, "The workspace's limit is reached."
+    ErrorKind.BUDGET_EXCEEDED: ErrorResponse(
+        402, Executed.NO, None, "The program's budget does not cover the call."
     ),
-    ErrorKind.DEADLINE_EXCEEDED: Answer(
-        504, Ran.NO, None, "The deadline passed before the call was run."
+    ErrorKind.LIMIT_REACHED: ErrorResponse(
+        429, Executed.NO, 1000, "The workspace's limit is reached."
     ),
-    ErrorKind.TIMED_OUT: Answer(
-        504, Ran.UNKNOWN, 1000, "The deadline passed while the call ran."
+    ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(
+        504, Executed.NO, None, "The deadline passed before the call was run."
     ),
-    ErrorKind.OVERLOADED: Answer(
-        503, Ran.NO, 2000, "The queue is too long for this priority."
+    ErrorKind.TIMED_OUT: ErrorResponse(
+        504, Executed.UNKNOWN, 1000, "The deadline passed while the call ran."
     ),
-    ErrorKind.QUARANTINED: Answer(
+    ErrorKind.OVERLOADED: ErrorResponse(
+        503, Executed.NO, 2000, "The queue is too long for this priority."
+    ),
+    ErrorKind.QUARANTINED: ErrorResponse(
         422,
-        Ran.UNKNOWN,
+        Executed.UNKNOWN,
         None,
         "The request crashed its replicas; it is given up.",
     ),
-    ErrorKind.NO_UPSTREAM: Answer(
-        503, Ran.NO, 2000, "No replica can serve the call now."
+    ErrorKind.NO_UPSTREAM: ErrorResponse(
+        503, Executed.NO, 2000, "No replica can serve the call now."
+    ),
+    ErrorKind.UPSTREAM_FAILED: ErrorResponse(
+        502,
+        Executed.UNKNOWN,
+        1000,
+        "The upstream failed while it ran the call.",
     ),
-    ErrorKind.UPSTREAM_FAILED: Answer(
-        502, Ran.UNKNOWN, 1000, "The upstream failed while it ran the call."
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(
+        502,
+        Executed.UNKNOWN,
+        None,
+        "The call was sent; its outcome is unknown.",
     ),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(
-        502, Ran.UNKNOWN, None, "The call was sent; its outcome is unknown."
+    ErrorKind.CANCELLED: ErrorResponse(
+        499, Executed.UNKNOWN, None, "The call was cancelled."
     ),
-    ErrorKind.CANCELLED: Answer(
-        499, Ran.UNKNOWN, None, "The call was cancelled."
+    ErrorKind.NOT_OWNER: ErrorResponse(
+        503, Executed.NO, 100, "The program is moving to another host."
     ),
-    ErrorKind.NOT_OWNER: Answer(
-        503, Ran.NO, 100, "The program is moving to another host."
+    ErrorKind.PEER_UNAVAILABLE: ErrorResponse(
+        503, Executed.UNKNOWN, 500, "The owning host does not answer."
     ),
-    ErrorKind.PEER_UNAVAILABLE: Answer(
-        503, Ran.UNKNOWN, 500, "The owning host does not answer."
+    ErrorKind.PLATFORM_UNAVAILABLE: ErrorResponse(
+        503, Executed.NO, 2000, "The platform's service does not answer.", 6
     ),
-    ErrorKind.PLATFORM_UNAVAILABLE: Answer(
-        503, Ran.NO, 2000, "The platform's service does not answer.", 6
+    ErrorKind.WRITE_UNKNOWN: ErrorResponse(
+        503, Executed.UNKNOWN, 1000, "A write's answer was lost.", 6
     ),
-    ErrorKind.WRITE_UNKNOWN: Answer(
-        503, Ran.UNKNOWN, 1000, "A write's answer was lost.", 6
+    ErrorKind.STOPPING: ErrorResponse(
+        503, Executed.NO, 200, "The host is stopping."
     ),
-    ErrorKind.STOPPING: Answer(503, Ran.NO, 200, "The host is stopping."),
-    ErrorKind.HISTORY_GONE: Answer(
-        503, Ran.NO, 300, "The store no longer knows these changes.", 6
+    ErrorKind.HISTORY_GONE: ErrorResponse(
+        503, Executed.NO, 300, "The store no longer knows these changes.", 6
     ),
-    ErrorKind.NOT_CONFIGURED: Answer(
-        503, Ran.NO, 300, "The host knows no configuration yet."
+    ErrorKind.NOT_CONFIGURED: ErrorResponse(
+        503, Executed.NO, 300, "The host knows no configuration yet."
     ),
-    ErrorKind.LEDGER_UNAVAILABLE: Answer(
-        503, Ran.NO, 300, "The owner of the program's budget does not answer."
+    ErrorKind.LEDGER_UNAVAILABLE: ErrorResponse(
+        503,
+        Executed.NO,
+        300,
+        "The owner of the program's budget does not answer.",
     ),
-    ErrorKind.BROKEN_OFF: Answer(
-        502, Ran.YES, None, "The answer broke off and can't be continued."
+    ErrorKind.BROKEN_OFF: ErrorResponse(
+        502, Executed.YES, None, "The answer broke off and can't be continued."
     ),
-    ErrorKind.INVALID_SETTINGS: Answer(
-        400, Ran.NO, None, "The settings are invalid.", 2
+    ErrorKind.INVALID_SETTINGS: ErrorResponse(
+        400, Executed.NO, None, "The settings are invalid.", 2
     ),
-    ErrorKind.INTERNAL: Answer(
-        500, Ran.UNKNOWN, None, "An internal error; see the log."
+    ErrorKind.INTERNAL: ErrorResponse(
+        500, Executed.UNKNOWN, None, "An internal error; see the log."
     ),
 }
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failure:
-    """One failed operation: the error side of every ``Result``.
+    """A failed operation: the error type of every ``Result``.
 
     Attributes:
         kind: The error kind.
-        detail: What was wrong and where, for the reader; no secrets.
-        retry_after_ms: Overrides the table's time to come back.
-        host: The host to ask instead, where one is known.
+        detail: What failed and where, without secrets.
+        retry_after_ms: Overrides the retry delay of the kind.
+        host: The host to ask instead, if known.
     """
 
     kind: ErrorKind
@@ -188,24 +202,24 @@
     host: str = ""
 
     @property
-    def answer(self) -> Answer:
-        """The table's row for this kind."""
-        return ANSWER_BY_KIND[self.kind]
+    def response(self) -> ErrorResponse:
+        """The response to this error kind."""
+        return ERROR_RESPONSE_BY_KIND[self.kind]
 
     @property
-    def come_back_ms(self) -> int | None:
-        """When to send again: this failure's own time or the table's."""
+    def effective_retry_after_ms(self) -> int | None:
+        """The retry delay of this failure, or else of its kind."""
         if self.retry_after_ms is not None:
             return self.retry_after_ms
-        return self.answer.retry_after_ms
+        return self.response.retry_after_ms
 
     def __str__(self) -> str:
-        text = self.answer.message
+        text = self.response.message
         return f"{text} {self.detail}" if self.detail else text
 
 
 class MasticdaleError(Exception):
-    """A failure raised where no ``Result`` can carry it, such as at start."""
+    """Raised where no ``Result`` can carry a failure, such as at startup."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(str(failure))
--- a/libs/config/src/masticdale_config/revisions.py
+++ b/libs/config/src/masticdale_config/revisions.py
@@ -1,4 +1,4 @@
-"""Accepting changes: one sequence of revisions under racing operators."""
+"""Accepts concurrent changes as one sequence of revisions."""
 
 import asyncio
 import dataclasses
@@ -11,7 +11,7 @@
 from masticdale_common import ErrorKind, Failure, hashing, logs
 from masticdale_config import checks, storage, trimming
 from masticdale_config import state as states
-from masticdale_config.inforce import ConfigInForce
+from masticdale_config.active_config import ActiveConfig
 from masticdale_config.kinds import Declaration, DeclarationKey
 from masticdale_config.rendered import RenderedConfig
 from masticdale_platform.types import (
@@ -28,13 +28,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Edit:
-    """One declaration an operator wants to put or delete.
+    """A put or a delete of one declaration.
 
     Attributes:
-        key: The declaration.
+        key: Key of the declaration.
         seen: Digest of the declaration as the operator last saw it, or
-            ``ABSENT``.
-        after: What it is to be; None to delete it.
+            ``ABSENT``. If the current digest differs, the edit conflicts,
+            unless it would change nothing.
+        after: The new declaration; None to delete it.
     """
 
     key: DeclarationKey
@@ -44,13 +45,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """What an operator applies, accepted as one revision or not at all.
+    """A set of edits that is accepted as one revision or not at all.
 
     Attributes:
-        change_id: Unique; the same when the apply is sent again.
-        author: Who applies it.
-        reason: Why.
-        edits: The declarations it touches, each once.
+        change_id: Unique id; a retry carries the same id.
+        author: Operator who applies it.
+        reason: Reason stated by the operator.
+        edits: Edits of distinct declarations.
     """
 
     change_id: str
@@ -60,14 +61,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Accepted:
+class AcceptedChange:
     """An accepted change.
 
     Attributes:
-        revision: Its number; the present one where nothing would change.
-        digest: Digest of the configuration in force with it; empty where it
-            was recognised and later revisions are in force.
-        changed: False where every declaration was already as wanted.
+        revision: Its number; the current number if nothing would change.
+        digest: Digest of the configuration after it; empty if it is a retry
+            and later revisions are active.
+        changed: False if every declaration was already as requested.
     """
 
     revision: int
@@ -77,13 +78,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What a change would do if it were applied now.
+    """The effect that a change would have if it were applied now.
 
     Attributes:
-        base: Revision it was computed against.
-        edits: Declarations that would differ, before and after.
-        before: The configuration now.
-        after: The configuration as it would be.
+        base: Number of the revision that the plan is based on.
+        edits: Declarations that would change, before and after.
+        before: The current configuration.
+        after: The configuration after the change.
     """
 
     base: int
@@ -93,110 +94,113 @@
 
 
 class ConfigStore:
-    """Applies operators' changes; several may run on several hosts."""
+    """Applies operators' changes; safe to use from several hosts at once."""
 
     def __init__(
         self,
         store: ObjectStore,
-        in_force: ConfigInForce,
+        active_config: ActiveConfig,
         snapshot_every: int = SNAPSHOT_EVERY,
         backoff_s: float = BACKOFF_S,
         wall_ms: Callable[[], int] | None = None,
     ) -> None:
         self._store = store
-        self._in_force = in_force
+        self._active_config = active_config
         self._snapshot_every = snapshot_every
         self._backoff_s = backoff_s
-        self._wall_ms = wall_ms or _wall_ms
+        self._wall_ms = wall_ms or _now_ms
         self._lock = asyncio.Lock()
 
     async def load(self) -> Result[states.ConfigState, Failure]:
-        """Returns the newest state the platform holds."""
-        loaded = await storage.catch_up(self._store, self._in_force)
-        return loaded.map(lambda _: self._in_force.state)
+        """Catches up with the platform and returns the newest state."""
+        loaded = await storage.catch_up(self._store, self._active_config)
+        return loaded.map(lambda _: self._active_config.state)
 
     async def plan(self, change: Change) -> Result[Plan, Failure]:
-        """Says what a change would do, writing nothing.
+        """Computes the effect of a change without writing anything.
 
         Args:
             change: The change.
 
         Returns:
-            The plan; else what ``apply`` would answer.
+            The plan, or the failure that ``apply`` would return.
         """
         loaded = await self.load()
         if isinstance(loaded, Failed):
             return loaded
-        return await asyncio.to_thread(_prepare, loaded.unwrap(), change)
+        return await asyncio.to_thread(_build_plan, loaded.unwrap(), change)
 
-    async def apply(self, change: Change) -> Result[Accepted, Failure]:
-        """Accepts a change as the next revision, whole or not at all.
+    async def apply(self, change: Change) -> Result[AcceptedChange, Failure]:
+        """Accepts a change atomically as the next revision.
 
         Args:
-            change: The change. Its base may be old: only a declaration that
-                it touches and that another change touched since is a
-                conflict.
+            change: The change. Its base may be outdated. It conflicts only if
+                another change has since modified a declaration that it
+                touches.
 
         Returns:
-            The revision. CONFLICT names the declaration, its fields and the
-            change that won; BAD_REQUEST each wrong field; TOO_LARGE a change
-            over the platform's size; PLATFORM_UNAVAILABLE when surely
-            nothing was written; WRITE_UNKNOWN when it may have been: send it
-            again under the same ``change_id``.
+            The accepted change. CONFLICT names the declaration, its fields
+            and the change that won; BAD_REQUEST names each invalid field;
+            TOO_LARGE means that the change exceeds the platform's size limit;
+            PLATFORM_UNAVAILABLE means that nothing was written; WRITE_UNKNOWN
+            means that it may have been written: retry it under the same
+            ``change_id``.
         """
-        refused = _check_change(change)
-        if refused is not None:
-            return Failed(refused)
+        rejection = _check_change(change)
+        if rejection is not None:
+            return Failed(rejection)
         async with self._lock:
             return await self._apply(change)
 
     async def revision(
         self, number: int
     ) -> Result[states.Revision | None, Failure]:
-        """Returns a revision, or None where none is stored any more."""
+        """Returns a revision, or None if it is not stored or was trimmed."""
         read = await self._store.read(storage.revision_key(number))
         if isinstance(read, Failed):
             return read
         stored = read.unwrap()
-        if stored is None or stored.value == trimming.TRIMMED:
+        if stored is None or stored.value == trimming.TOMBSTONE:
             return Success(None)
         return states.decode_revision(stored.value)
 
-    async def _apply(self, change: Change) -> Result[Accepted, Failure]:
-        unknown = 0
-        failure = Failure(ErrorKind.PLATFORM_UNAVAILABLE, "gave up")
+    async def _apply(self, change: Change) -> Result[AcceptedChange, Failure]:
+        unresolved = 0
+        failure = Failure(
+            ErrorKind.PLATFORM_UNAVAILABLE, "no attempt succeeded"
+        )
         for attempt in range(MAX_ATTEMPTS):
             if attempt:
                 await asyncio.sleep(_backoff_s(self._backoff_s, attempt))
             loaded = await self.load()
             if isinstance(loaded, Failed):
-                return _refuse(loaded.failure(), unknown)
+                return _resolve_failure(loaded.failure(), unresolved)
             state = loaded.unwrap()
-            if state.number >= unknown:
-                unknown = 0
-            known = _recognise(state, change)
-            if known is not None:
-                return known
-            # Off the event loop: a template's change may reach thousands of
-            # workspaces.
-            prepared = await asyncio.to_thread(_prepare, state, change)
-            if isinstance(prepared, Failed):
-                return _refuse(prepared.failure(), unknown)
-            plan = prepared.unwrap()
+            if state.number >= unresolved:
+                unresolved = 0
+            duplicate = _find_duplicate(state, change)
+            if duplicate is not None:
+                return duplicate
+            # On a thread, because a change of a template may affect thousands
+            # of workspaces.
+            planned = await asyncio.to_thread(_build_plan, state, change)
+            if isinstance(planned, Failed):
+                return _resolve_failure(planned.failure(), unresolved)
+            plan = planned.unwrap()
             if not plan.edits:
                 return Success(_unchanged(state))
             written = await self._commit(change, plan)
             if isinstance(written, Success):
-                return await self._accepted(written.unwrap())
+                return await self._apply_accepted(written.unwrap())
             failure = written.failure()
             if failure.kind is ErrorKind.WRITE_UNKNOWN:
-                # The write may still take effect. Until that number is taken
-                # nothing may be refused as surely not written; trying to
-                # create the same number again settles it.
-                unknown = plan.after.revision
+                # The write may still take effect. Until that revision exists,
+                # no failure may claim that nothing was written. Creating the
+                # same revision again resolves it.
+                unresolved = plan.after.revision
             elif failure.kind is not ErrorKind.CONFLICT:
-                return _refuse(failure, unknown)
-        return _refuse(failure, unknown)
+                return _resolve_failure(failure, unresolved)
+        return _resolve_failure(failure, unresolved)
 
     async def _commit(
         self, change: Change, plan: Plan
@@ -214,31 +218,31 @@
         value = states.encode_revision(revision)
         if len(value) > MAX_VALUE_BYTES:
             detail = (
-                f"the change takes {len(value)} bytes of {MAX_VALUE_BYTES};"
-                " split it into several"
+                f"the change has {len(value)} bytes, at most {MAX_VALUE_BYTES}"
+                " are allowed; split it into several changes"
             )
             return Failed(Failure(ErrorKind.TOO_LARGE, detail))
         key = storage.revision_key(revision.number)
         written = await self._store.write(key, value, MUST_NOT_EXIST)
         return written.map(lambda _: revision)
 
-    async def _accepted(
+    async def _apply_accepted(
         self, revision: states.Revision
-    ) -> Result[Accepted, Failure]:
-        # This host's watch may have brought it, and later ones, into force
-        # before the write was answered; then this passes over it.
-        applied = await self._in_force.follow_revisions(
+    ) -> Result[AcceptedChange, Failure]:
+        # This host's watch may already have applied this and later revisions
+        # before the write returned; they are then skipped here.
+        applied = await self._active_config.apply_revisions_in_thread(
             (states.encode_revision(revision),)
         )
         if isinstance(applied, Failed):
             return applied
         if revision.number % self._snapshot_every == 0:
             written = await storage.write_snapshot(
-                self._store, self._in_force.state
+                self._store, self._active_config.state
             )
             if isinstance(written, Failed):
                 logs.write("snapshot_failed", error=str(written.failure()))
-        return Success(Accepted(revision.number, revision.digest, True))
+        return Success(AcceptedChange(revision.number, revision.digest, True))
 
 
 def _check_change(change: Change) -> Failure | None:
@@ -246,29 +250,29 @@
     if not change.change_id:
         return Failure(ErrorKind.BAD_REQUEST, "change_id: must not be empty")
     if len(set(keys)) < len(keys):
-        detail = "edits: a declaration may be touched once only"
+        detail = "edits: each declaration may appear only once"
         return Failure(ErrorKind.BAD_REQUEST, detail)
     return None
 
 
-def _recognise(
+def _find_duplicate(
     state: states.ConfigState, change: Change
-) -> Result[Accepted, Failure] | None:
-    known = state.change(change.change_id)
-    if known is None:
+) -> Result[AcceptedChange, Failure] | None:
+    summary = state.change(change.change_id)
+    if summary is None:
         return None
-    if known.change_digest != _change_digest(change):
+    if summary.change_digest != _change_digest(change):
         detail = (
-            f"change_id {change.change_id!r} is that of revision"
-            f" {known.revision}, which holds another change"
+            f"change_id {change.change_id!r} was already used for another"
+            f" change, accepted as revision {summary.revision}"
         )
         return Failed(Failure(ErrorKind.REQUEST_ID_REUSED, detail))
-    is_newest = known.revision == state.number
+    is_newest = summary.revision == state.number
     digest = state.rendered.digest if is_newest else ""
-    return Success(Accepted(known.revision, digest, True))
+    return Success(AcceptedChange(summary.revision, digest, True))
 
 
-def _prepare(
+def _build_plan(
     state: states.ConfigState, change: Change
 ) -> Result[Plan, Failure]:
     edits: list[states.RecordedEdit] = []
@@ -291,7 +295,7 @@
     if conflicts:
         detail = "\n".join(conflicts)
         return Failed(Failure(ErrorKind.CONFLICT, detail))
-    after_by_key = states.edited(state.declaration_by_key, tuple(edits))
+    after_by_key = states.apply_edits(state.declaration_by_key, tuple(edits))
     touched = [edit.key for edit in edits]
     checked = checks.check_change(
         after_by_key, state.number + 1, state.rendered, touched
@@ -304,7 +308,7 @@
 def _describe_conflict(state: states.ConfigState, edit: Edit) -> str:
     winner = state.last_change_of(edit.key)
     if winner is None:
-        return f"{edit.key}: is not what was last seen, or never was"
+        return f"{edit.key}: has changed since last seen, or never existed"
     fields = ", ".join(winner.touched_fields(edit.key) or ())
     return (
         f"{edit.key}: {fields or 'spec'}: changed by revision"
@@ -312,15 +316,15 @@
     )
 
 
-def _unchanged(state: states.ConfigState) -> Accepted:
-    return Accepted(state.number, state.rendered.digest, False)
+def _unchanged(state: states.ConfigState) -> AcceptedChange:
+    return AcceptedChange(state.number, state.rendered.digest, False)
 
 
-def _refuse(failure: Failure, unknown: int) -> Failed[Failure]:
-    if not unknown:
+def _resolve_failure(failure: Failure, unresolved: int) -> Failed[Failure]:
+    if not unresolved:
         return Failed(failure)
     detail = (
-        f"revision {unknown} may or may not have been written"
+        f"revision {unresolved} may or may not have been written"
         f" ({failure.kind}); send the change again under the same change_id"
     )
     return Failed(Failure(ErrorKind.WRITE_UNKNOWN, detail))
@@ -338,5 +342,5 @@
     return float(min(_MAX_BACKOFF_S, first_s * 2**attempt))
 
 
-def _wall_ms() -> int:
+def _now_ms() -> int:
     return time.time_ns() // 1_000_000
--- a/libs/config/src/masticdale_config/trimming.py
+++ b/libs/config/src/masticdale_config/trimming.py
@@ -1,9 +1,9 @@
-"""Bounding what old revisions and snapshots take in the platform's service.
+"""Retention of old revisions and snapshots in the platform's object store.
 
-An old revision is overwritten and not deleted. A host paused for days between
-reading the newest revision and creating the next would otherwise find its key
-free again, and its change would be accepted into a sequence that has long
-gone on: its operator would be told that it holds, and no host would apply it.
+An old revision is overwritten by a tombstone rather than deleted. If its key
+were free again, a host that was paused between reading the newest revision and
+creating the next one could still create it: the operator would be told that
+the change is accepted, but no host would apply it.
 """
 
 import asyncio
@@ -15,10 +15,10 @@
 from masticdale_common import logs
 from masticdale_platform.types import ObjectStore
 
-TRIMMED = b"{}"
+TOMBSTONE = b"{}"
 KEPT_REVISIONS = 5000
 MAX_TRIMMED_AT_ONCE = 400
-_CALLS_AT_ONCE = 8
+_MAX_CONCURRENT_CALLS = 8
 
 
 async def trim_revisions(
@@ -26,19 +26,19 @@
     numbers: range,
     key_of: Callable[[int], str],
 ) -> int:
-    """Overwrites old revisions.
+    """Overwrites old revisions by tombstones.
 
     Args:
-        store: The platform's service.
-        numbers: Numbers of the revisions to trim, in order.
+        store: The platform's object store.
+        numbers: Numbers of the revisions to trim, in ascending order.
         key_of: Returns the key of a revision.
 
     Returns:
-        How many of them, from the first on, are trimmed for certain.
+        How many revisions, counted from the first, are certain to be trimmed.
     """
     done = 0
-    for start in range(0, len(numbers), _CALLS_AT_ONCE):
-        batch = numbers[start : start + _CALLS_AT_ONCE]
+    for start in range(0, len(numbers), _MAX_CONCURRENT_CALLS):
+        batch = numbers[start : start + _MAX_CONCURRENT_CALLS]
         trims = [_overwrite(store, key_of(number)) for number in batch]
         if not all(await asyncio.gather(*trims)):
             logs.write("revision_trim_failed", first=batch[0])
@@ -48,7 +48,7 @@
 
 
 async def delete_keys(store: ObjectStore, keys: Iterable[str]) -> bool:
-    """Deletes objects; returns whether all are gone for certain."""
+    """Deletes objects; returns whether all are certain to be deleted."""
     outcomes = [await _delete(store, key) for key in keys]
     return all(outcomes)
 
@@ -58,9 +58,9 @@
     if isinstance(found, Failed):
         return False
     stored = found.unwrap()
-    if stored is None or stored.value == TRIMMED:
+    if stored is None or stored.value == TOMBSTONE:
         return True
-    written = await store.write(key, TRIMMED, stored.version)
+    written = await store.write(key, TOMBSTONE, stored.version)
     return isinstance(written, Success)
 
 
--- a/libs/gateway/src/masticdale_gateway/unary.py
+++ b/libs/gateway/src/masticdale_gateway/unary.py
@@ -1,4 +1,4 @@
-"""Requests with one answer of known end: read content, then handed on."""
+"""Unary requests: the response is buffered whole, then forwarded."""
 
 import asyncio
 import dataclasses
@@ -6,7 +6,7 @@
 from returns.result import Failure as Failed
 from returns.result import Result
 
-from masticdale_common import ErrorKind, Failure, Ran
+from masticdale_common import ErrorKind, Executed, Failure
 from masticdale_gateway.calls import Call, RelaySettings
 from masticdale_gateway.exchanges import (
     Exchange,
@@ -17,18 +17,13 @@
 from masticdale_gateway.messages import ResponseHead
 from masticdale_routing.fleet import Fleet, ReplicaState
 
-# Any fresh connection will do for what may be repeated.
+# Retriable requests may use any connection that the pool still keeps.
 _RETRIABLE_MAX_IDLE_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BufferedResponse:
-    """A replica's answer, complete.
-
-    Attributes:
-        head: Status and headers.
-        body: The body.
-    """
+    """A complete response of a replica."""
 
     head: ResponseHead
     body: bytes
@@ -37,12 +32,12 @@
 def no_upstream_failure(
     call: Call, failure: SendFailure | None, retry_after_s: float
 ) -> Failure:
-    """Returns the refusal of a call that no replica has run.
+    """Returns the error for a call that no replica has run.
 
     Args:
         call: The call.
-        failure: The last failed send, if there was one.
-        retry_after_s: When to come back if the replica didn't say.
+        failure: The last failed send, if any.
+        retry_after_s: Delay before a retry if the replica named none.
     """
     requested_s = failure.retry_after_s if failure else None
     detail = failure.reason if failure else f"no replica of {call.service.name}"
@@ -54,10 +49,9 @@
 
 
 class UnaryRelay:
-    """Sends plain requests until one has run."""
+    """Sends unary requests, with retries on other replicas."""
 
-    # Full replicas of a plain service free a slot within some tens of
-    # milliseconds; half of them is worth asking again after this long.
+    # Full replicas of a unary service free a slot within tens of milliseconds.
     _RETRY_AFTER_S = 0.1
 
     def __init__(
@@ -68,7 +62,7 @@
         self._settings = settings
 
     async def run(self, call: Call) -> BufferedResponse | Failure:
-        """Returns a replica's content answer, or why there is none."""
+        """Returns a replica's complete response, or the failure."""
         excluded: set[str] = set()
         last: SendFailure | None = None
         possible_runs = 0
@@ -83,7 +77,7 @@
                 return outcome.unwrap()
             last = outcome.failure()
             excluded.add(last.replica_id)
-            if last.ran is Ran.NO:
+            if last.ran is Executed.NO:
                 continue
             possible_runs += 1
             if (
@@ -131,4 +125,8 @@
         exchange.close()
     return body.map(
         lambda content: BufferedResponse(exchange.head, content)
-    ).alt(lambda reason: SendFailure(exchange.replica_id, Ran.UNKNOWN, reason))
+    ).alt(
+        lambda reason: SendFailure(
+            exchange.replica_id, Executed.UNKNOWN, reason
+        )
+    )
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -1,7 +1,7 @@
-"""Hosts of the ledger with their real parts, joined without a network.
+"""Simulated ledger hosts, made of production parts without a network.
 
-Links, the store and processes fail as a plan says. What callers are given is
-counted outside of the hosts, so that no part vouches for itself.
+Links, the store and processes fail according to a plan. Granted tokens are
+counted outside the hosts, independently of the code under test.
 """
 
 import asyncio
@@ -37,14 +37,14 @@
 from masticdale_rpc import unavailable
 
 SHARD = 0
-MOST = 100
-# An event takes this long on the hosts' clock, in seconds: more than a
-# standby waits between two questions to its owner.
-EVENT_S = 0.31
+MAX_TURN_TOKENS = 100
+# Seconds by which an event advances the clock: more than a standby waits
+# between two calls to its owner.
+EVENT_DURATION_S = 0.31
 
 
 class Clock:
-    """Seconds of all hosts."""
+    """Clock shared by all hosts, in seconds."""
 
     def __init__(self):
         self.now_s = 1000.0
@@ -54,7 +54,7 @@
 
 
 class HostStore:
-    """The store as one host reaches it."""
+    """One host's access to the store, with its own faults."""
 
     def __init__(self, store):
         self._store = store
@@ -67,35 +67,37 @@
 
     async def read(self, key):
         if self.is_lost:
-            return self._away()
+            return self._unavailable()
         return await self._store.read(key)
 
     async def list(self, prefix):
         if self.is_lost:
-            return self._away()
+            return self._unavailable()
         return await self._store.list(prefix)
 
     async def write(self, key, value, expected_version):
         if self.is_lost:
-            return self._away()
+            return self._unavailable()
         outcome = await self._store.write(key, value, expected_version)
         if not self.loses_answers:
             return outcome
-        # The call is done, and the host can't read back what became of it.
+        # The write is done, and the host can't read its result back.
         self.is_cut = True
         return Failed(Failure(ErrorKind.WRITE_UNKNOWN, "no answer"))
 
     async def delete(self, key, expected_version):
         if self.is_lost:
-            return self._away()
+            return self._unavailable()
         return await self._store.delete(key, expected_version)
 
-    def _away(self):
-        return Failed(Failure(ErrorKind.PLATFORM_UNAVAILABLE, "away"))
+    def _unavailable(self):
+        return Failed(
+            Failure(ErrorKind.PLATFORM_UNAVAILABLE, "store unavailable")
+        )
 
 
 class Link:
-    """The way from one host to another one's address."""
+    """A network link from one host to another."""
 
     def __init__(self, world, source, target):
         self._world = world
@@ -108,7 +110,7 @@
         pair = frozenset((self._source, self._target))
         if process is None:
             return Failed(unavailable(self._target, "refused", sent=False))
-        if pair in world.cuts:
+        if pair in world.partitions:
             return Failed(unavailable(self._target, "timed out", sent=True))
         reply = await getattr(process.service, rpc.name)(request)
         if (self._source, self._target) in world.lost_answers:
@@ -117,7 +119,7 @@
 
 
 class Links(Hosts):
-    """All ways from one host."""
+    """All links from one host."""
 
     def __init__(self, world, source):
         self._world = world
@@ -135,7 +137,7 @@
 
 
 class Process:
-    """One process of a host, from its start to its end."""
+    """One process of a host, from start to exit."""
 
     def __init__(self, world, name, number):
         port = next(p for p, n in world.names.items() if n == name)
@@ -190,7 +192,7 @@
         )
 
     async def read_map(self):
-        """Learns what the store holds, as a watch would."""
+        """Updates the shard map from the store, as a watch does."""
         found = await self.store.read(shard_key(SHARD))
         if isinstance(found, Failed):
             return
@@ -199,14 +201,14 @@
             self.map.put(found.unwrap())
 
     def stop(self):
-        """Begins a planned stop."""
+        """Starts a planned stop."""
         self.is_stopping = True
         self.copies.is_stopping = True
 
 
 @dataclasses.dataclass(slots=True)
 class Turn:
-    """One turn that a caller was given."""
+    """A turn that a caller was granted."""
 
     program: str
     request_id: str
@@ -214,27 +216,27 @@
 
 
 class World:
-    """Hosts, the store, and what callers were given of each budget."""
+    """Hosts, the store, and the tokens granted of each budget."""
 
     def __init__(self, budget, names="abcd"):
         self.budget = budget
         self.names = dict(enumerate(names, start=1))
         self.store = MemoryStore()
         self.clock = Clock()
-        self.cuts = set()
+        self.partitions = set()
         self.lost_answers = set()
         self.process_by_name = {}
-        self.open = []
-        self.unsent = []
-        self.given_by_program = {}
+        self.open_turns = []
+        self.unsent_settlements = []
+        self.granted_by_program = {}
         self.trace = []
-        self.lines = []
+        self.log_lines = []
         self._starts = 0
         self._requests = 0
         self._programs = 0
 
     async def begin(self):
-        """Starts every host, and waits until the shard is owned."""
+        """Starts every host and has the first one claim the shard."""
         for name in self.names.values():
             await self.start(name)
         for process in self.process_by_name.values():
@@ -242,9 +244,9 @@
                 process.seen.record_request(other.identity.host_address)
         first = self.process_by_name[self.names[1]]
         await first.reconciler.reconcile()
-        await self.learn()
+        await self.refresh_maps()
 
-    async def learn(self):
+    async def refresh_maps(self):
         for process in self.process_by_name.values():
             await process.read_map()
 
@@ -260,7 +262,7 @@
         self.process_by_name.pop(name, None)
 
     async def turn(self, name, program):
-        """A caller asks one host for a turn; returns whether it is given."""
+        """Asks one host for a turn; returns whether it is granted."""
         process = self.process_by_name.get(name)
         view = process.map.get(SHARD) if process else None
         if view is None:
@@ -272,7 +274,7 @@
             program,
             request_id,
             self.budget,
-            MOST,
+            MAX_TURN_TOKENS,
             process.identity.host_address,
             process.is_stopping,
         )
@@ -283,12 +285,12 @@
             outcome = await self._ask(process, port, request)
             is_missed = isinstance(outcome, Failed)
             if port == record.port:
-                self._note(process, view, is_missed)
+                self._note_reachability(process, view, is_missed)
             if is_missed:
                 continue
             failure = outcome.unwrap().failure
             if failure is None:
-                self._give(program, request_id, process)
+                self._record_grant(program, request_id, process)
                 return True
             if failure.kind is not ErrorKind.NOT_OWNER:
                 return False
@@ -300,7 +302,7 @@
         link = Link(self, process.name, self.names[port])
         return await link.call(ADMIT, request, 0.4)
 
-    def _note(self, process, view, is_missed):
+    def _note_reachability(self, process, view, is_missed):
         known = process.client.unreachable_by_shard
         if not is_missed:
             known.pop(SHARD, None)
@@ -308,30 +310,30 @@
         now = asyncio.get_running_loop().time()
         known[SHARD] = UnreachableOwner(view.version, now - 1.0, now)
 
-    def _give(self, program, request_id, asked):
-        given = self.given_by_program.setdefault(program, {})
-        given[request_id] = MOST
-        self.open.append(Turn(program, request_id, asked))
+    def _record_grant(self, program, request_id, asked):
+        given = self.granted_by_program.setdefault(program, {})
+        given[request_id] = MAX_TURN_TOKENS
+        self.open_turns.append(Turn(program, request_id, asked))
 
     async def end_turn(self, used):
-        """The oldest turn ends; its host reports what it has used."""
-        if not self.open:
+        """Ends the oldest turn and sends its settlement."""
+        if not self.open_turns:
             return
-        turn = self.open.pop(0)
-        self.given_by_program[turn.program][turn.request_id] = used
-        self.unsent.append((turn, used))
+        turn = self.open_turns.pop(0)
+        self.granted_by_program[turn.program][turn.request_id] = used
+        self.unsent_settlements.append((turn, used))
         await self.send_settlements()
 
     async def send_settlements(self):
-        unsent, self.unsent = self.unsent, []
+        unsent, self.unsent_settlements = self.unsent_settlements, []
         for turn, used in unsent:
             if not await self._settle(turn, used):
-                self.unsent.append((turn, used))
+                self.unsent_settlements.append((turn, used))
 
     async def _settle(self, turn, used):
         process = turn.asked
         if self.process_by_name.get(process.name) is not process:
-            # What it would have reported has ended with it.
+            # The settlement was lost with its process.
             return True
         settlement = Settlement(SHARD, turn.program, turn.request_id, used)
         if process.owner.settle(settlement):
@@ -349,12 +351,12 @@
         return False
 
     async def step(self, kind, first, second):
-        """Plays one event.
+        """Runs one event.
 
         Args:
-            kind: Its name.
-            first: A number that chooses a host, or an amount.
-            second: A number that chooses another host, or a program.
+            kind: Kind of the event.
+            first: Selects a host or an amount.
+            second: Selects another host or a program.
         """
         names = list(self.names.values())
         name = names[first % len(names)]
@@ -362,29 +364,31 @@
         program = f"{'pq'[second % 2]}{self._programs}"
         process = self.process_by_name.get(name)
         self.trace.append((kind, name, other, program))
-        self.clock.now_s += EVENT_S
+        self.clock.now_s += EVENT_DURATION_S
         match kind:
-            case "turns":
+            case "ask-turns":
                 for _ in range(1 + first % 4):
                     await self.turn(name, program)
-            case "programs":
+            case "next-program":
                 self._programs += 1
-            case "end":
-                await self.end_turn(first % (MOST + 1))
-            case "look" if process:
+            case "end-turn":
+                await self.end_turn(first % (MAX_TURN_TOKENS + 1))
+            case "reconcile" if process:
                 await process.reconciler.reconcile()
-            case "learn" if process:
+            case "refresh-map" if process:
                 await process.read_map()
-            case "copy" if process:
+            case "replicate" if process:
                 await process.owner.replicate_changes()
-            case "cut":
-                self.cuts.add(frozenset((name, other)))
+            case "partition":
+                self.partitions.add(frozenset((name, other)))
             case "isolate":
-                self.cuts |= {frozenset((name, n)) for n in names if n != name}
+                self.partitions |= {
+                    frozenset((name, n)) for n in names if n != name
+                }
             case "lose-answers":
                 self.lost_answers.add((name, other))
             case "heal":
-                self.cuts.clear()
+                self.partitions.clear()
                 self.lost_answers.clear()
             case "store-cut" if process:
                 process.store.is_cut = True
@@ -407,31 +411,31 @@
             case "kill-all":
                 for each in names:
                     self.kill(each)
-            case "later":
+            case "advance-clock":
                 self.clock.now_s += 11.0
         for _ in range(20):
             await asyncio.sleep(0)
         await self.send_settlements()
 
     def overspent(self):
-        """Returns the programs that got more than they may."""
+        """Returns granted tokens by program, of those beyond the guarantee."""
         total_by_program = {
             program: sum(given.values())
-            for program, given in self.given_by_program.items()
+            for program, given in self.granted_by_program.items()
         }
         return {
             program: total
             for program, total in total_by_program.items()
-            if total > self.budget + MOST
+            if total > self.budget + MAX_TURN_TOKENS
         }
 
 
 @contextlib.contextmanager
 def simulated(world):
-    """Has the hosts decide at once, on the world's clock and into its log."""
+    """Removes the hosts' waits and captures their clock and log."""
 
     def write(message_type, **fields):
-        world.lines.append((message_type, fields))
+        world.log_lines.append((message_type, fields))
 
     with (
         mock.patch("masticdale_common.logs.write", write),
@@ -444,16 +448,16 @@
         yield
 
 
-# How often each event comes among a hundred and some. To change it changes what
-# every seed plays, also those that are kept for a fault they showed.
+# Weight of each kind of event. Any change alters the plan of every seed,
+# including the seeds kept as regression tests.
 WEIGHT_BY_KIND = {
-    "turns": 34,
-    "programs": 3,
-    "end": 12,
-    "look": 14,
-    "learn": 6,
-    "copy": 4,
-    "cut": 3,
+    "ask-turns": 34,
+    "next-program": 3,
+    "end-turn": 12,
+    "reconcile": 14,
+    "refresh-map": 6,
+    "replicate": 4,
+    "partition": 3,
     "isolate": 2,
     "lose-answers": 2,
     "heal": 3,
@@ -465,12 +469,12 @@
     "start": 4,
     "stop": 1,
     "kill-all": 1,
-    "later": 1,
+    "advance-clock": 1,
 }
 
 
 def random_steps(seed, count):
-    """Returns a plan: events with two numbers each."""
+    """Returns a plan of events, each with its two selectors."""
     chooser = random.Random(seed)
     kinds = chooser.choices(
         list(WEIGHT_BY_KIND), list(WEIGHT_BY_KIND.values()), k=count
@@ -480,7 +484,7 @@
     ]
 
 
-async def play(budget, steps):
+async def run_plan(budget, steps):
     """Plays a plan; returns what was overspent, and by which events."""
     world = World(budget)
     with simulated(world):
--- a/libs/routing/src/masticdale_routing/inflight.py
+++ b/libs/routing/src/masticdale_routing/inflight.py
@@ -1,4 +1,4 @@
-"""How many calls may be in flight at a replica, learned from its behaviour."""
+"""Adaptive limit of the calls in flight at a replica."""
 
 import collections
 import dataclasses
@@ -8,35 +8,35 @@
 _MIN_LIMIT = 1.0
 _BEST_DECAY = 0.999
 _SMOOTHING = 0.1
-_LEAST_SHARE_OF_INITIAL = 0.5
-_DECREASE = 0.9
+_MIN_SHARE_OF_INITIAL = 0.5
+_DECREASE_FACTOR = 0.9
 _CEILING_HOLD_S = 30.0
-_REPORT_LIFE_S = 10.0
-_RECENT_LIMIT = 512
+_REPORT_MAX_AGE_S = 10.0
+_MAX_RECENT_CALLS = 512
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InFlightSettings:
-    """Bounds of the learned limit.
+    """Bounds of the adaptive limit.
 
     Attributes:
-        initial: Limit before anything is known.
-        maximum: Never more than this.
-        least_speed_share: Decode speed, as a share of the best seen, below
+        initial: Limit before any observation.
+        maximum: Upper bound of the limit.
+        min_speed_share: Mean decode speed, as a share of the best mean, below
             which the batch counts as too large.
     """
 
     initial: int = 8
     maximum: int = 256
-    least_speed_share: float = 0.4
+    min_speed_share: float = 0.4
 
 
 class InFlightLimit:
-    """Additive increase, multiplicative decrease on two signals.
+    """Additive increase, multiplicative decrease (AIMD) on two signals.
 
-    A decode speed far below the replica's best says that its batch is too
-    large; calls that the engine itself keeps waiting say that its slots are
-    full, and the engine's queue knows no priority, so it must stay empty.
+    A decode speed far below the replica's best indicates a batch that is too
+    large. Calls waiting inside the engine indicate that its slots are full;
+    the engine's own queue ignores priorities, so it must stay empty.
     """
 
     def __init__(self, settings: InFlightSettings) -> None:
@@ -44,38 +44,36 @@
         self._limit = float(settings.initial)
         self._ceiling = float(settings.maximum)
         self._ceiling_until = 0.0
-        self._floor = max(
-            _MIN_LIMIT, settings.initial * _LEAST_SHARE_OF_INITIAL
-        )
+        self._floor = max(_MIN_LIMIT, settings.initial * _MIN_SHARE_OF_INITIAL)
         self._speed = 0.0
         self._best_speed = 0.0
-        self._finishes_to_next_decrease = 0
+        self._finishes_until_decrease = 0
 
     @property
     def limit(self) -> int:
-        """Calls that may be in flight."""
+        """Number of calls that may be in flight."""
         return int(self._limit)
 
-    def finished(self, speed: float, full: bool, now: float) -> None:
-        """Learns from a finished call.
+    def record_finished(self, speed: float, at_limit: bool, now: float) -> None:
+        """Updates the limit after a finished call.
 
         Args:
-            speed: The call's decode speed.
-            full: Whether the limit was reached while it ran.
-            now: Present time.
+            speed: The call's decode speed in tokens per second.
+            at_limit: Whether the limit was reached while it ran.
+            now: Current time in seconds.
         """
-        # The mean, not single calls: one short answer measured as ten times
-        # too fast would make every later call look slow.
+        # Compares means: a single outlier as the best speed would make every
+        # later call look slow.
         if self._speed:
             self._speed += (speed - self._speed) * _SMOOTHING
         else:
             self._speed = speed
         self._best_speed = max(self._speed, self._best_speed * _BEST_DECAY)
-        self._finishes_to_next_decrease -= 1
-        # Calls slow below the limit are not slow because of it.
-        if not full:
+        self._finishes_until_decrease -= 1
+        # A call that ran below the limit is not slow because of the limit.
+        if not at_limit:
             return
-        if self._speed < self._best_speed * self._settings.least_speed_share:
+        if self._speed < self._best_speed * self._settings.min_speed_share:
             self._decrease()
             return
         maximum = float(self._settings.maximum)
@@ -83,8 +81,8 @@
             maximum = self._ceiling
         self._limit = min(maximum, self._limit + 1 / self._limit)
 
-    def observed(self, observation: LoadObservation, now: float) -> None:
-        """Learns from a load report."""
+    def record_load(self, observation: LoadObservation, now: float) -> None:
+        """Caps the limit if a load report shows calls waiting in the engine."""
         if observation.waiting <= 0 or observation.running <= 0:
             return
         self._ceiling = max(_MIN_LIMIT, float(observation.running))
@@ -92,52 +90,59 @@
         self._limit = min(self._limit, self._ceiling)
 
     def _decrease(self) -> None:
-        # The calls that ran together all report the same low speed; reacting
-        # to each would collapse the limit, so one batch counts once.
-        if self._finishes_to_next_decrease > 0:
+        # All calls of a batch report the same low speed. Decreasing for each
+        # would collapse the limit, so it decreases once per batch.
+        if self._finishes_until_decrease > 0:
             return
-        self._finishes_to_next_decrease = self.limit
-        # Never below half of what the declaration says: a limit of 1 learnt
-        # from noise sees no batch any more and could not learn better.
-        self._limit = max(self._floor, self._limit * _DECREASE)
+        self._finishes_until_decrease = self.limit
+        # The floor keeps batches possible: at a limit of 1, reached through
+        # noise, no call would show how fast a larger batch runs.
+        self._limit = max(self._floor, self._limit * _DECREASE_FACTOR)
 
 
 class ForeignLoad:
-    """Calls at a replica that its present queue did not send.
+    """Estimates the calls at a replica that this queue did not send.
 
     After a change of home, or while two hosts both act as home, the engine
-    holds calls this queue knows nothing of. Its load report lags, so it is
-    compared with what this queue had in flight when the report was true.
+    runs calls that this queue does not know. Load reports lag, so each is
+    compared with the calls that this queue had in flight at its time.
     """
 
     def __init__(self) -> None:
         self._recent: collections.deque[tuple[float, float]] = (
-            collections.deque(maxlen=_RECENT_LIMIT)
+            collections.deque(maxlen=_MAX_RECENT_CALLS)
         )
         self._foreign = 0
         self._valid_until = 0.0
 
-    def finished(self, granted_at: float, now: float) -> None:
-        """Notes a call of ours that ended."""
+    def record_finished(self, granted_at: float, now: float) -> None:
+        """Records a finished call of this queue.
+
+        Args:
+            granted_at: Time of its grant in seconds.
+            now: Current time in seconds.
+        """
         self._recent.append((granted_at, now))
 
-    def observed(
+    def record_load(
         self, observation: LoadObservation, granted_at: list[float], now: float
     ) -> None:
-        """Compares a load report with our own calls at its time.
+        """Compares a load report with this queue's calls at its time.
 
         Args:
             observation: The report.
-            granted_at: Grant times of our calls in flight now.
-            now: Present time.
+            granted_at: Grant times of this queue's calls in flight.
+            now: Current time in seconds.
         """
-        then = observation.observed_at
-        ours = sum(1 for at in granted_at if at <= then)
-        ours += sum(1 for at, end in self._recent if at <= then < end)
+        observed_at = observation.observed_at
+        own_calls = sum(1 for at in granted_at if at <= observed_at)
+        own_calls += sum(
+            1 for at, end in self._recent if at <= observed_at < end
+        )
         reported = observation.running + observation.waiting
-        self._foreign = max(0, reported - ours)
-        self._valid_until = now + _REPORT_LIFE_S
+        self._foreign = max(0, reported - own_calls)
+        self._valid_until = now + _REPORT_MAX_AGE_S
 
     def count(self, now: float) -> int:
-        """Returns the foreign calls, 0 once the last report is too old."""
+        """Returns the foreign calls; 0 once the last report has expired."""
         return self._foreign if now < self._valid_until else 0
--- a/libs/routing/src/masticdale_routing/waiting.py
+++ b/libs/routing/src/masticdale_routing/waiting.py
@@ -1,8 +1,8 @@
-"""The order of a replica's waiting tickets.
+"""Orders the waiting tickets of a replica.
 
-Priority class first; within a class, shares between workspaces by start-time
-fair queueing; within a workspace, the order of ``QueueOrder``. A ticket older
-than the age bound goes before all others.
+Priority classes are served in ascending order. Within a class, workspaces share
+by start-time fair queueing; within a workspace, ``QueueOrder`` applies. Tickets
+older than the age bound precede all others.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 
 
 class QueueOrder(enum.StrEnum):
-    """Order of tickets of one class and workspace."""
+    """Order of the tickets of one class and workspace."""
 
     FIRST_COME = "first_come"
     ATTAINED_SERVICE = "attained_service"
@@ -54,7 +54,7 @@
 
     def __init__(self, weight: float) -> None:
         self.weight = weight
-        self.virtual_s = 0.0
+        self.virtual_time_s = 0.0
         self.heap: LazyHeap[tuple[float, float]] = LazyHeap()
         self.work_by_bucket = [0.0] * _RANK_BUCKETS
 
@@ -80,8 +80,8 @@
     def __init__(self, weight_by_workspace: Mapping[str, float]) -> None:
         self._weight_by_workspace = weight_by_workspace
         self._queue_by_workspace: dict[str, _WorkspaceQueue] = {}
-        self._active: LazyHeap[float] = LazyHeap()
-        self._virtual_s = 0.0
+        self._active_workspaces: LazyHeap[float] = LazyHeap()
+        self._virtual_time_s = 0.0
         self._active_weight = 0.0
         self.work_s = 0.0
 
@@ -92,10 +92,12 @@
             queue = _WorkspaceQueue(self._weight(workspace))
             self._queue_by_workspace[workspace] = queue
         if not queue.heap:
-            # An idle workspace must not save up service and then shut out
-            # the others for as long as it was idle.
-            queue.virtual_s = max(queue.virtual_s, self._virtual_s)
-            self._active.push(workspace, queue.virtual_s)
+            # An idle workspace accumulates no credit, with which it could
+            # starve the others afterwards.
+            queue.virtual_time_s = max(
+                queue.virtual_time_s, self._virtual_time_s
+            )
+            self._active_workspaces.push(workspace, queue.virtual_time_s)
             self._active_weight += queue.weight
         queue.add(entry)
         self.work_s += entry.service_s
@@ -106,27 +108,29 @@
         queue.remove(entry)
         self.work_s = max(0.0, self.work_s - entry.service_s)
         if served:
-            self._virtual_s = max(self._virtual_s, queue.virtual_s)
-            queue.virtual_s += entry.service_s / queue.weight
+            self._virtual_time_s = max(
+                self._virtual_time_s, queue.virtual_time_s
+            )
+            queue.virtual_time_s += entry.service_s / queue.weight
         if queue.heap:
-            self._active.push(workspace, queue.virtual_s)
+            self._active_workspaces.push(workspace, queue.virtual_time_s)
             return
-        self._active.discard(workspace)
+        self._active_workspaces.discard(workspace)
         self._active_weight -= queue.weight
-        self._forget_settled()
+        self._reset_if_idle()
 
     def head(self) -> str | None:
-        first = self._active.peek()
+        first = self._active_workspaces.peek()
         if first is None:
             return None
         head = self._queue_by_workspace[first[1]].heap.peek()
         return head[1] if head else None
 
     def work_ahead(self, workspace: str, rank: float, own_s: float) -> float:
-        """Returns seconds of service before a new ticket of this class.
+        """Returns the service time ahead of a new ticket of this class.
 
-        Fair queueing lets another workspace put at most its share of the
-        ticket's own way ahead of it, however long its queue is.
+        Other workspaces count by their weights relative to the work of this
+        workspace up to and including the ticket, however long their queues.
         """
         queue = self._queue_by_workspace.get(workspace)
         weight = self._weight(workspace)
@@ -143,17 +147,17 @@
     def _weight(self, workspace: str) -> float:
         return self._weight_by_workspace.get(workspace, _DEFAULT_WEIGHT)
 
-    def _forget_settled(self) -> None:
-        if self._active:
+    def _reset_if_idle(self) -> None:
+        if self._active_workspaces:
             return
-        self._virtual_s = 0.0
+        self._virtual_time_s = 0.0
         self.work_s = 0.0
         self._active_weight = 0.0
         self._queue_by_workspace.clear()
 
 
 class WaitingTickets:
-    """All waiting tickets of one replica."""
+    """The waiting tickets of one replica."""
 
     def __init__(
         self,
@@ -176,15 +180,15 @@
         return ticket_id in self._entry_by_id
 
     def tickets(self) -> list[Ticket]:
-        """Returns all waiting tickets, in no order."""
+        """Returns all waiting tickets in arbitrary order."""
         return [entry.ticket for entry in self._entry_by_id.values()]
 
     def add(self, ticket: Ticket, service_s: float) -> None:
         """Adds a ticket.
 
         Args:
-            ticket: Not waiting yet.
-            service_s: Expected seconds of service.
+            ticket: A ticket that is not waiting yet.
+            service_s: Its expected service time.
         """
         entry = _Entry(ticket, self._rank(ticket), service_s)
         self._entry_by_id[ticket.ticket_id] = entry
@@ -197,12 +201,11 @@
         self._by_deadline.push(ticket.ticket_id, ticket.deadline_at)
 
     def remove(self, ticket_id: str, served: bool = False) -> Ticket | None:
-        """Takes a ticket out.
+        """Removes a ticket.
 
         Args:
-            ticket_id: The ticket.
-            served: Whether it goes to the replica, so that its workspace
-                pays for it.
+            ticket_id: Id of the ticket.
+            served: Whether it was granted, so that its workspace is charged.
 
         Returns:
             The ticket, or None if it was not waiting.
@@ -216,7 +219,7 @@
         return entry.ticket
 
     def head(self, now: float) -> Ticket | None:
-        """Returns the ticket to serve next, or None when nothing waits."""
+        """Returns the ticket to serve next, or None if none waits."""
         oldest = self._by_age.peek()
         if oldest is None:
             return None
@@ -238,27 +241,29 @@
         return expired
 
     def work_ahead(self, ticket: Ticket, service_s: float) -> float:
-        """Returns the expected seconds of service ahead of a ticket.
+        """Returns the expected service time ahead of a ticket.
 
         Args:
-            ticket: Any ticket; one that waits is not ahead of itself.
-            service_s: The ticket's own expected service.
+            ticket: The ticket, waiting or not; it does not count itself.
+            service_s: Its expected service time.
         """
-        return self._work(ticket, service_s, self._rank(ticket))
+        return self._work_before(ticket, service_s, self._rank(ticket))
 
     def backlog(self, ticket: Ticket, service_s: float) -> float:
-        """Returns the seconds of service that the ticket's class must clear.
+        """Returns the service time of the backlog that the class must clear.
 
-        Unlike ``work_ahead`` this counts tickets that the order puts behind
-        the ticket. They are under way and wait all the longer for it.
+        Unlike ``work_ahead``, this also counts tickets ordered behind the
+        ticket, because they belong to programs under way that it would delay.
 
         Args:
-            ticket: A ticket that does not wait yet.
-            service_s: The ticket's own expected service.
+            ticket: A ticket that is not waiting yet.
+            service_s: Its expected service time.
         """
-        return self._work(ticket, service_s, _HIGHEST_RANK)
+        return self._work_before(ticket, service_s, _HIGHEST_RANK)
 
-    def _work(self, ticket: Ticket, service_s: float, rank: float) -> float:
+    def _work_before(
+        self, ticket: Ticket, service_s: float, rank: float
+    ) -> float:
         ahead = 0.0
         for priority, queue in self._class_by_priority.items():
             if priority < ticket.priority:
@@ -269,5 +274,5 @@
         return max(0.0, ahead - own.service_s) if own else ahead
 
     def work_by_priority(self) -> dict[int, float]:
-        """Returns the waiting seconds of service of each class."""
+        """Returns the expected service time of the tickets of each class."""
         return {p: q.work_s for p, q in self._class_by_priority.items()}
