--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -204,7 +204,9 @@
         Alone in its own eyes, a starting host would own every shard.
         """
         names = [peer.name for peer in self.settings.other_peers]
-        await asyncio.gather(*(self.membership.beat(name) for name in names))
+        await asyncio.gather(
+            *(self.membership.send_heartbeat(name) for name in names)
+        )
 
     async def _read_list(self) -> None:
         outcome = await self.store.hosts()
--- a/apps/masticdaled/src/masticdaled/following.py
+++ b/apps/masticdaled/src/masticdaled/following.py
@@ -89,7 +89,7 @@
         ahead = {
             member.name: self._source(member.name)
             for member in self._cluster.membership.members()
-            if member.beat.revision > own
+            if member.heartbeat.revision > own
         }
         if ahead:
             await follow_peers(self._in_force, ahead)
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -72,7 +72,7 @@
 
     async def heartbeat(self, beat: Heartbeat) -> HeartbeatReply:
         """See ``PeerHandler.heartbeat``."""
-        return self._parts().membership.receive(beat)
+        return self._parts().membership.receive_heartbeat(beat)
 
     async def submit(self, submission: Submission) -> SubmitReply:
         """See ``PeerHandler.submit``."""
--- a/apps/masticdaled/src/masticdaled/operators/desk.py
+++ b/apps/masticdaled/src/masticdaled/operators/desk.py
@@ -67,9 +67,9 @@
         return tuple(
             HostStatus(
                 member.name,
-                member.beat.domain,
+                member.heartbeat.domain,
                 member.leaving,
-                member.beat.revision,
+                member.heartbeat.revision,
                 round(member.age_s, 3),
             )
             for member in self.cluster.membership.members()
--- a/apps/masticdaled/src/masticdaled/shards/copies.py
+++ b/apps/masticdaled/src/masticdaled/shards/copies.py
@@ -34,7 +34,7 @@
         """See ``CopyHolders.choose``."""
         members = self._cluster.membership.members()
         domain_by_host = {
-            member.name: member.beat.domain
+            member.name: member.heartbeat.domain
             for member in members
             if not member.leaving or member.is_self
         }
--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -320,7 +320,7 @@
         for member in self._cluster.membership.members():
             if member.name != found.owner:
                 continue
-            is_same = found.writer.startswith(member.beat.incarnation)
+            is_same = found.writer.startswith(member.heartbeat.incarnation)
             return held if is_same else None
         # A host that has just started may not have heard from a live owner
         # yet. Taken over without its lease's end, that owner would answer
--- a/libs/peers/src/masticdale_peers/membership.py
+++ b/libs/peers/src/masticdale_peers/membership.py
@@ -212,7 +212,7 @@
         self._forget_view()
         self._notify_changes()
 
-    def receive(self, beat: Heartbeat) -> HeartbeatReply:
+    def receive_heartbeat(self, beat: Heartbeat) -> HeartbeatReply:
         """Takes a peer's heartbeat; the handler's answer to it.
 
         A peer that reaches this host does not become a member by that: calls
@@ -230,7 +230,7 @@
         self._notify_changes()
         return HeartbeatReply(self._say_to(beat.host))
 
-    async def beat(self, host: str) -> None:
+    async def send_heartbeat(self, host: str) -> None:
         """Sends one heartbeat to a peer and takes its answer."""
         record = self._record_by_host.get(host)
         if record is None:
@@ -312,7 +312,7 @@
         await asyncio.sleep(self._random.random() * self._pace_s(host, 0.0))
         while True:
             try:
-                await self.beat(host)
+                await self.send_heartbeat(host)
             except Exception as error:
                 logs.write("heartbeat_failed", peer=host, error=repr(error))
             jitter = self._random.uniform(-_JITTER_SHARE, _JITTER_SHARE)
--- a/libs/peers/src/masticdale_peers/views.py
+++ b/libs/peers/src/masticdale_peers/views.py
@@ -38,13 +38,13 @@
     """A live host, itself included.
 
     Attributes:
-        beat: What it last said about itself.
+        heartbeat: What it last said about itself.
         age_s: Seconds since it said so, or since the news of it came.
         leaving: It said so itself, or the platform's list does.
         is_self: True for this host.
     """
 
-    beat: Heartbeat
+    heartbeat: Heartbeat
     age_s: float
     leaving: bool
     is_self: bool = False
@@ -52,7 +52,7 @@
     @property
     def name(self) -> str:
         """The host's name."""
-        return self.beat.host
+        return self.heartbeat.host
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/libs/peers/tests/hosts.py
+++ b/libs/peers/tests/hosts.py
@@ -50,7 +50,7 @@
         self._membership = membership
 
     async def heartbeat(self, beat):
-        return self._membership.receive(beat)
+        return self._membership.receive_heartbeat(beat)
 
 
 def free_address():
--- a/libs/peers/tests/test_membership.py
+++ b/libs/peers/tests/test_membership.py
@@ -52,7 +52,7 @@
         )
 
         async def heartbeat(beat):
-            return membership.receive(beat)
+            return membership.receive_heartbeat(beat)
 
         self.membership_by_host[name] = membership
         self.network.attach(name, types.SimpleNamespace(heartbeat=heartbeat))
@@ -74,7 +74,7 @@
             self.now += LIMITS.period_s
             for membership in list(self.membership_by_host.values()):
                 for peer in membership.neighbour_names():
-                    await membership.beat(peer)
+                    await membership.send_heartbeat(peer)
                 await membership.tick()
 
     def expected(self, name):
@@ -311,7 +311,7 @@
         await cluster.step(SPARSE_PERIODS)
         for membership in cluster.membership_by_host.values():
             self.assertNotIn("h07", membership.owner_names())
-            revisions = {m.beat.revision for m in membership.members()}
+            revisions = {m.heartbeat.revision for m in membership.members()}
             self.assertEqual(revisions, {9})
 
 
--- a/scripts/measure_peers.py
+++ b/scripts/measure_peers.py
@@ -295,7 +295,7 @@
 
 def _handler(membership: Membership) -> Any:
     async def heartbeat(beat: Heartbeat) -> Any:
-        return membership.receive(beat)
+        return membership.receive_heartbeat(beat)
 
     async def submit(submission: Submission) -> SubmitReply:
         return SubmitReply(submission.operation)
@@ -369,7 +369,7 @@
 
     def all_seen() -> bool:
         return all(
-            member.beat.revision == fleet.revision.number
+            member.heartbeat.revision == fleet.revision.number
             for host in fleet.observers()
             for member in host.membership.members()
         )
