--- a/libs/peers/src/masticdale_peers/membership.py
+++ b/libs/peers/src/masticdale_peers/membership.py
@@ -27,15 +27,15 @@
     logs,
 )
 from masticdale_peers import neighbours
-from masticdale_peers.interfaces import Peers
-from masticdale_peers.messages import Heartbeat, HeartbeatReply, PeerNews
-from masticdale_peers.news import (
+from masticdale_peers.gossip import (
     MAX_ACCUSERS,
     NewsBoard,
     accused,
     age_order,
     news_of,
 )
+from masticdale_peers.interfaces import Peers
+from masticdale_peers.messages import Heartbeat, HeartbeatReply, PeerNews
 from masticdale_peers.records import PeerRecord
 from masticdale_peers.views import (
     ChangeCallback,
--- a/libs/peers/src/masticdale_peers/records.py
+++ b/libs/peers/src/masticdale_peers/records.py
@@ -4,8 +4,8 @@
 import math
 
 from masticdale_common import JsonValue
+from masticdale_peers.gossip import age_order, beat_of
 from masticdale_peers.messages import Heartbeat, PeerNews
-from masticdale_peers.news import age_order, beat_of
 from masticdale_peers.views import Member, MembershipLimits
 
 
--- a/libs/peers/tests/test_news.py
+++ b/libs/peers/tests/test_gossip.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from masticdale_peers import PeerNews
-from masticdale_peers.news import NewsBoard, accused, merge
+from masticdale_peers.gossip import NewsBoard, accused, merge
 
 PER_MESSAGE = 4
 ITEMS = st.builds(
--- a/libs/rpc/src/masticdale_rpc/client.py
+++ b/libs/rpc/src/masticdale_rpc/client.py
@@ -10,9 +10,13 @@
 from returns.result import Result, Success
 
 from masticdale_common import ErrorKind, Failure, JsonValue, Metrics
+from masticdale_rpc.connection import (
+    Connection,
+    CrossedAnswerError,
+    RemoteError,
+)
 from masticdale_rpc.contracts import Contract, ReplyT, RequestT, Rpc
 from masticdale_rpc.settings import PeerSettings
-from masticdale_rpc.wire import Connection, CrossedAnswerError, RemoteError
 
 Clock = Callable[[], float]
 
