--- a/libs/peers/src/masticdale_peers/connections.py
+++ b/libs/peers/src/masticdale_peers/connections.py
@@ -83,7 +83,7 @@
             "heartbeats": self._heartbeat_pool.state(),
         }
 
-    def _timed_out(self, rpc: Rpc[RequestT, ReplyT]) -> None:
+    def _on_timeout(self, rpc: Rpc[RequestT, ReplyT]) -> None:
         if rpc is HEARTBEAT:
             # What lies between the hosts may have lost track of all
             # connections that are open now. Each would cost one call its
@@ -116,7 +116,7 @@
         metrics: Metrics,
         limits: PoolLimits,
     ) -> None:
-        self._is_plain = tls is None
+        self._is_plaintext = tls is None
         self._context = tls_contexts.client_context(tls) if tls else None
         self._metrics = metrics
         self._limits = limits
@@ -137,12 +137,14 @@
                 nothing is changed then.
         """
         wanted = list(peers)
-        if self._is_plain:
+        if self._is_plaintext:
             for peer in wanted:
                 require_loopback(peer.address)
-        kept = self._client_by_host
-        self._client_by_host = {p.name: self._client(p, kept) for p in wanted}
-        for host, client in kept.items():
+        previous = self._client_by_host
+        self._client_by_host = {
+            p.name: self._reuse_or_create(p, previous) for p in wanted
+        }
+        for host, client in previous.items():
             if self._client_by_host.get(host) is not client:
                 client.close()
 
@@ -163,10 +165,10 @@
             for host, client in self._client_by_host.items()
         }
 
-    def _client(
-        self, peer: PeerSettings, kept: dict[str, PeerClient]
+    def _reuse_or_create(
+        self, peer: PeerSettings, previous: dict[str, PeerClient]
     ) -> PeerClient:
-        client = kept.get(peer.name)
+        client = previous.get(peer.name)
         if client is not None and client.peer == peer:
             return client
         return PeerClient(peer, self._context, self._limits, self._metrics)
--- a/libs/peers/src/masticdale_peers/gossip.py
+++ b/libs/peers/src/masticdale_peers/gossip.py
@@ -8,54 +8,54 @@
 
 MAX_ACCUSERS = 2
 
-_QUIET_MESSAGES_PER_REPEAT = 4
+_EMPTY_MESSAGES_PER_RESEND = 4
 
 
-def news_of(beat: Heartbeat) -> PeerNews:
+def update_from_heartbeat(heartbeat: Heartbeat) -> PeerNews:
     """Returns what a host says about itself as news for others."""
     return PeerNews(
-        host=beat.host,
-        incarnation=beat.incarnation,
-        revision=beat.revision,
-        leaving=beat.leaving,
-        version=beat.version,
-        domain=beat.domain,
+        host=heartbeat.host,
+        incarnation=heartbeat.incarnation,
+        revision=heartbeat.revision,
+        leaving=heartbeat.leaving,
+        version=heartbeat.version,
+        domain=heartbeat.domain,
     )
 
 
-def beat_of(news: PeerNews) -> Heartbeat:
+def heartbeat_from_update(update: PeerNews) -> Heartbeat:
     """Returns the heartbeat that a host not called directly would send."""
     return Heartbeat(
-        host=news.host,
-        domain=news.domain,
-        incarnation=news.incarnation,
-        revision=news.revision,
-        leaving=news.leaving,
-        version=news.version,
+        host=update.host,
+        domain=update.domain,
+        incarnation=update.incarnation,
+        revision=update.revision,
+        leaving=update.leaving,
+        version=update.version,
     )
 
 
-def age_order(item: PeerNews | Heartbeat) -> tuple[str, int]:
+def version_key(message: PeerNews | Heartbeat) -> tuple[str, int]:
     """Returns a key that sorts what a host said by when it said it."""
-    return (item.incarnation, item.version)
+    return (message.incarnation, message.version)
 
 
-def merge(known: PeerNews | None, item: PeerNews) -> PeerNews:
+def merge(known: PeerNews | None, update: PeerNews) -> PeerNews:
     """Returns what is known of a host after one more piece of news.
 
     An accusation holds only for the version it was made of: the accused host
     refutes it by raising its version.
     """
-    if known is None or age_order(item) > age_order(known):
-        return item
-    is_older = age_order(item) < age_order(known)
+    if known is None or version_key(update) > version_key(known):
+        return update
+    is_older = version_key(update) < version_key(known)
     if is_older or len(known.accusers) == MAX_ACCUSERS:
         return known
-    accusers = sorted({*known.accusers, *item.accusers})[:MAX_ACCUSERS]
-    return accused(known, accusers)
+    accusers = sorted({*known.accusers, *update.accusers})[:MAX_ACCUSERS]
+    return with_accusers(known, accusers)
 
 
-def accused(known: PeerNews, accusers: list[str]) -> PeerNews:
+def with_accusers(known: PeerNews, accusers: list[str]) -> PeerNews:
     """Returns the news with its accusers replaced."""
     return dataclasses.replace(
         known, accusers=tuple(accusers), suspect=bool(accusers)
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Link:
+class _SendQueue:
     """What a neighbour has still to hear, oldest first.
 
     Attributes:
@@ -78,8 +78,8 @@
     incarnation: str
     urgent: dict[str, None] = dataclasses.field(default_factory=dict)
     routine: dict[str, None] = dataclasses.field(default_factory=dict)
-    repeated: int = 0
-    quiet_messages: int = 0
+    resend_index: int = 0
+    empty_messages: int = 0
 
     def add(self, host: str, *, urgent: bool) -> None:
         """Queues a host's news."""
@@ -89,124 +89,126 @@
         elif host not in self.urgent:
             self.routine.setdefault(host)
 
-    def drop(self, host: str) -> None:
+    def remove(self, host: str) -> None:
         """Forgets a host's news: the neighbour has heard it."""
         self.urgent.pop(host, None)
         self.routine.pop(host, None)
 
 
-class NewsBoard:
+class GossipState:
     """The latest news of each host and who has still to hear it."""
 
-    def __init__(self, per_message: int, seed: str = "") -> None:
-        self._per_message = per_message
+    def __init__(self, updates_per_message: int, seed: str = "") -> None:
+        self._updates_per_message = updates_per_message
         self._random = random.Random(seed)
-        self._news_by_host: dict[str, PeerNews] = {}
-        self._link_by_host: dict[str, _Link] = {}
+        self._update_by_host: dict[str, PeerNews] = {}
+        self._queue_by_neighbour: dict[str, _SendQueue] = {}
 
     def get(self, host: str) -> PeerNews | None:
         """Returns the latest news of a host."""
-        return self._news_by_host.get(host)
+        return self._update_by_host.get(host)
 
-    def open_link(self, neighbour: str, incarnation: str) -> None:
+    def add_neighbour(self, neighbour: str, incarnation: str) -> None:
         """Starts to queue news for a neighbour; all, for a new process."""
-        link = self._link_by_host.get(neighbour)
-        if link is not None and link.incarnation >= incarnation:
+        queue = self._queue_by_neighbour.get(neighbour)
+        if queue is not None and queue.incarnation >= incarnation:
             return
-        link = _Link(incarnation, routine=dict.fromkeys(self._news_by_host))
-        self._link_by_host[neighbour] = link
+        queue = _SendQueue(
+            incarnation, routine=dict.fromkeys(self._update_by_host)
+        )
+        self._queue_by_neighbour[neighbour] = queue
 
-    def close_link(self, neighbour: str) -> None:
+    def remove_neighbour(self, neighbour: str) -> None:
         """Drops the news queued for a host that is no neighbour any more."""
-        self._link_by_host.pop(neighbour, None)
+        self._queue_by_neighbour.pop(neighbour, None)
 
-    def forget(self, host: str) -> None:
+    def remove_host(self, host: str) -> None:
         """Drops a host that is no peer any more."""
-        self._news_by_host.pop(host, None)
-        self.close_link(host)
-        for link in self._link_by_host.values():
-            link.drop(host)
+        self._update_by_host.pop(host, None)
+        self.remove_neighbour(host)
+        for queue in self._queue_by_neighbour.values():
+            queue.remove(host)
 
-    def links(self) -> tuple[str, ...]:
+    def neighbours(self) -> tuple[str, ...]:
         """Returns the neighbours that news is queued for."""
-        return tuple(self._link_by_host)
+        return tuple(self._queue_by_neighbour)
 
-    def merge(self, item: PeerNews, source: str = "") -> bool:
+    def merge(self, update: PeerNews, source: str = "") -> bool:
         """Takes one piece of news and queues it for the other neighbours.
 
         Args:
-            item: The news.
+            update: The news.
             source: The neighbour it came from; empty for this host's own.
 
         Returns:
             True where it said something new.
         """
-        known = self._news_by_host.get(item.host)
-        merged = merge(known, item)
+        known = self._update_by_host.get(update.host)
+        merged = merge(known, update)
         if merged != known:
-            self._news_by_host[item.host] = merged
-            self._queue(merged, urgent=_is_urgent(known, merged))
-        link = self._link_by_host.get(source)
-        if link is None:
+            self._update_by_host[update.host] = merged
+            self._enqueue(merged, urgent=_is_urgent(known, merged))
+        queue = self._queue_by_neighbour.get(source)
+        if queue is None:
             return merged != known
-        if merged == item:
-            link.drop(item.host)
+        if merged == update:
+            queue.remove(update.host)
         else:
-            link.add(item.host, urgent=True)  # It told what is out of date.
+            queue.add(update.host, urgent=True)  # It told what is out of date.
         return merged != known
 
-    def take(self, neighbour: str) -> tuple[PeerNews, ...]:
+    def dequeue(self, neighbour: str) -> tuple[PeerNews, ...]:
         """Returns the next news for a neighbour, no longer queued."""
-        link = self._link_by_host.get(neighbour)
-        if link is None:
+        queue = self._queue_by_neighbour.get(neighbour)
+        if queue is None:
             return ()
-        own = self._news_by_host.get(neighbour)
-        if own is not None and own.accusers:
+        about_neighbour = self._update_by_host.get(neighbour)
+        if about_neighbour is not None and about_neighbour.accusers:
             # Only the accused host itself can refute the accusation.
-            link.add(neighbour, urgent=True)
-        chosen = self._next(link) or self._repeat(link)
+            queue.add(neighbour, urgent=True)
+        chosen = self._select_queued(queue) or self._select_resend(queue)
         for host in chosen:
-            link.drop(host)
-        return tuple(self._news_by_host[host] for host in chosen)
+            queue.remove(host)
+        return tuple(self._update_by_host[host] for host in chosen)
 
-    def put_back(self, neighbour: str, news: tuple[PeerNews, ...]) -> None:
+    def requeue(self, neighbour: str, updates: tuple[PeerNews, ...]) -> None:
         """Queues news again that may not have reached the neighbour."""
-        link = self._link_by_host.get(neighbour)
-        if link is None:
+        queue = self._queue_by_neighbour.get(neighbour)
+        if queue is None:
             return
-        for item in news:
-            if item.host in self._news_by_host:
-                link.add(item.host, urgent=True)
-
-    def _queue(self, item: PeerNews, *, urgent: bool) -> None:
-        for neighbour, link in self._link_by_host.items():
-            if neighbour != item.host or item.accusers:
-                link.add(item.host, urgent=urgent)
-
-    def _next(self, link: _Link) -> list[str]:
-        chosen = list(itertools.islice(link.urgent, self._per_message))
-        count = min(self._per_message - len(chosen), len(link.routine))
+        for update in updates:
+            if update.host in self._update_by_host:
+                queue.add(update.host, urgent=True)
+
+    def _enqueue(self, update: PeerNews, *, urgent: bool) -> None:
+        for neighbour, queue in self._queue_by_neighbour.items():
+            if neighbour != update.host or update.accusers:
+                queue.add(update.host, urgent=urgent)
+
+    def _select_queued(self, queue: _SendQueue) -> list[str]:
+        chosen = list(itertools.islice(queue.urgent, self._updates_per_message))
+        count = min(self._updates_per_message - len(chosen), len(queue.routine))
         # At random: in the same order, all neighbours of a host would tell it
         # the same news at the same time, and most of them for nothing.
-        return chosen + self._random.sample(list(link.routine), count)
+        return chosen + self._random.sample(list(queue.routine), count)
 
-    def _repeat(self, link: _Link) -> list[str]:
+    def _select_resend(self, queue: _SendQueue) -> list[str]:
         # A reply may be lost after its news were taken off the queue, and the
         # neighbour would keep a stale view for good. One old item in each
         # few quiet messages mends that in time.
-        link.quiet_messages += 1
-        hosts = list(self._news_by_host)
-        if not hosts or link.quiet_messages % _QUIET_MESSAGES_PER_REPEAT:
+        queue.empty_messages += 1
+        hosts = list(self._update_by_host)
+        if not hosts or queue.empty_messages % _EMPTY_MESSAGES_PER_RESEND:
             return []
-        link.repeated = (link.repeated + 1) % len(hosts)
-        return [hosts[link.repeated]]
+        queue.resend_index = (queue.resend_index + 1) % len(hosts)
+        return [hosts[queue.resend_index]]
 
 
-def _is_urgent(known: PeerNews | None, item: PeerNews) -> bool:
+def _is_urgent(known: PeerNews | None, update: PeerNews) -> bool:
     if known is None:
         return True
     return (known.incarnation, known.leaving, known.accusers) != (
-        item.incarnation,
-        item.leaving,
-        item.accusers,
+        update.incarnation,
+        update.leaving,
+        update.accusers,
     )
--- a/libs/peers/src/masticdale_peers/membership.py
+++ b/libs/peers/src/masticdale_peers/membership.py
@@ -29,10 +29,10 @@
 from masticdale_peers import neighbours
 from masticdale_peers.gossip import (
     MAX_ACCUSERS,
-    NewsBoard,
-    accused,
-    age_order,
-    news_of,
+    GossipState,
+    update_from_heartbeat,
+    version_key,
+    with_accusers,
 )
 from masticdale_peers.interfaces import Peers
 from masticdale_peers.messages import Heartbeat, HeartbeatReply, PeerNews
@@ -47,18 +47,18 @@
 )
 
 Clock = Callable[[], float]
-BeatSource = Callable[[], Heartbeat]
+HeartbeatSource = Callable[[], Heartbeat]
 
 _TICK_TIMER = "membership-tick"
 _TICKS_PER_PERIOD = 2
-_JITTER_SHARE = 0.1
+_JITTER_FRACTION = 0.1
 _INCARNATION_DIGITS = 16
 _MAX_UNKNOWN_HOSTS = 16
-_MAX_KEYS = 4096
+_MAX_CACHED_OWNERS = 4096
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Place:
+class _ViewEntry:
     """A live host in the view that decides who owns what."""
 
     name: str
@@ -70,7 +70,7 @@
 
     def __init__(
         self,
-        own_beat: BeatSource,
+        own_heartbeat: HeartbeatSource,
         peer_names: Iterable[str],
         peers: Peers,
         timers: TimerService,
@@ -78,36 +78,36 @@
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        self._own_beat = own_beat
-        self._name = own_beat().host
+        self._own_heartbeat = own_heartbeat
+        self._name = own_heartbeat().host
         self._peers = peers
         self._timers = timers
         self._limits = limits
         self._clock = clock
         self._metrics = metrics
         self._record_by_host: dict[str, PeerRecord] = {}
-        self._board = NewsBoard(limits.news_per_beat, self._name)
+        self._gossip = GossipState(limits.news_per_beat, self._name)
         self._version = 0
-        self._said: Heartbeat | None = None
+        self._last_own_heartbeat: Heartbeat | None = None
         self._unknown_hosts: set[str] = set()
         self._random = random.Random(self._name)
         self._task_by_host: dict[str, asyncio.Task[None]] = {}
         self._change_callbacks: list[ChangeCallback] = []
         self._pause_callbacks: list[PauseCallback] = []
         self._pending_pause_s = 0.0
-        self._looked_at = clock()
+        self._last_checked_at = clock()
         self._neighbours: tuple[str, ...] = ()
-        self._cached_view: tuple[_Place, ...] | None = None
+        self._cached_view: tuple[_ViewEntry, ...] | None = None
         self._cached_until = 0.0
-        self._cached_own: _Place | None = None
+        self._cached_own_entry: _ViewEntry | None = None
         self._owner_by_key: dict[str, str] = {}
-        self._owners_view: tuple[_Place, ...] = ()
-        self._last_view: tuple[_Place, ...] = ()
+        self._owner_cache_view: tuple[_ViewEntry, ...] = ()
+        self._notified_view: tuple[_ViewEntry, ...] = ()
         self.set_peers(peer_names)
 
     def start(self) -> None:
         """Starts one task for each neighbour and the tick."""
-        self._match_tasks()
+        self._reconcile_tasks()
         period_s = self._limits.period_s / _TICKS_PER_PERIOD
         self._timers.subscribe(Subscription(_TICK_TIMER, period_s, self._tick))
 
@@ -122,14 +122,14 @@
 
     def members(self) -> tuple[Member, ...]:
         """Returns the live hosts by name, this one included."""
-        self._note_pause()
+        self._detect_pause()
         now = self._clock()
-        own_beat = self._own_beat()
-        found = [Member(own_beat, 0.0, own_beat.leaving, True)]
+        own_heartbeat = self._own_heartbeat()
+        members = [Member(own_heartbeat, 0.0, own_heartbeat.leaving, True)]
         for record in self._record_by_host.values():
             if record.is_live(now, self._limits):
-                found.append(record.member(now))
-        return tuple(sorted(found, key=lambda member: member.name))
+                members.append(record.to_member(now))
+        return tuple(sorted(members, key=lambda member: member.name))
 
     def live_names(self) -> tuple[str, ...]:
         """Returns the names of the live hosts, this one included."""
@@ -137,15 +137,18 @@
 
     def owner_names(self) -> tuple[str, ...]:
         """Returns the hosts that may take new work: live, not leaving."""
-        staying = tuple(p.name for p in self._view() if not p.leaving)
+        candidates = tuple(p.name for p in self._view() if not p.leaving)
         # With nobody else left, the last host goes on until it exits.
-        return staying or (self._name,)
+        return candidates or (self._name,)
 
     def owner_of(self, key: str) -> str:
         """Returns the host that a key belongs to, as seen from here."""
         view = self._view()
-        if view is not self._owners_view or len(self._owner_by_key) > _MAX_KEYS:
-            self._owners_view = view
+        if (
+            view is not self._owner_cache_view
+            or len(self._owner_by_key) > _MAX_CACHED_OWNERS
+        ):
+            self._owner_cache_view = view
             self._owner_by_key.clear()
         owner = self._owner_by_key.get(key)
         if owner is None:
@@ -182,14 +185,14 @@
         """
         names = sorted(set(peer_names) - {self._name})
         for host in self._record_by_host.keys() - set(names):
-            self._board.forget(host)
+            self._gossip.remove_host(host)
         self._record_by_host = {
             name: self._record_by_host.get(name) or PeerRecord()
             for name in names
         }
         self._unknown_hosts -= set(names)
-        self._order = neighbours.order_peers(self._name, names)
-        self._uses_news = len(names) > self._limits.fan_out
+        self._peer_order = neighbours.order_peers(self._name, names)
+        self._uses_gossip = len(names) > self._limits.fan_out
         self._choose_neighbours()
         self._notify_changes()
 
@@ -209,10 +212,10 @@
             record.removed = record.listed and not is_listed
             record.listed = record.listed or is_listed
             record.listed_leaving = leaving_by_host.get(host, False)
-        self._forget_view()
+        self._invalidate_view()
         self._notify_changes()
 
-    def receive_heartbeat(self, beat: Heartbeat) -> HeartbeatReply:
+    def receive_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatReply:
         """Takes a peer's heartbeat; the handler's answer to it.
 
         A peer that reaches this host does not become a member by that: calls
@@ -220,56 +223,58 @@
         Only an answer to this host's own heartbeat, or to a neighbour's,
         shows that.
         """
-        record = self._record_by_host.get(beat.host)
+        record = self._record_by_host.get(heartbeat.host)
         if record is None:
-            self._note_unknown(beat.host)
-            return HeartbeatReply(self._say_to(beat.host))
-        record.called_at = self._clock()
-        self._take_beat(record, beat)
-        self._take_news(beat)
+            self._record_unknown(heartbeat.host)
+            return HeartbeatReply(self._next_heartbeat(heartbeat.host))
+        record.heartbeat_received_at = self._clock()
+        self._apply_heartbeat(record, heartbeat)
+        self._apply_gossip(heartbeat)
         self._notify_changes()
-        return HeartbeatReply(self._say_to(beat.host))
+        return HeartbeatReply(self._next_heartbeat(heartbeat.host))
 
     async def send_heartbeat(self, host: str) -> None:
         """Sends one heartbeat to a peer and takes its answer."""
         record = self._record_by_host.get(host)
         if record is None:
             return  # New settings have just dropped it.
-        said = self._say_to(host)
+        sent = self._next_heartbeat(host)
         started_at = self._clock()
         result = await self._peers.client(host).heartbeat(
-            said, self._limits.timeout_s
+            sent, self._limits.timeout_s
         )
         if self._record_by_host.get(host) is not record:
             return  # New settings dropped it during the call.
         if not isinstance(result, Success):
-            self._board.put_back(host, said.news)
-            self._note_failure(record, host)
+            self._gossip.requeue(host, sent.news)
+            self._record_failure(record, host)
             return
-        beat = result.unwrap().beat
-        if beat.host != host:
+        heartbeat = result.unwrap().beat
+        if heartbeat.host != host:
             # The address now belongs to another host: its answer must not
             # keep this one alive.
-            self._board.put_back(host, said.news)
-            self._note_failure(record, host)
-            logs.write("peer_has_other_name", peer=host, answered=beat.host)
+            self._gossip.requeue(host, sent.news)
+            self._record_failure(record, host)
+            logs.write(
+                "peer_has_other_name", peer=host, answered=heartbeat.host
+            )
             return
-        record.failures = 0
-        if not record.has_answered(self._clock(), self._limits):
-            self._forget_view()
+        record.consecutive_failures = 0
+        if not record.has_valid_lease(self._clock(), self._limits):
+            self._invalidate_view()
         record.answered_at = self._clock()
         self._metrics.observe(
             "peer_heartbeat_seconds", record.answered_at - started_at
         )
-        self._take_beat(record, beat)
-        if self._uses_news:
-            self._post(news_of(beat), source=host)
-        self._take_news(beat)
+        self._apply_heartbeat(record, heartbeat)
+        if self._uses_gossip:
+            self._merge_update(update_from_heartbeat(heartbeat), source=host)
+        self._apply_gossip(heartbeat)
         self._notify_changes()
 
     async def tick(self) -> None:
         """Notices expired leases and pauses of this process."""
-        self._accuse_silent()
+        self._suspect_unresponsive()
         self._choose_neighbours()
         self._notify_changes()
         paused_s, self._pending_pause_s = self._pending_pause_s, 0.0
@@ -295,173 +300,193 @@
 
     async def _tick(self) -> None:
         await self.tick()
-        self._match_tasks()
+        self._reconcile_tasks()
 
-    def _match_tasks(self) -> None:
+    def _reconcile_tasks(self) -> None:
         for host in self._task_by_host.keys() - set(self._neighbours):
             self._task_by_host.pop(host).cancel()
         for host in self._neighbours:
             if host not in self._task_by_host:
                 self._task_by_host[host] = asyncio.create_task(
-                    self._keep_beating(host), name=f"heartbeat-{host}"
+                    self._send_heartbeats(host), name=f"heartbeat-{host}"
                 )
 
-    async def _keep_beating(self, host: str) -> None:
+    async def _send_heartbeats(self, host: str) -> None:
         # Starting before its first news, a host calls each peer it knows of:
         # spread out, so that they are not all called in the same instant.
-        await asyncio.sleep(self._random.random() * self._pace_s(host, 0.0))
+        await asyncio.sleep(
+            self._random.random() * self._heartbeat_interval_s(host, 0.0)
+        )
         while True:
             try:
                 await self.send_heartbeat(host)
             except Exception as error:
                 logs.write("heartbeat_failed", peer=host, error=repr(error))
-            jitter = self._random.uniform(-_JITTER_SHARE, _JITTER_SHARE)
-            pace_s = self._pace_s(host, self._limits.period_s)
-            await asyncio.sleep(pace_s * (1 + jitter))
+            jitter = self._random.uniform(-_JITTER_FRACTION, _JITTER_FRACTION)
+            interval_s = self._heartbeat_interval_s(host, self._limits.period_s)
+            await asyncio.sleep(interval_s * (1 + jitter))
 
-    def _pace_s(self, host: str, least_s: float) -> float:
+    def _heartbeat_interval_s(self, host: str, base_interval_s: float) -> float:
         # A live host gets its heartbeat each period. All the silent ones
         # together get a fan-out of calls each period, so that hosts in the
         # settings that are not there cost the same however many they are.
         now = self._clock()
-        silent = [
+        unresponsive = [
             name
             for name in self._neighbours
-            if not self._record_by_host[name].has_answered(now, self._limits)
+            if not self._record_by_host[name].has_valid_lease(now, self._limits)
         ]
-        if host not in silent:
-            return least_s
-        rounds = math.ceil(len(silent) / self._limits.fan_out)
-        return least_s if rounds <= 1 else rounds * self._limits.period_s
+        if host not in unresponsive:
+            return base_interval_s
+        rounds = math.ceil(len(unresponsive) / self._limits.fan_out)
+        return (
+            base_interval_s if rounds <= 1 else rounds * self._limits.period_s
+        )
 
     def _choose_neighbours(self) -> None:
         now = self._clock()
-        found = neighbours.choose_neighbours(
-            self._order, self._is_live, self._limits.fan_out
+        chosen = neighbours.choose_neighbours(
+            self._peer_order, self._is_live, self._limits.fan_out
         )
-        if found != self._neighbours:
-            self._neighbours = found
-            self._take_neighbours(set(found), now)
-        for host in self._board.links():
-            if not self._is_linked(host):
-                self._board.close_link(host)
-
-    def _take_neighbours(self, chosen: set[str], now: float) -> None:
-        self._forget_view()
+        if chosen != self._neighbours:
+            self._neighbours = chosen
+            self._apply_neighbours(set(chosen), now)
+        for host in self._gossip.neighbours():
+            if not self._exchanges_gossip(host):
+                self._gossip.remove_neighbour(host)
+
+    def _apply_neighbours(self, chosen: set[str], now: float) -> None:
+        self._invalidate_view()
         for host, record in self._record_by_host.items():
             if host in chosen:
                 record.become_neighbour(now)
             else:
-                record.become_distant(now, self._limits)
+                record.become_non_neighbour(now, self._limits)
 
     def _is_live(self, host: str) -> bool:
         record = self._record_by_host[host]
         return record.is_live(self._clock(), self._limits)
 
-    def _is_linked(self, host: str) -> bool:
+    def _exchanges_gossip(self, host: str) -> bool:
         record = self._record_by_host.get(host)
         if record is None:
             return False
-        if record.is_neighbour or record.called_at is None:
+        if record.is_neighbour or record.heartbeat_received_at is None:
             return record.is_neighbour
-        return self._clock() - record.called_at <= self._limits.lease_s
+        return (
+            self._clock() - record.heartbeat_received_at <= self._limits.lease_s
+        )
 
-    def _accuse_silent(self) -> None:
-        if not self._uses_news:
+    def _suspect_unresponsive(self) -> None:
+        if not self._uses_gossip:
             return
-        self._note_pause()
+        self._detect_pause()
         now = self._clock()
         for host in self._neighbours:
             record = self._record_by_host[host]
-            news = self._board.get(host)
-            if news is None or record.has_answered(now, self._limits):
+            update = self._gossip.get(host)
+            if update is None or record.has_valid_lease(now, self._limits):
                 continue
-            if self._may_accuse(record, news, now):
-                record.accused_at = now
-                self._post(accused(news, [*news.accusers, self._name]))
+            if self._may_suspect(record, update, now):
+                record.suspected_at = now
+                self._merge_update(
+                    with_accusers(update, [*update.accusers, self._name])
+                )
 
-    def _may_accuse(
-        self, record: PeerRecord, news: PeerNews, now: float
+    def _may_suspect(
+        self, record: PeerRecord, update: PeerNews, now: float
     ) -> bool:
-        if len(news.accusers) == MAX_ACCUSERS or self._name in news.accusers:
+        if (
+            len(update.accusers) == MAX_ACCUSERS
+            or self._name in update.accusers
+        ):
             return False
         # Where only this host's own way to the peer is cut, the peer refutes
         # each accusation. Made at once again, accusation and refutation
         # would cross all the hosts without end.
-        at = record.accused_at
+        at = record.suspected_at
         return at is None or now - at > self._limits.accuse_again_s
 
-    def _say_to(self, peer: str) -> Heartbeat:
-        beat = dataclasses.replace(self._own_beat(), news=(), version=0)
-        if self._said is not None and beat != self._said:
+    def _next_heartbeat(self, peer: str) -> Heartbeat:
+        heartbeat = dataclasses.replace(
+            self._own_heartbeat(), news=(), version=0
+        )
+        if (
+            self._last_own_heartbeat is not None
+            and heartbeat != self._last_own_heartbeat
+        ):
             self._version += 1
-        self._said = beat
-        news = self._board.take(peer)
-        return dataclasses.replace(beat, version=self._version, news=news)
+        self._last_own_heartbeat = heartbeat
+        updates = self._gossip.dequeue(peer)
+        return dataclasses.replace(
+            heartbeat, version=self._version, news=updates
+        )
 
-    def _take_news(self, beat: Heartbeat) -> None:
-        if not self._uses_news:
+    def _apply_gossip(self, heartbeat: Heartbeat) -> None:
+        if not self._uses_gossip:
             return
-        self._board.open_link(beat.host, beat.incarnation)
-        for item in beat.news:
-            if item.host == self._name:
-                self._refute(item)
-            elif item.host in self._record_by_host:
-                self._post(item, source=beat.host)
+        self._gossip.add_neighbour(heartbeat.host, heartbeat.incarnation)
+        for update in heartbeat.news:
+            if update.host == self._name:
+                self._refute(update)
+            elif update.host in self._record_by_host:
+                self._merge_update(update, source=heartbeat.host)
             else:
-                self._note_unknown(item.host)
+                self._record_unknown(update.host)
 
-    def _post(self, item: PeerNews, source: str = "") -> None:
-        if not self._board.merge(item, source):
+    def _merge_update(self, update: PeerNews, source: str = "") -> None:
+        if not self._gossip.merge(update, source):
             return
-        latest = self._board.get(item.host)
-        record = self._record_by_host[item.host]
+        latest = self._gossip.get(update.host)
+        record = self._record_by_host[update.host]
         assert latest is not None
-        known = record.beat
-        record.take_news(latest, self._clock(), self._limits)
-        self._forget_view()
+        known = record.heartbeat
+        record.apply_update(latest, self._clock(), self._limits)
+        self._invalidate_view()
         self._notify_restart(known, record)
 
-    def _refute(self, item: PeerNews) -> None:
-        if item.incarnation != self._own_beat().incarnation:
+    def _refute(self, update: PeerNews) -> None:
+        if update.incarnation != self._own_heartbeat().incarnation:
             return  # It is about the process before this one.
-        if item.accusers and item.version >= self._version:
-            self._version = item.version + 1
+        if update.accusers and update.version >= self._version:
+            self._version = update.version + 1
             self._metrics.count("peer_accusations_refuted_total")
 
-    def _note_unknown(self, host: str) -> None:
+    def _record_unknown(self, host: str) -> None:
         # Known by name only, it could not be called: it becomes a peer when
         # this host's settings name it. Bounded, lest a peer fill the memory.
         if len(self._unknown_hosts) < _MAX_UNKNOWN_HOSTS:
             self._unknown_hosts.add(host)
 
-    def _note_failure(self, record: PeerRecord, host: str) -> None:
-        record.failures += 1
+    def _record_failure(self, record: PeerRecord, host: str) -> None:
+        record.consecutive_failures += 1
         self._metrics.count("peer_heartbeat_failures_total", peer=host)
         self._notify_changes()
 
-    def _take_beat(self, record: PeerRecord, beat: Heartbeat) -> None:
-        known = record.beat
-        if known is not None and age_order(beat) < age_order(known):
+    def _apply_heartbeat(
+        self, record: PeerRecord, heartbeat: Heartbeat
+    ) -> None:
+        known = record.heartbeat
+        if known is not None and version_key(heartbeat) < version_key(known):
             return  # A late message, of the process before perhaps.
-        record.beat = dataclasses.replace(beat, news=())
-        if record.beat != known:
-            self._forget_view()
+        record.heartbeat = dataclasses.replace(heartbeat, news=())
+        if record.heartbeat != known:
+            self._invalidate_view()
         self._notify_restart(known, record)
 
     def _notify_restart(
         self, known: Heartbeat | None, record: PeerRecord
     ) -> None:
-        beat = record.beat
-        if known is None or beat is None:
+        heartbeat = record.heartbeat
+        if known is None or heartbeat is None:
             return
-        if known.incarnation != beat.incarnation:
-            self._notify(MembershipChange(self.members(), (beat.host,)))
+        if known.incarnation != heartbeat.incarnation:
+            self._notify(MembershipChange(self.members(), (heartbeat.host,)))
 
-    def _note_pause(self) -> None:
+    def _detect_pause(self) -> None:
         now = self._clock()
-        paused_s = now - self._looked_at
-        self._looked_at = now
+        paused_s = now - self._last_checked_at
+        self._last_checked_at = now
         if paused_s <= self._limits.lease_s:
             return
         # After a pause every lease looks expired, although it was this host
@@ -469,23 +494,23 @@
         # every shard; so the peers get the pause on top of their leases.
         self._pending_pause_s += paused_s
         for record in self._record_by_host.values():
-            record.shift(paused_s)
-        self._forget_view()
+            record.extend_deadlines(paused_s)
+        self._invalidate_view()
 
-    def _view(self) -> tuple[_Place, ...]:
+    def _view(self) -> tuple[_ViewEntry, ...]:
         # Asked for with every call that is placed, and hundreds of hosts take
         # a millisecond to look through: kept until something is heard or the
         # first lease in it ends.
-        self._note_pause()
+        self._detect_pause()
         now = self._clock()
-        own = _Place(self._name, self._own_beat().leaving)
-        kept = self._cached_view
-        is_fresh = now < self._cached_until and own == self._cached_own
-        if kept is not None and is_fresh:
-            return kept
-        self._cached_own = own
+        own = _ViewEntry(self._name, self._own_heartbeat().leaving)
+        cached = self._cached_view
+        is_fresh = now < self._cached_until and own == self._cached_own_entry
+        if cached is not None and is_fresh:
+            return cached
+        self._cached_own_entry = own
         members = self.members()
-        view = tuple(_Place(m.name, m.leaving) for m in members)
+        view = tuple(_ViewEntry(m.name, m.leaving) for m in members)
         self._cached_until = min(
             (
                 self._record_by_host[place.name].live_until(self._limits)
@@ -494,17 +519,17 @@
             ),
             default=math.inf,
         )
-        self._cached_view = kept if view == kept else view
+        self._cached_view = cached if view == cached else view
         return self._cached_view or view
 
-    def _forget_view(self) -> None:
+    def _invalidate_view(self) -> None:
         self._cached_until = 0.0
 
     def _notify_changes(self) -> None:
         view = self._view()
-        if view is self._last_view:
+        if view is self._notified_view:
             return
-        self._last_view = view
+        self._notified_view = view
         self._metrics.gauge("peers_live", len(view))
         self._notify(MembershipChange(self.members()))
 
@@ -523,7 +548,7 @@
 
 
 def join(
-    own_beat: BeatSource,
+    own_heartbeat: HeartbeatSource,
     peer_names: Iterable[str],
     peers: Peers,
     timers: TimerService,
@@ -534,7 +559,7 @@
     """Returns a membership that knows no live peer yet.
 
     Args:
-        own_beat: Returns what this host says about itself now.
+        own_heartbeat: Returns what this host says about itself now.
         peer_names: Every other host in the settings.
         peers: The calls to them.
         timers: Ticks now and then once it is started.
@@ -545,5 +570,5 @@
     limits = limits or MembershipLimits()
     metrics = metrics or Metrics()
     return Membership(
-        own_beat, peer_names, peers, timers, limits, clock, metrics
+        own_heartbeat, peer_names, peers, timers, limits, clock, metrics
     )
--- a/libs/peers/src/masticdale_peers/neighbours.py
+++ b/libs/peers/src/masticdale_peers/neighbours.py
@@ -8,7 +8,7 @@
 
 IsLive = Callable[[str], bool]
 
-_RING_SHARE = 2
+_RING_DIVISOR = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -21,16 +21,16 @@
     """
 
     ring: tuple[str, ...]
-    far: tuple[str, ...]
+    by_weight: tuple[str, ...]
 
 
 def order_peers(name: str, peer_names: Iterable[str]) -> PeerOrder:
     """Returns the orders in which a host looks for its neighbours."""
     peers = set(peer_names) - {name}
     ring = sorted({*peers, name}, key=lambda host: (hashing.digest(host), host))
-    place = ring.index(name)
-    onwards = (*ring[place + 1 :], *ring[:place])
-    return PeerOrder(onwards, tuple(hashing.rank(name, peers)))
+    index = ring.index(name)
+    successors = (*ring[index + 1 :], *ring[:index])
+    return PeerOrder(successors, tuple(hashing.rank(name, peers)))
 
 
 def choose_neighbours(
@@ -45,23 +45,25 @@
     """
     if len(order.ring) <= fan_out:
         return order.ring
-    ring_count = fan_out // _RING_SHARE
-    near = _walk_ring(order.ring, is_live, ring_count)
-    far = (h for h in order.far if h not in near and is_live(h))
-    return (*near, *itertools.islice(far, fan_out - ring_count))
+    ring_count = fan_out // _RING_DIVISOR
+    successors = _nearest_successors(order.ring, is_live, ring_count)
+    weighted = (
+        h for h in order.by_weight if h not in successors and is_live(h)
+    )
+    return (*successors, *itertools.islice(weighted, fan_out - ring_count))
 
 
-def _walk_ring(
+def _nearest_successors(
     ring: tuple[str, ...], is_live: IsLive, count: int
 ) -> tuple[str, ...]:
     # The dead hosts passed on the way stay neighbours: with static places, a
     # failure domain that goes down could take all who watch a host, and two
     # halves of a healed partition would never call each other again. So each
     # host, live or dead, is watched by its nearest live predecessors.
-    walked = []
+    chosen = []
     for host in ring:
         if not count:
             break
-        walked.append(host)
+        chosen.append(host)
         count -= is_live(host)
-    return tuple(walked)
+    return tuple(chosen)
--- a/libs/peers/src/masticdale_peers/records.py
+++ b/libs/peers/src/masticdale_peers/records.py
@@ -4,7 +4,7 @@
 import math
 
 from masticdale_common import JsonValue
-from masticdale_peers.gossip import age_order, beat_of
+from masticdale_peers.gossip import heartbeat_from_update, version_key
 from masticdale_peers.messages import Heartbeat, PeerNews
 from masticdale_peers.views import Member, MembershipLimits
 
@@ -30,31 +30,35 @@
 
     is_neighbour: bool = True
     answered_at: float | None = None
-    called_at: float | None = None
-    beat: Heartbeat | None = None
-    heard_at: float | None = None
-    condemned_at: float | None = None
-    accused_at: float | None = None
+    heartbeat_received_at: float | None = None
+    heartbeat: Heartbeat | None = None
+    last_update_at: float | None = None
+    suspicion_expires_at: float | None = None
+    suspected_at: float | None = None
     listed: bool = False
     listed_leaving: bool = False
     removed: bool = False
-    failures: int = 0
+    consecutive_failures: int = 0
 
     def is_live(self, now: float, limits: MembershipLimits) -> bool:
         """Returns whether the peer is a member."""
         if self.removed:
             return False
         if self.is_neighbour:
-            return self.has_answered(now, limits)
+            return self.has_valid_lease(now, limits)
         return self.is_reported_live(now)
 
     def live_until(self, limits: MembershipLimits) -> float:
         """Returns when the live peer stops to be one, if nothing is heard."""
         if self.is_neighbour:
             return (self.answered_at or 0.0) + limits.lease_s
-        return math.inf if self.condemned_at is None else self.condemned_at
+        return (
+            math.inf
+            if self.suspicion_expires_at is None
+            else self.suspicion_expires_at
+        )
 
-    def has_answered(self, now: float, limits: MembershipLimits) -> bool:
+    def has_valid_lease(self, now: float, limits: MembershipLimits) -> bool:
         """Returns whether it answered this host within its lease."""
         if self.answered_at is None:
             return False
@@ -62,32 +66,38 @@
 
     def is_reported_live(self, now: float) -> bool:
         """Returns whether it is live by the news of other hosts."""
-        if self.heard_at is None:
+        if self.last_update_at is None:
             return False
-        return self.condemned_at is None or now < self.condemned_at
+        return (
+            self.suspicion_expires_at is None or now < self.suspicion_expires_at
+        )
 
-    def take_news(
-        self, item: PeerNews, now: float, limits: MembershipLimits
+    def apply_update(
+        self, update: PeerNews, now: float, limits: MembershipLimits
     ) -> None:
         """Takes the latest news of the peer."""
         was_live = self.is_reported_live(now)
-        self.heard_at = now
-        if self.beat is None or age_order(item) > age_order(self.beat):
-            self.beat = beat_of(item)
-        if not item.accusers:
-            self.condemned_at = None
+        self.last_update_at = now
+        if self.heartbeat is None or version_key(update) > version_key(
+            self.heartbeat
+        ):
+            self.heartbeat = heartbeat_from_update(update)
+        if not update.accusers:
+            self.suspicion_expires_at = None
             return
         # One neighbour may have lost its own way to the peer, and the peer
         # may be one that was only slow. So it stays a member for as long as
         # its refutation takes to cross the hosts. A host that was not known
         # to be live gets no such time: a host just started would otherwise
         # take all the dead for live at first.
-        is_agreed = len(item.accusers) > 1
-        grace_s = limits.refute_s if is_agreed else limits.suspect_s
-        condemned_at = now + grace_s if was_live else now
-        if self.condemned_at is not None:
-            condemned_at = min(condemned_at, self.condemned_at)
-        self.condemned_at = condemned_at
+        is_confirmed = len(update.accusers) > 1
+        suspicion_timeout_s = (
+            limits.refute_s if is_confirmed else limits.suspect_s
+        )
+        expires_at = now + suspicion_timeout_s if was_live else now
+        if self.suspicion_expires_at is not None:
+            expires_at = min(expires_at, self.suspicion_expires_at)
+        self.suspicion_expires_at = expires_at
 
     def become_neighbour(self, now: float) -> None:
         """Starts to go by the peer's own answers."""
@@ -97,46 +107,55 @@
             self.answered_at = now
         self.is_neighbour = True
 
-    def become_distant(self, now: float, limits: MembershipLimits) -> None:
+    def become_non_neighbour(
+        self, now: float, limits: MembershipLimits
+    ) -> None:
         """Starts to go by the news of the peer."""
-        if self.is_neighbour and self.heard_at is None:
+        if self.is_neighbour and self.last_update_at is None:
             # With a ninth peer the calls to all turn into calls to a few:
             # those that answered until now stay, though no news has come.
-            self.heard_at = now if self.has_answered(now, limits) else None
+            self.last_update_at = (
+                now if self.has_valid_lease(now, limits) else None
+            )
         self.is_neighbour = False
 
-    def shift(self, seconds: float) -> None:
+    def extend_deadlines(self, seconds: float) -> None:
         """Moves every time limit on by a pause of this process."""
         if self.answered_at is not None:
             self.answered_at += seconds
-        if self.condemned_at is not None:
-            self.condemned_at += seconds
+        if self.suspicion_expires_at is not None:
+            self.suspicion_expires_at += seconds
 
-    def member(self, now: float) -> Member:
+    def to_member(self, now: float) -> Member:
         """Returns the live peer as others see it."""
-        assert self.beat is not None
-        leaving = self.beat.leaving or self.listed_leaving
-        return Member(self.beat, _age(self._known_at(), now) or 0.0, leaving)
+        assert self.heartbeat is not None
+        leaving = self.heartbeat.leaving or self.listed_leaving
+        return Member(
+            self.heartbeat,
+            _seconds_since(self._last_contact_at(), now) or 0.0,
+            leaving,
+        )
 
     def state(self, now: float) -> JsonValue:
         """Returns what the state dump shows."""
-        beat = self.beat
+        heartbeat = self.heartbeat
         return {
             "neighbour": self.is_neighbour,
-            "incarnation": beat.incarnation if beat else None,
-            "revision": beat.revision if beat else None,
-            "leaving": self.listed_leaving or bool(beat and beat.leaving),
+            "incarnation": heartbeat.incarnation if heartbeat else None,
+            "revision": heartbeat.revision if heartbeat else None,
+            "leaving": self.listed_leaving
+            or bool(heartbeat and heartbeat.leaving),
             "removed": self.removed,
-            "failures": self.failures,
-            "answered_s_ago": _age(self.answered_at, now),
-            "called_s_ago": _age(self.called_at, now),
-            "heard_s_ago": _age(self.heard_at, now),
-            "condemned": self.condemned_at is not None,
+            "failures": self.consecutive_failures,
+            "answered_s_ago": _seconds_since(self.answered_at, now),
+            "called_s_ago": _seconds_since(self.heartbeat_received_at, now),
+            "heard_s_ago": _seconds_since(self.last_update_at, now),
+            "condemned": self.suspicion_expires_at is not None,
         }
 
-    def _known_at(self) -> float | None:
-        return self.answered_at if self.is_neighbour else self.heard_at
+    def _last_contact_at(self) -> float | None:
+        return self.answered_at if self.is_neighbour else self.last_update_at
 
 
-def _age(at: float | None, now: float) -> float | None:
+def _seconds_since(at: float | None, now: float) -> float | None:
     return None if at is None else round(now - at, 3)
--- a/libs/peers/src/masticdale_peers/testing.py
+++ b/libs/peers/src/masticdale_peers/testing.py
@@ -38,7 +38,7 @@
         self.calls_by_link: dict[Link, int] = {}
         self._handler_by_host: dict[str, PeerHandler] = {}
         self._cut_links: set[Link] = set()
-        self._frozen_hosts: set[str] = set()
+        self._paused_hosts: set[str] = set()
         self._delay_by_link: dict[Link, float] = {}
         self._lost_replies_by_link: dict[Link, int] = {}
 
@@ -58,13 +58,13 @@
         """Ends a cut."""
         self._cut_links.discard(Link(origin, target))
 
-    def freeze(self, host: str) -> None:
+    def pause(self, host: str) -> None:
         """Pauses a host: calls to it time out, its handler does not run."""
-        self._frozen_hosts.add(host)
+        self._paused_hosts.add(host)
 
-    def thaw(self, host: str) -> None:
+    def resume(self, host: str) -> None:
         """Ends a pause."""
-        self._frozen_hosts.discard(host)
+        self._paused_hosts.discard(host)
 
     def delay(self, origin: str, target: str, seconds: float) -> None:
         """Holds every call up on its way; 0 ends that."""
@@ -96,7 +96,7 @@
         handler = self._handler_by_host.get(link.target)
         if handler is None:
             return _unavailable(link, "refused", sent=False)
-        if link in self._cut_links or link.target in self._frozen_hosts:
+        if link in self._cut_links or link.target in self._paused_hosts:
             return _unavailable(link, "timed out", sent=True)
         if delay_s >= timeout_s:
             return _unavailable(link, "timed out", sent=True)
@@ -112,7 +112,7 @@
     ) -> Result[ReplyT, Failure]:
         try:
             async with asyncio.timeout(timeout_s):
-                reply = await getattr(handler, rpc.name)(_copy(request))
+                reply = await getattr(handler, rpc.name)(_round_trip(request))
         except TimeoutError:
             return _unavailable(link, "timed out", sent=True)
         except Exception as error:
@@ -122,7 +122,7 @@
         if lost:
             self._lost_replies_by_link[link] = lost - 1
             return _unavailable(link, "timed out", sent=True)
-        return Success(_copy(reply))
+        return Success(_round_trip(reply))
 
 
 class _MemoryPeer(PeerCalls):
@@ -156,7 +156,7 @@
         return _MemoryPeer(self._network, Link(self._origin, host))
 
 
-def _copy(message: Any) -> Any:
+def _round_trip(message: Any) -> Any:
     # Through the thrift struct: what would not survive the wire fails here.
     return from_wire(type(message), to_wire(message))
 
--- a/libs/rpc/src/masticdale_rpc/client.py
+++ b/libs/rpc/src/masticdale_rpc/client.py
@@ -240,7 +240,7 @@
             detail = f"{self._peer.name}: {error}"
             return Failed(Failure(ErrorKind.INTERNAL, detail))
         except TimeoutError:
-            self._timed_out(rpc)
+            self._on_timeout(rpc)
             return self._unavailable(rpc.name, "timed out", sent=True)
         except CrossedAnswerError as error:
             self._metrics.count("peer_crossed_answers_total", call=rpc.name)
@@ -250,7 +250,7 @@
         finally:
             pool.release(connection, reusable=reusable)
 
-    def _timed_out(self, rpc: Rpc[RequestT, ReplyT]) -> None:
+    def _on_timeout(self, rpc: Rpc[RequestT, ReplyT]) -> None:
         """Is told of each call that was sent and not answered in time."""
 
     def _unavailable(
