--- a/libs/rpc/src/masticdale_rpc/client.py
+++ b/libs/rpc/src/masticdale_rpc/client.py
@@ -1,4 +1,4 @@
-"""Calls to other hosts over pools of connections."""
+"""RPC client with a connection pool for each host."""
 
 import asyncio
 import dataclasses
@@ -12,7 +12,7 @@
 from masticdale_common import ErrorKind, Failure, JsonValue, Metrics
 from masticdale_rpc.connection import (
     Connection,
-    CrossedAnswerError,
+    MismatchedReplyError,
     RemoteError,
 )
 from masticdale_rpc.contracts import Contract, ReplyT, RequestT, Rpc
@@ -25,12 +25,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolLimits:
-    """Bounds of the connections to one peer.
+    """Limits of the connection pool of each peer.
 
     Attributes:
-        connections: Most connections, and so calls under way, for each peer.
-        call_timeout_s: How long a call may take by default.
-        idle_s: A connection unused for this long is closed.
+        connections: Maximum number of connections. A connection carries one
+            call at a time, so this also bounds the concurrent calls.
+        call_timeout_s: Default timeout of a call in seconds.
+        idle_s: Seconds after which an unused connection is closed.
     """
 
     connections: int = 8
@@ -39,7 +40,7 @@
 
 
 class Pool:
-    """Connections to one address, each lent to one call at a time."""
+    """Pool of connections to one address, each used by one call at a time."""
 
     def __init__(
         self,
@@ -53,37 +54,38 @@
         self._peer = peer
         self._context = context
         self._clock = clock
-        # Wakes its waiters in the order they came, so that no call starves.
-        self._free = asyncio.Semaphore(size)
+        # asyncio.Semaphore wakes waiters in FIFO order, so no call starves.
+        self._slots = asyncio.Semaphore(size)
         self._idle: list[Connection] = []
-        self._lent = 0
+        self._in_use = 0
         self._opened = 0
         self._is_closed = False
 
     async def acquire(self) -> Connection:
-        """Returns a connection that no other call uses.
+        """Returns an unused connection; waits while the pool is exhausted.
 
         Raises:
-            OSError: None could be opened.
+            OSError: A new connection could not be opened.
         """
-        await self._free.acquire()
+        await self._slots.acquire()
         try:
-            connection = self._take_idle() or await self._open()
+            connection = self._pop_idle() or await self._open()
         except BaseException:
-            self._free.release()
+            self._slots.release()
             raise
-        self._lent += 1
+        self._in_use += 1
         return connection
 
     def release(self, connection: Connection, *, reusable: bool) -> None:
-        """Takes a connection back.
+        """Returns a connection to the pool.
 
         Args:
-            connection: What ``acquire`` returned.
-            reusable: False unless its last call's answer was read whole.
+            connection: Connection returned by ``acquire``.
+            reusable: Whether the reply of its last call was read completely.
+                Otherwise the connection is closed.
         """
-        self._lent -= 1
-        self._free.release()
+        self._in_use -= 1
+        self._slots.release()
         if not reusable or self._is_closed:
             connection.abort()
             return
@@ -91,18 +93,18 @@
         self._idle.append(connection)
 
     def close_idle(self, idle_s: float) -> None:
-        """Closes connections that were not used for a while."""
-        oldest = self._clock() - idle_s
-        kept = []
+        """Closes connections that were not used for ``idle_s`` seconds."""
+        used_since = self._clock() - idle_s
+        still_open = []
         for connection in self._idle:
-            if connection.is_usable and connection.last_used >= oldest:
-                kept.append(connection)
+            if connection.is_usable and connection.last_used >= used_since:
+                still_open.append(connection)
             else:
                 connection.abort()
-        self._idle = kept
+        self._idle = still_open
 
     def close(self) -> None:
-        """Closes every connection; those lent out when they come back."""
+        """Closes idle connections now and those in use on their release."""
         self._is_closed = True
         for connection in self._idle:
             connection.abort()
@@ -112,24 +114,24 @@
         """Returns what the state dump shows."""
         return {
             "idle": len(self._idle),
-            "lent": self._lent,
+            "lent": self._in_use,
             "opened": self._opened,
         }
 
-    def _take_idle(self) -> Connection | None:
+    def _pop_idle(self) -> Connection | None:
         while self._idle:
-            # The last one used, so that those not needed grow idle.
+            # Last in, first out: surplus connections reach the idle timeout.
             connection = self._idle.pop()
-            # A restarted peer has closed it: sent there, the request would
-            # fail with nobody knowing whether it had arrived.
+            # A restarted peer has closed the connection. A request sent on it
+            # would fail, and the caller could not tell whether it arrived.
             if connection.is_usable:
                 return connection
             connection.abort()
         return None
 
     async def _open(self) -> Connection:
-        # thriftpy2's client socket connects in the loop's thread pool, where
-        # a few peers that drop packets would hold up every other connection.
+        # Not thriftpy2's client socket: it connects in the loop's thread
+        # pool, which a few unreachable peers would exhaust for all others.
         address = self._peer.address
         reader, writer = await asyncio.open_connection(
             str(address.ip),
@@ -142,7 +144,7 @@
 
 
 class RpcClient:
-    """Calls to one host over the network."""
+    """Client for the RPCs of one host."""
 
     def __init__(
         self,
@@ -160,7 +162,7 @@
 
     @property
     def peer(self) -> PeerSettings:
-        """The peer that is called."""
+        """The called host."""
         return self._peer
 
     async def call(
@@ -172,14 +174,15 @@
         """Makes one call.
 
         Args:
-            rpc: Which call.
+            rpc: The RPC to call.
             request: Its argument.
-            timeout_s: How long the whole call may take, waiting for a free
-                connection included; the client's default where None.
+            timeout_s: Timeout in seconds, including the wait for a free
+                connection; None for the client's default.
 
-        Failures: PEER_UNAVAILABLE where no whole answer came in time
-        (``was_sent`` tells whether it may have arrived there); INTERNAL where
-        the handler there raised.
+        Returns:
+            The reply, or a failure: PEER_UNAVAILABLE if no complete reply
+            arrived in time (``was_sent`` tells whether the peer may have
+            received the request), INTERNAL if the peer's handler raised.
         """
         return await self._call(self._pool, rpc, request, timeout_s)
 
@@ -197,17 +200,19 @@
             async with asyncio.timeout_at(deadline):
                 connection = await pool.acquire()
         except TimeoutError:
-            return self._unavailable(rpc.name, "no connection", sent=False)
+            return self._unavailable(
+                rpc.name, "timed out waiting for a connection", sent=False
+            )
         except OSError as error:
             return self._unavailable(rpc.name, repr(error), sent=False)
         return await self._exchange(pool, connection, rpc, request, deadline)
 
     def close_idle(self) -> None:
-        """Closes the connections that were idle for too long."""
+        """Closes connections that exceeded the idle timeout."""
         self._pool.close_idle(self._limits.idle_s)
 
     def close(self) -> None:
-        """Closes the connections."""
+        """Closes the pool."""
         self._pool.close()
 
     def state(self) -> JsonValue:
@@ -225,10 +230,10 @@
         request: RequestT,
         deadline: float,
     ) -> Result[ReplyT, Failure]:
-        # A late answer to a call given up on would be read as the answer to
-        # the connection's next call, and one caller would get another's. So
-        # a connection is used again only after its answer was read whole, on
-        # every other way out of here, cancellation too, it is closed.
+        # The reply to an abandoned call would be read as the reply to the
+        # next call on the connection, and a caller would get another's data.
+        # So the connection is reused only if its reply was read completely;
+        # any other exit, including cancellation, closes it.
         reusable = False
         try:
             async with asyncio.timeout_at(deadline):
@@ -242,7 +247,7 @@
         except TimeoutError:
             self._on_timeout(rpc)
             return self._unavailable(rpc.name, "timed out", sent=True)
-        except CrossedAnswerError as error:
+        except MismatchedReplyError as error:
             self._metrics.count("peer_crossed_answers_total", call=rpc.name)
             return self._unavailable(rpc.name, repr(error), sent=True)
         except Exception as error:
@@ -251,7 +256,7 @@
             pool.release(connection, reusable=reusable)
 
     def _on_timeout(self, rpc: Rpc[RequestT, ReplyT]) -> None:
-        """Is told of each call that was sent and not answered in time."""
+        """Hook for each call that was sent but not answered in time."""
 
     def _unavailable(
         self, name: str, reason: str, *, sent: bool
@@ -263,18 +268,18 @@
 
 
 def unavailable(host: str, reason: str, *, sent: bool) -> Failure:
-    """Returns the failure of a call that no whole answer came to.
+    """Returns the failure of a call without a complete reply.
 
     Args:
-        host: The peer.
-        reason: What happened.
-        sent: False where the peer surely has not got the request.
+        host: Name of the called host.
+        reason: Cause of the failure.
+        sent: False if the host certainly did not receive the request.
     """
     state = "sent" if sent else _NOT_SENT
     return Failure(ErrorKind.PEER_UNAVAILABLE, f"{state}: {host}: {reason}")
 
 
 def was_sent(failure: Failure) -> bool:
-    """Returns whether the peer may have got the request of a failed call."""
+    """Returns whether the peer may have received a failed call's request."""
     not_sent = failure.detail.startswith(f"{_NOT_SENT}:")
     return not (failure.kind is ErrorKind.PEER_UNAVAILABLE and not_sent)
--- a/libs/rpc/src/masticdale_rpc/connection.py
+++ b/libs/rpc/src/masticdale_rpc/connection.py
@@ -1,4 +1,4 @@
-"""One connection that carries one call at a time."""
+"""A client connection, which carries one call at a time."""
 
 import asyncio
 
@@ -8,19 +8,19 @@
 from masticdale_rpc.contracts import Contract, ReplyT, RequestT, Rpc
 
 
-class CrossedAnswerError(Exception):
-    """The answer read belongs to another call."""
+class MismatchedReplyError(Exception):
+    """The reply belongs to another call."""
 
 
 class RemoteError(Exception):
-    """The called host's handler raised, or it does not know the call."""
+    """The peer's handler raised, or the peer does not know the RPC."""
 
 
 class Connection:
     """An open connection to a peer.
 
     Attributes:
-        last_used: Monotonic seconds of the last call's end.
+        last_used: End of the last call, in monotonic seconds.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """False once the peer has closed it."""
+        """Whether both sides still have the connection open."""
         return not (
             self._reader.at_eof()
             or self._reader.exception()
@@ -47,13 +47,15 @@
     async def exchange(
         self, rpc: Rpc[RequestT, ReplyT], request: RequestT
     ) -> ReplyT:
-        """Sends a request and reads its answer.
+        """Sends a request and reads its reply.
+
+        After any exception but ``RemoteError`` the caller must close the
+        connection.
 
         Raises:
-            RemoteError: The peer answered that the call failed there.
-            CrossedAnswerError: The answer belongs to another call.
-            Exception: Whatever sockets and the decoder raise. After anything
-                but a ``RemoteError`` the connection has to be closed.
+            RemoteError: The peer reported that the call failed.
+            MismatchedReplyError: The reply belongs to another call.
+            Exception: Any error of the socket or the decoder.
         """
         self._sequence += 1
         contract = self._contract
@@ -65,16 +67,19 @@
             )
         )
         await self._writer.drain()
-        return await self._read_answer(rpc)
+        return await self._read_reply(rpc)
 
     def abort(self) -> None:
-        """Closes at once, without waiting for unsent bytes."""
+        """Closes the connection at once and discards unsent bytes."""
         self._writer.transport.abort()
 
-    async def _read_answer(self, rpc: Rpc[RequestT, ReplyT]) -> ReplyT:
+    async def _read_reply(self, rpc: Rpc[RequestT, ReplyT]) -> ReplyT:
         message = frames.Message(await frames.read_frame(self._reader))
         if (message.name, message.sequence) != (rpc.name, self._sequence):
-            raise CrossedAnswerError(f"{message.name} {message.sequence}")
+            raise MismatchedReplyError(
+                f"got reply {message.sequence} to {message.name}, expected"
+                f" {self._sequence} to {rpc.name}"
+            )
         if message.kind == TMessageType.EXCEPTION:
             error = TApplicationException()
             message.read(error)
--- a/libs/rpc/src/masticdale_rpc/contracts.py
+++ b/libs/rpc/src/masticdale_rpc/contracts.py
@@ -1,7 +1,7 @@
-"""Thrift services between hosts: their calls and the structs these carry.
+"""Thrift services between hosts: RPCs and conversion of their messages.
 
-A message is a data class that mirrors the struct of the same name field by
-field, so the conversion needs no code of its own for any of them.
+A message is a data class with the name and the fields of a thrift struct, so
+one generic conversion serves all of them.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 
 from masticdale_common import ErrorKind, Failure
 
-_NO_RETRY_TIME = -1
+_NO_RETRY_AFTER = -1
 
 RequestT = TypeVar("RequestT")
 ReplyT = TypeVar("ReplyT")
@@ -24,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rpc(Generic[RequestT, ReplyT]):
-    """One call of a service.
+    """One method of a service.
 
     Attributes:
-        name: Its name in the service's IDL.
-        request_type: The data class of its argument.
-        reply_type: The data class of its answer.
+        name: Method name in the service's IDL.
+        request_type: Data class of the argument.
+        reply_type: Data class of the reply.
     """
 
     name: str
@@ -38,73 +38,73 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Loaded:
-    """What thriftpy2 needs to read and write a service's messages.
+class ServiceDefinition:
+    """The thriftpy2 types of a service.
 
     Attributes:
         structs: Has an attribute for each struct.
-        service: Has ``NAME_args`` and ``NAME_result`` of each call.
+        service: Has ``NAME_args`` and ``NAME_result`` for each RPC.
     """
 
     structs: Any
     service: Any
 
 
-def parse_idl(package: str, idl: str, service: str) -> Loaded:
-    """Returns the structs that an IDL declares.
+def parse_idl(package: str, idl: str, service: str) -> ServiceDefinition:
+    """Returns the thriftpy2 types that an IDL file declares.
 
     Args:
-        package: The package that holds the IDL.
-        idl: Name of its file, which ends in ``.thrift``.
-        service: Name of the service in it.
+        package: Package that contains the file.
+        idl: File name, ending in ``.thrift``.
+        service: Name of the service in the file.
     """
     path = importlib.resources.files(package) / idl
     module_name = f"{package}_{idl.removesuffix('.thrift')}_thrift"
     structs = thriftpy2.load(str(path), module_name=module_name)
-    return Loaded(structs, getattr(structs, service))
+    return ServiceDefinition(structs, getattr(structs, service))
 
 
 class Contract:
-    """A service and the structs that its calls carry.
+    """A service: its RPCs and the conversion of their messages.
 
     Attributes:
-        rpc_by_name: The calls.
+        rpc_by_name: The RPCs by name.
     """
 
     def __init__(
         self,
-        load: Callable[[], "Loaded"],
+        load: Callable[[], "ServiceDefinition"],
         rpcs: tuple[Rpc[Any, Any], ...],
-        inner_types: tuple[type[Any], ...] = (),
+        nested_types: tuple[type[Any], ...] = (),
     ) -> None:
-        """Prepares the conversions; the structs are made on first use.
+        """Prepares the conversion; the structs are loaded on first use.
 
         Args:
-            load: Makes the structs.
-            rpcs: The calls.
-            inner_types: Messages that stand inside others only.
+            load: Loads or builds the structs.
+            rpcs: The RPCs.
+            nested_types: Messages that occur only as fields of others.
         """
         self._load = load
         self.rpc_by_name = {rpc.name: rpc for rpc in rpcs}
         self._codecs_by_type = {
-            t: self._codecs(t) for t in (*inner_types, *_outer_types(rpcs))
+            t: self._codecs(t) for t in (*nested_types, *_rpc_types(rpcs))
         }
 
     @functools.cached_property
-    def _loaded(self) -> "Loaded":
+    def _definition(self) -> "ServiceDefinition":
         return self._load()
 
     @property
     def service(self) -> Any:
-        """Holds ``NAME_args`` and ``NAME_result`` of each call."""
-        return self._loaded.service
+        """Has ``NAME_args`` and ``NAME_result`` for each RPC."""
+        return self._definition.service
 
     @property
     def _idl(self) -> Any:
-        return self._loaded.structs
+        return self._definition.structs
 
     def to_wire(self, message: Any) -> Any:
-        """Returns the thrift struct of a message."""
+        """Converts a message to its thrift struct."""
         message_type = type(message)
         struct = getattr(self._idl, message_type.__name__)()
         for codec in self._codecs_by_type[message_type]:
@@ -115,12 +115,12 @@
         return struct
 
     def from_wire(self, message_type: type[MessageT], struct: Any) -> MessageT:
-        """Returns the message of a thrift struct.
+        """Converts a thrift struct to its message.
 
         Args:
-            message_type: The data class that mirrors the struct.
-            struct: What thriftpy2 decoded; None where an older host does not
-                know the message.
+            message_type: Data class that mirrors the struct.
+            struct: Struct decoded by thriftpy2; None if an older host left
+                the field out.
         """
         values = {}
         for codec in self._codecs_by_type[message_type]:
@@ -140,7 +140,9 @@
             decode_message = functools.partial(self.from_wire, message_type)
             return _FieldCodec(name, self.to_wire, decode_message)
         if typing.get_origin(hint) is not tuple:
-            return _FieldCodec(name, None, functools.partial(_or_zero, hint))
+            return _FieldCodec(
+                name, None, functools.partial(_value_or_zero, hint)
+            )
         item = self._codec(name, typing.get_args(hint)[0])
 
         def encode(values: Any) -> Any:
@@ -159,7 +161,7 @@
             kind=failure.kind.value,
             detail=failure.detail,
             retry_after_ms=(
-                _NO_RETRY_TIME if retry_after_ms is None else retry_after_ms
+                _NO_RETRY_AFTER if retry_after_ms is None else retry_after_ms
             ),
             host=failure.host,
         )
@@ -167,12 +169,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _FieldCodec:
-    """How one field is converted.
+    """Conversion of one field.
 
     Attributes:
-        name: The field.
-        encode: Makes the struct's value; None where it is the same.
-        decode: Makes the message's value.
+        name: Field name.
+        encode: Converts to the struct's value; None if both are equal.
+        decode: Converts to the message's value.
     """
 
     name: str
@@ -180,10 +182,10 @@
     decode: Callable[[Any], Any]
 
 
-def _or_zero(hint: Any, value: Any) -> Any:
-    # A host of an earlier version leaves new fields out; thriftpy2 reads them
-    # as None. They take their type's zero, as thrift defines it, so that hosts
-    # of two versions understand each other during a rolling restart.
+def _value_or_zero(hint: Any, value: Any) -> Any:
+    # An older host leaves new fields out, and thriftpy2 reads them as None.
+    # They get thrift's zero value of their type, so that two versions can run
+    # side by side during a rolling restart.
     return hint() if value is None else value
 
 
@@ -197,11 +199,11 @@
     try:
         kind = ErrorKind(struct.kind)
     except ValueError:
-        # A later version's kind: INTERNAL claims nothing about whether the
-        # request ran, so no false "not run" can come of it.
+        # The kind comes from a newer version. INTERNAL does not say whether
+        # the request ran, so nobody can wrongly conclude that it did not.
         kind, detail = ErrorKind.INTERNAL, f"{struct.kind}: {detail}"
     return Failure(kind, detail, retry_after_ms, struct.host or "")
 
 
-def _outer_types(rpcs: tuple[Rpc[Any, Any], ...]) -> tuple[type[Any], ...]:
+def _rpc_types(rpcs: tuple[Rpc[Any, Any], ...]) -> tuple[type[Any], ...]:
     return tuple(t for rpc in rpcs for t in (rpc.request_type, rpc.reply_type))
--- a/libs/rpc/src/masticdale_rpc/frames.py
+++ b/libs/rpc/src/masticdale_rpc/frames.py
@@ -1,8 +1,8 @@
-"""Frames of one thrift message each, checked before they are decoded.
+"""Framed thrift messages, validated before they are decoded.
 
-thriftpy2 trusts what a message declares: a string said to be 2 GB long is
-allocated, and a list of two billion elements of no known type is counted
-through without a pause, so that one message stops the whole process.
+thriftpy2 trusts the lengths in a message. It allocates a string declared as
+2 GB long and loops over a list declared with two billion elements, so a single
+malformed message would block the whole process.
 """
 
 import asyncio
@@ -32,36 +32,44 @@
     TType.DOUBLE: 8,
 }
 
-# The compiled reader takes lengths on trust and reads beyond its buffer; the
-# one in Python stops at the buffer's end. Writing has no such danger.
-# thriftpy2 marks itself as typed without typing these.
+# The compiled decoder trusts lengths and reads beyond its buffer; the pure
+# Python one stops at the end of the buffer. The compiled encoder is safe.
+# Typed as Any because thriftpy2 has a py.typed marker but no types for these.
 _READER: Any = TBinaryProtocol
 _WRITER: Any = TCyBinaryProtocol
 _BUFFER: Any = TCyMemoryBuffer
 
 
 class MalformedFrameError(Exception):
-    """The bytes are no message of this service."""
+    """The bytes are not a valid message, or exceed the size limit."""
 
 
 async def read_frame(reader: asyncio.StreamReader) -> bytes:
-    """Returns the next frame.
+    """Reads the next frame and returns it without its length prefix.
 
     Raises:
-        MalformedFrameError: It is said to be larger than any message.
-        asyncio.IncompleteReadError: The connection ended.
+        MalformedFrameError: The declared length exceeds ``MAX_FRAME_BYTES``.
+        asyncio.IncompleteReadError: The connection was closed.
     """
     length = int.from_bytes(await reader.readexactly(_LENGTH_BYTES), "big")
     if length > MAX_FRAME_BYTES:
-        raise MalformedFrameError(f"a frame of {length} bytes")
+        raise MalformedFrameError(
+            f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}"
+        )
     return await reader.readexactly(length)
 
 
 def encode(name: str, kind: int, sequence: int, body: Any) -> bytes:
-    """Returns a message as a frame.
+    """Encodes a message as a frame with its length prefix.
+
+    Args:
+        name: Name of the RPC.
+        kind: A ``TMessageType``.
+        sequence: Number of the call on its connection.
+        body: Thrift struct with the arguments, the result or the error.
 
     Raises:
-        MalformedFrameError: The peer would refuse it as too large.
+        MalformedFrameError: The message exceeds ``MAX_FRAME_BYTES``.
     """
     buffer = _BUFFER()
     protocol = _WRITER(buffer)
@@ -70,46 +78,49 @@
     protocol.write_message_end()
     message: bytes = buffer.getvalue()
     if len(message) > MAX_FRAME_BYTES:
-        raise MalformedFrameError(f"a frame of {len(message)} bytes")
+        raise MalformedFrameError(
+            f"message of {len(message)} bytes exceeds the limit of"
+            f" {MAX_FRAME_BYTES}"
+        )
     return len(message).to_bytes(_LENGTH_BYTES, "big") + message
 
 
 class Message:
-    """A frame whose header has been read.
+    """A received frame with its header decoded.
 
     Attributes:
-        name: Name of the call.
+        name: Name of the RPC.
         kind: A ``TMessageType``.
         sequence: Number of the call on its connection.
     """
 
     def __init__(self, frame: bytes) -> None:
-        """Reads the header.
+        """Decodes the header.
 
         Raises:
-            MalformedFrameError: It is no header of a message.
+            MalformedFrameError: The frame has no valid message header.
         """
-        self._check = _Check(frame)
-        version = self._check.number(4) & 0xFFFFFFFF
+        self._validator = _FrameValidator(frame)
+        version = self._validator.read_int(4) & 0xFFFFFFFF
         if version & _VERSION_MASK != _VERSION_1:
-            raise MalformedFrameError("no thrift message")
+            raise MalformedFrameError("unsupported thrift protocol version")
         self.kind = version & 0xFF
-        if self.kind not in (*_CALL_KINDS, *_ANSWER_KINDS):
-            raise MalformedFrameError(f"message kind {self.kind}")
-        self.name = self._check.text()
-        self.sequence = self._check.number(4)
+        if self.kind not in (*_CALL_KINDS, *_REPLY_KINDS):
+            raise MalformedFrameError(f"unknown message type {self.kind}")
+        self.name = self._validator.read_string()
+        self.sequence = self._validator.read_int(4)
         self._frame = frame
 
     def read(self, body: Any) -> None:
-        """Fills a struct from the rest of the frame.
+        """Decodes the rest of the frame into a struct.
 
         Raises:
-            MalformedFrameError: The rest is no such struct.
+            MalformedFrameError: The rest is not a valid encoding of it.
         """
-        start = self._check.place
-        self._check.struct(body.thrift_spec, MAX_DEPTH)
-        if self._check.place != len(self._frame):
-            raise MalformedFrameError("bytes behind the message")
+        start = self._validator.offset
+        self._validator.check_struct(body.thrift_spec, MAX_DEPTH)
+        if self._validator.offset != len(self._frame):
+            raise MalformedFrameError("trailing bytes after the message")
         protocol = _READER(io.BytesIO(self._frame[start:]), strict_decode=True)
         try:
             protocol.read_struct(body)
@@ -118,92 +129,101 @@
 
 
 _CALL_KINDS = (TMessageType.CALL, TMessageType.ONEWAY)
-_ANSWER_KINDS = (TMessageType.REPLY, TMessageType.EXCEPTION)
+_REPLY_KINDS = (TMessageType.REPLY, TMessageType.EXCEPTION)
 
 
-class _Check:
-    """Walks over a frame and refuses what the decoder would not survive.
+class _FrameValidator:
+    """Rejects frames that the decoder cannot process safely.
 
-    Each declared length has to lie within the frame, and each element takes
-    at least one byte of it, so neither memory nor time can exceed what the
-    frame's own size allows. A known field has to be of its type: the decoder
-    reads a string in place of a number as a number, and is lost from there.
+    Every declared length must lie within the frame, and every element takes
+    at least one byte, so the frame size bounds memory and time. A known field
+    must have its declared type: the decoder does not check types, and would
+    read a string as a number and misparse everything after it.
 
     Attributes:
-        place: How far the frame has been read.
+        offset: Number of bytes read so far.
     """
 
     def __init__(self, frame: bytes) -> None:
-        self.place = 0
+        self.offset = 0
         self._frame = frame
 
-    def number(self, size: int) -> int:
-        """Reads a signed number."""
-        start = self.place
-        self._pass(size)
+    def read_int(self, size: int) -> int:
+        """Reads a signed big-endian integer of ``size`` bytes."""
+        start = self.offset
+        self._skip(size)
         return int.from_bytes(
-            self._frame[start : self.place], "big", signed=True
+            self._frame[start : self.offset], "big", signed=True
         )
 
-    def text(self) -> str:
-        """Reads a string."""
-        length = self.number(4)
-        start = self.place
-        self._pass(length)
+    def read_string(self) -> str:
+        """Reads a UTF-8 string with its length prefix."""
+        length = self.read_int(4)
+        start = self.offset
+        self._skip(length)
         try:
-            return self._frame[start : self.place].decode()
+            return self._frame[start : self.offset].decode()
         except UnicodeDecodeError as error:
             raise MalformedFrameError(repr(error)) from error
 
-    def struct(self, spec_by_id: dict[int, Any], depth: int) -> None:
-        """Walks over a struct; an empty specification knows no field."""
+    def check_struct(self, spec_by_id: dict[int, Any], depth: int) -> None:
+        """Validates a struct and moves past it.
+
+        Args:
+            spec_by_id: Thrift specification of the known fields by field id.
+            depth: Number of nesting levels still allowed.
+        """
         if not depth:
-            raise MalformedFrameError("nested too deep")
-        while (kind := self.number(1)) != TType.STOP:
-            spec = spec_by_id.get(self.number(2))
+            raise MalformedFrameError("message nested too deeply")
+        while (kind := self.read_int(1)) != TType.STOP:
+            spec = spec_by_id.get(self.read_int(2))
             if spec is None:
-                self._value(kind, None, depth - 1)
+                self._check_value(kind, None, depth - 1)
                 continue
             _require_type(kind, spec[0])
-            detail = spec[2] if len(spec) > 3 else None
-            self._value(kind, detail, depth - 1)
+            type_spec = spec[2] if len(spec) > 3 else None
+            self._check_value(kind, type_spec, depth - 1)
 
-    def _value(self, kind: int, detail: Any, depth: int) -> None:
+    def _check_value(self, kind: int, type_spec: Any, depth: int) -> None:
         size = _SIZE_BY_TYPE.get(kind)
         if size is not None:
-            self._pass(size)
+            self._skip(size)
         elif kind in _BINARY_TYPES:
-            self._pass(self.number(4))
+            self._skip(self.read_int(4))
         elif kind in _LIST_TYPES:
-            self._list(detail, depth)
+            self._check_list(type_spec, depth)
         elif kind == TType.STRUCT:
-            self.struct(detail.thrift_spec if detail else {}, depth)
+            self.check_struct(type_spec.thrift_spec if type_spec else {}, depth)
         else:
-            raise MalformedFrameError(f"value of type {kind}")
+            raise MalformedFrameError(f"unsupported value type {kind}")
 
-    def _list(self, detail: Any, depth: int) -> None:
+    def _check_list(self, type_spec: Any, depth: int) -> None:
         if not depth:
-            raise MalformedFrameError("nested too deep")
-        kind = self.number(1)
-        count = self.number(4)
-        if not 0 <= count <= len(self._frame) - self.place:
-            raise MalformedFrameError(f"a list of {count}")
-        element = None
-        if detail is not None:
-            wanted, element = (
-                detail if isinstance(detail, tuple) else (detail, None)
+            raise MalformedFrameError("message nested too deeply")
+        kind = self.read_int(1)
+        count = self.read_int(4)
+        if not 0 <= count <= len(self._frame) - self.offset:
+            raise MalformedFrameError(
+                f"list of {count} elements does not fit the frame"
             )
-            _require_type(kind, wanted)
+        element_spec = None
+        if type_spec is not None:
+            expected, element_spec = (
+                type_spec if isinstance(type_spec, tuple) else (type_spec, None)
+            )
+            _require_type(kind, expected)
         for _ in range(count):
-            self._value(kind, element, depth - 1)
+            self._check_value(kind, element_spec, depth - 1)
 
-    def _pass(self, size: int) -> None:
-        if not 0 <= size <= len(self._frame) - self.place:
-            raise MalformedFrameError(f"a value of {size} bytes")
-        self.place += size
+    def _skip(self, size: int) -> None:
+        if not 0 <= size <= len(self._frame) - self.offset:
+            raise MalformedFrameError(
+                f"value of {size} bytes does not fit the frame"
+            )
+        self.offset += size
 
 
-def _require_type(kind: int, wanted: int) -> None:
-    is_binary = kind in _BINARY_TYPES and wanted in _BINARY_TYPES
-    if kind != wanted and not is_binary:
-        raise MalformedFrameError(f"type {kind} in place of {wanted}")
+def _require_type(kind: int, expected: int) -> None:
+    is_binary = kind in _BINARY_TYPES and expected in _BINARY_TYPES
+    if kind != expected and not is_binary:
+        raise MalformedFrameError(f"value has type {kind}, expected {expected}")
--- a/libs/rpc/src/masticdale_rpc/server.py
+++ b/libs/rpc/src/masticdale_rpc/server.py
@@ -1,4 +1,4 @@
-"""Serves a contract to other hosts."""
+"""RPC server for a contract."""
 
 import asyncio
 import errno
@@ -13,21 +13,21 @@
 from masticdale_rpc.settings import (
     Address,
     TlsSettings,
-    invalid,
+    raise_invalid_settings,
 )
 
 
 class RpcServer:
-    """A listening socket and the connections peers have opened to it."""
+    """Listens for peers and serves the calls on their connections."""
 
     def __init__(
         self, handler: Any, address: Address, contract: Contract
     ) -> None:
-        """Prepares to serve.
+        """Initializes the server; ``listen`` opens the socket.
 
         Args:
-            handler: Has one method for each call of the contract.
-            address: Where to listen.
+            handler: Object with one method for each RPC of the contract.
+            address: Address to listen on.
             contract: The service.
         """
         self._contract = contract
@@ -36,19 +36,26 @@
         self._server: asyncio.Server | None = None
         self._writer_by_task: dict[asyncio.Task[Any], asyncio.StreamWriter] = {}
         self._calls_in_flight = 0
-        self._drained = asyncio.Event()
-        self._drained.set()
+        self._idle = asyncio.Event()
+        self._idle.set()
         self._calls_served = 0
         self._calls_failed = 0
 
     async def listen(self, tls: TlsSettings | None) -> None:
-        """Opens the socket; see ``serve``."""
+        """Starts listening.
+
+        Args:
+            tls: Certificates; None for plaintext.
+
+        Raises:
+            MasticdaleError: INVALID_SETTINGS if the address cannot be bound
+                or a certificate file cannot be loaded.
+        """
         context = tls_contexts.server_context(tls) if tls else None
         try:
-            # thriftpy2's own server socket sets SO_REUSEPORT: a second daemon
-            # on the port starts without an error and gets part of the first
-            # one's connections. asyncio's sets it only on request, and the
-            # kernel refuses to share a port unless both sockets have set it.
+            # Not thriftpy2's server socket: it sets SO_REUSEPORT, so a second
+            # daemon on the port would start without an error and receive part
+            # of the first one's connections.
             self._server = await asyncio.start_server(
                 self._serve_connection,
                 str(self._address.ip),
@@ -56,19 +63,19 @@
                 ssl=context,
             )
         except OSError as error:
-            self._refuse(error)
+            self._raise_bind_error(error)
 
     async def close(self, grace_s: float) -> None:
-        """Stops listening, lets calls in flight finish, then closes.
+        """Stops listening, drains calls in flight, then closes connections.
 
         Args:
-            grace_s: How long calls in flight may still take.
+            grace_s: Seconds to wait for calls in flight.
         """
         if self._server is not None:
             self._server.close()
         try:
             async with asyncio.timeout(grace_s):
-                await self._drained.wait()
+                await self._idle.wait()
         except TimeoutError:
             logs.write("peer_calls_cut_off", count=self._calls_in_flight)
         tasks = list(self._writer_by_task)
@@ -86,15 +93,15 @@
             "calls_failed": self._calls_failed,
         }
 
-    def _refuse(self, error: OSError) -> None:
+    def _raise_bind_error(self, error: OSError) -> None:
         if error.errno == errno.EADDRINUSE:
-            invalid(
-                f"{self._address}: another process listens there. Hint: stop"
-                " it, or give this host another port."
+            raise_invalid_settings(
+                f"{self._address}: address already in use. Hint: stop the"
+                " other process, or set another port for this host."
             )
-        invalid(
-            f"{self._address}: {error.strerror}. Hint: give an address of"
-            " this machine."
+        raise_invalid_settings(
+            f"{self._address}: {error.strerror}. Hint: set an address of this"
+            " host."
         )
 
     async def _serve_connection(
@@ -108,10 +115,10 @@
                 frame = await frames.read_frame(reader)
                 await self._serve_call(frames.Message(frame), writer)
         except (asyncio.IncompleteReadError, OSError, asyncio.CancelledError):
-            pass  # The peer closed, or this server does.
+            pass  # The peer closed the connection, or this server is closing.
         except Exception as error:
-            # Bytes that are no thrift message: nothing after them on this
-            # connection can be trusted, so it is closed.
+            # After a malformed message the start of the next one is unknown,
+            # so the connection is closed.
             logs.write("peer_connection_failed", error=repr(error))
         finally:
             del self._writer_by_task[task]
@@ -120,43 +127,43 @@
     async def _serve_call(
         self, message: frames.Message, writer: asyncio.StreamWriter
     ) -> None:
-        # A stopping server waits for the calls in flight and then drops the
-        # connections with all that they have not sent: so a call is in
-        # flight until its answer has gone out.
+        # A call counts as in flight until its reply has been written: when
+        # none is left, ``close`` aborts the connections and discards what
+        # they have not sent.
         self._calls_in_flight += 1
-        self._drained.clear()
+        self._idle.clear()
         try:
-            writer.write(await self._answer(message))
+            writer.write(await self._reply_to(message))
             await writer.drain()
         finally:
             self._calls_in_flight -= 1
             if not self._calls_in_flight:
-                self._drained.set()
+                self._idle.set()
 
-    async def _answer(self, message: frames.Message) -> bytes:
+    async def _reply_to(self, message: frames.Message) -> bytes:
         rpc = self._contract.rpc_by_name.get(message.name)
         if rpc is None:
-            return _exception(
+            return _exception_frame(
                 message, TApplicationException.UNKNOWN_METHOD, "unknown call"
             )
         arguments = getattr(self._contract.service, f"{rpc.name}_args")()
         message.read(arguments)
         try:
-            answer = await self._run(rpc, message, arguments)
+            reply_frame = await self._call_handler(rpc, message, arguments)
         except Exception as error:
-            # Closing the connection here would leave the caller unable to
-            # tell a fault in a handler from a dead host.
+            # Closing the connection instead would make an error in a handler
+            # look like a dead host to the caller.
             self._calls_failed += 1
             logs.write("peer_call_failed", call=rpc.name, error=repr(error))
-            return _exception(
+            return _exception_frame(
                 message,
                 TApplicationException.INTERNAL_ERROR,
                 f"{rpc.name} failed",
             )
         self._calls_served += 1
-        return answer
+        return reply_frame
 
-    async def _run(
+    async def _call_handler(
         self, rpc: Rpc[Any, Any], message: frames.Message, arguments: Any
     ) -> bytes:
         (struct,) = (
@@ -172,7 +179,7 @@
         )
 
 
-def _exception(message: frames.Message, kind: int, detail: str) -> bytes:
+def _exception_frame(message: frames.Message, kind: int, detail: str) -> bytes:
     return frames.encode(
         message.name,
         TMessageType.EXCEPTION,
--- a/libs/rpc/src/masticdale_rpc/settings.py
+++ b/libs/rpc/src/masticdale_rpc/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the traffic between hosts."""
+"""Settings for connections between hosts."""
 
 import ipaddress
 import pathlib
@@ -12,11 +12,11 @@
 
 
 class Address(StrictModel):
-    """Where a host listens for its peers.
+    """The address on which a host listens for its peers.
 
     Attributes:
-        ip: An IP number.
-        port: A TCP port.
+        ip: IPv4 or IPv6 address.
+        port: TCP port.
     """
 
     ip: pydantic.IPvAnyAddress
@@ -24,7 +24,7 @@
 
     @property
     def is_loopback(self) -> bool:
-        """True where only this machine can reach it."""
+        """Whether only this machine can reach the address."""
         return ipaddress.ip_address(str(self.ip)).is_loopback
 
     def __str__(self) -> str:
@@ -32,12 +32,12 @@
 
 
 class PeerSettings(StrictModel):
-    """One host of the system.
+    """A host of the cluster.
 
     Attributes:
-        name: Its name; with TLS, the name its certificate is issued for.
-        address: Where it listens for its peers.
-        domain: Its failure domain.
+        name: Host name; with TLS, the name in its certificate.
+        address: Address on which it listens for its peers.
+        domain: Failure domain of the host.
     """
 
     name: str = pydantic.Field(min_length=1)
@@ -46,12 +46,12 @@
 
 
 class TlsSettings(StrictModel):
-    """PEM files for TLS with client certificates between hosts.
+    """PEM files for mutual TLS between hosts.
 
     Attributes:
         certificate: This host's certificate, issued for its name.
-        key: The certificate's private key.
-        authorities: Certificates that sign the peers' certificates.
+        key: Private key of the certificate.
+        authorities: CA certificates that peers' certificates must chain to.
     """
 
     certificate: pathlib.Path
@@ -59,11 +59,11 @@
     authorities: pathlib.Path
 
 
-def invalid(detail: str) -> NoReturn:
+def raise_invalid_settings(detail: str) -> NoReturn:
     """Raises INVALID_SETTINGS.
 
     Args:
-        detail: What is wrong and a hint how to mend it.
+        detail: The error and a hint for fixing it.
 
     Raises:
         MasticdaleError: Always.
@@ -72,14 +72,14 @@
 
 
 def require_loopback(address: Address) -> None:
-    """Refuses plaintext on an address that other machines can reach.
+    """Rejects plaintext on an address that other machines can reach.
 
     Raises:
-        MasticdaleError: INVALID_SETTINGS, where it is not a loopback address.
+        MasticdaleError: INVALID_SETTINGS if the address is not loopback.
     """
     if address.is_loopback:
         return
-    invalid(
+    raise_invalid_settings(
         f"{address}: plaintext between hosts is allowed on loopback addresses"
         " only. Hint: set tls with certificate, key and authorities."
     )
--- a/libs/rpc/src/masticdale_rpc/structs.py
+++ b/libs/rpc/src/masticdale_rpc/structs.py
@@ -1,8 +1,8 @@
-"""Thrift structs made from data classes, without parsing an IDL.
+"""Thrift structs built from data classes, without parsing an IDL.
 
-Parsing takes some 0.14 s of a small host's processor time at every start, and
-a host that was killed serves nobody until it has started. The IDL stays the
-contract's document; a test compares what is made here with what it declares.
+Parsing the IDL would delay every start, and a killed host serves nobody until
+it has restarted. The IDL remains the reference; a test compares it with the
+structs built here.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 from thriftpy2.thrift import TPayload, TType, gen_init
 
 from masticdale_common import Failure
-from masticdale_rpc.contracts import Loaded, Rpc
+from masticdale_rpc.contracts import Rpc, ServiceDefinition
 
 _TYPE_BY_HINT = {
     str: TType.STRING,
@@ -24,17 +24,17 @@
 
 
 def build_structs(
-    rpcs: tuple[Rpc[Any, Any], ...], inner_types: tuple[type[Any], ...]
-) -> Loaded:
-    """Returns the structs of a service whose numbers are all 64 bits wide.
+    rpcs: tuple[Rpc[Any, Any], ...], nested_types: tuple[type[Any], ...]
+) -> ServiceDefinition:
+    """Builds the structs of a service whose integers are all 64 bits wide.
 
     Args:
-        rpcs: The calls.
-        inner_types: Messages that stand inside others, in an order in which
-            each comes after those that it holds.
+        rpcs: The RPCs.
+        nested_types: Messages that occur as fields of others, each after the
+            messages that it contains.
     """
-    builder = _Builder()
-    for message_type in inner_types:
+    builder = _StructBuilder()
+    for message_type in nested_types:
         builder.add(message_type)
     service = types.SimpleNamespace()
     for rpc in rpcs:
@@ -44,10 +44,10 @@
         result = {0: (TType.STRUCT, "success", reply, False)}
         setattr(service, f"{rpc.name}_args", _struct("args", arguments))
         setattr(service, f"{rpc.name}_result", _struct("result", result))
-    return Loaded(builder.structs, service)
+    return ServiceDefinition(builder.structs, service)
 
 
-class _Builder:
+class _StructBuilder:
     def __init__(self) -> None:
         self.structs = types.SimpleNamespace()
         failure = {
@@ -59,7 +59,7 @@
         self.structs.WireFailure = _struct("WireFailure", failure)
 
     def add(self, message_type: type[Any]) -> Any:
-        """Returns the struct of a message; makes it once."""
+        """Returns the struct of a message, built on first use."""
         name = message_type.__name__
         if not hasattr(self.structs, name):
             hints = typing.get_type_hints(message_type)
