--- a/libs/peers/src/masticdale_peers/gossip.py
+++ b/libs/peers/src/masticdale_peers/gossip.py
@@ -1,4 +1,4 @@
-"""News of other hosts, passed on to each neighbour once."""
+"""Gossip about other hosts, sent once to each neighbour."""
 
 import dataclasses
 import itertools
@@ -12,7 +12,7 @@
 
 
 def update_from_heartbeat(heartbeat: Heartbeat) -> PeerNews:
-    """Returns what a host says about itself as news for others."""
+    """Converts a host's heartbeat to a gossip update about that host."""
     return PeerNews(
         host=heartbeat.host,
         incarnation=heartbeat.incarnation,
@@ -24,7 +24,7 @@
 
 
 def heartbeat_from_update(update: PeerNews) -> Heartbeat:
-    """Returns the heartbeat that a host not called directly would send."""
+    """Converts a gossip update about a host to that host's heartbeat."""
     return Heartbeat(
         host=update.host,
         domain=update.domain,
@@ -36,14 +36,14 @@
 
 
 def version_key(message: PeerNews | Heartbeat) -> tuple[str, int]:
-    """Returns a key that sorts what a host said by when it said it."""
+    """Returns a key that sorts a host's messages from old to new."""
     return (message.incarnation, message.version)
 
 
 def merge(known: PeerNews | None, update: PeerNews) -> PeerNews:
-    """Returns what is known of a host after one more piece of news.
+    """Merges an update about a host into the known one.
 
-    An accusation holds only for the version it was made of: the accused host
+    A suspicion holds only for the version that it names: the suspected host
     refutes it by raising its version.
     """
     if known is None or version_key(update) > version_key(known):
@@ -56,7 +56,7 @@
 
 
 def with_accusers(known: PeerNews, accusers: list[str]) -> PeerNews:
-    """Returns the news with its accusers replaced."""
+    """Returns a copy of the update with other accusers."""
     return dataclasses.replace(
         known, accusers=tuple(accusers), suspect=bool(accusers)
     )
@@ -64,15 +64,17 @@
 
 @dataclasses.dataclass(slots=True)
 class _SendQueue:
-    """What a neighbour has still to hear, oldest first.
+    """Hosts whose updates a neighbour has not received, oldest first.
 
     Attributes:
-        incarnation: The neighbour's process; a new one knows nothing.
-        urgent: Hosts that came, went, were accused or cleared.
-        routine: Hosts that only changed their revision, and those that a new
-            neighbour has not heard of.
-        repeated: The place in the repetition of old news.
-        quiet_messages: Messages without news.
+        incarnation: Incarnation of the neighbour; a restarted neighbour needs
+            all updates again.
+        urgent: Hosts that joined, restarted, are leaving, or whose accusers
+            changed.
+        routine: Hosts that only changed their revision, and all hosts for a
+            new neighbour.
+        resend_index: Index of the host last resent.
+        empty_messages: Number of messages for which nothing was queued.
     """
 
     incarnation: str
@@ -82,7 +84,7 @@
     empty_messages: int = 0
 
     def add(self, host: str, *, urgent: bool) -> None:
-        """Queues a host's news."""
+        """Queues the update about a host."""
         if urgent:
             self.routine.pop(host, None)
             self.urgent.setdefault(host)
@@ -90,13 +92,13 @@
             self.routine.setdefault(host)
 
     def remove(self, host: str) -> None:
-        """Forgets a host's news: the neighbour has heard it."""
+        """Removes a host from the queue."""
         self.urgent.pop(host, None)
         self.routine.pop(host, None)
 
 
 class GossipState:
-    """The latest news of each host and who has still to hear it."""
+    """The latest update about each host and a send queue per neighbour."""
 
     def __init__(self, updates_per_message: int, seed: str = "") -> None:
         self._updates_per_message = updates_per_message
@@ -105,11 +107,11 @@
         self._queue_by_neighbour: dict[str, _SendQueue] = {}
 
     def get(self, host: str) -> PeerNews | None:
-        """Returns the latest news of a host."""
+        """Returns the latest update about a host."""
         return self._update_by_host.get(host)
 
     def add_neighbour(self, neighbour: str, incarnation: str) -> None:
-        """Starts to queue news for a neighbour; all, for a new process."""
+        """Starts queueing for a neighbour; a new process gets all updates."""
         queue = self._queue_by_neighbour.get(neighbour)
         if queue is not None and queue.incarnation >= incarnation:
             return
@@ -119,29 +121,29 @@
         self._queue_by_neighbour[neighbour] = queue
 
     def remove_neighbour(self, neighbour: str) -> None:
-        """Drops the news queued for a host that is no neighbour any more."""
+        """Drops the send queue of a former neighbour."""
         self._queue_by_neighbour.pop(neighbour, None)
 
     def remove_host(self, host: str) -> None:
-        """Drops a host that is no peer any more."""
+        """Drops everything about a former peer."""
         self._update_by_host.pop(host, None)
         self.remove_neighbour(host)
         for queue in self._queue_by_neighbour.values():
             queue.remove(host)
 
     def neighbours(self) -> tuple[str, ...]:
-        """Returns the neighbours that news is queued for."""
+        """Returns the hosts that have a send queue."""
         return tuple(self._queue_by_neighbour)
 
     def merge(self, update: PeerNews, source: str = "") -> bool:
-        """Takes one piece of news and queues it for the other neighbours.
+        """Merges an update and queues the result for the other neighbours.
 
         Args:
-            update: The news.
-            source: The neighbour it came from; empty for this host's own.
+            update: The update.
+            source: Neighbour that sent it; empty for this host's own.
 
         Returns:
-            True where it said something new.
+            Whether the update changed what is known about the host.
         """
         known = self._update_by_host.get(update.host)
         merged = merge(known, update)
@@ -154,17 +156,17 @@
         if merged == update:
             queue.remove(update.host)
         else:
-            queue.add(update.host, urgent=True)  # It told what is out of date.
+            queue.add(update.host, urgent=True)  # The source is out of date.
         return merged != known
 
     def dequeue(self, neighbour: str) -> tuple[PeerNews, ...]:
-        """Returns the next news for a neighbour, no longer queued."""
+        """Removes and returns the next updates for a neighbour."""
         queue = self._queue_by_neighbour.get(neighbour)
         if queue is None:
             return ()
         about_neighbour = self._update_by_host.get(neighbour)
         if about_neighbour is not None and about_neighbour.accusers:
-            # Only the accused host itself can refute the accusation.
+            # Only the suspected host itself can refute the suspicion.
             queue.add(neighbour, urgent=True)
         chosen = self._select_queued(queue) or self._select_resend(queue)
         for host in chosen:
@@ -172,7 +174,7 @@
         return tuple(self._update_by_host[host] for host in chosen)
 
     def requeue(self, neighbour: str, updates: tuple[PeerNews, ...]) -> None:
-        """Queues news again that may not have reached the neighbour."""
+        """Queues updates again that the neighbour may not have received."""
         queue = self._queue_by_neighbour.get(neighbour)
         if queue is None:
             return
@@ -188,14 +190,14 @@
     def _select_queued(self, queue: _SendQueue) -> list[str]:
         chosen = list(itertools.islice(queue.urgent, self._updates_per_message))
         count = min(self._updates_per_message - len(chosen), len(queue.routine))
-        # At random: in the same order, all neighbours of a host would tell it
-        # the same news at the same time, and most of them for nothing.
+        # Random order: otherwise all neighbours of a host would send it the
+        # same updates at the same time, and all but one would be redundant.
         return chosen + self._random.sample(list(queue.routine), count)
 
     def _select_resend(self, queue: _SendQueue) -> list[str]:
-        # A reply may be lost after its news were taken off the queue, and the
-        # neighbour would keep a stale view for good. One old item in each
-        # few quiet messages mends that in time.
+        # A reply can be lost after its updates left the queue, which would
+        # leave the neighbour's view stale. Resending one update every few
+        # empty messages repairs it eventually.
         queue.empty_messages += 1
         hosts = list(self._update_by_host)
         if not hosts or queue.empty_messages % _EMPTY_MESSAGES_PER_RESEND:
--- a/libs/peers/src/masticdale_peers/neighbours.py
+++ b/libs/peers/src/masticdale_peers/neighbours.py
@@ -1,4 +1,4 @@
-"""Which peers a host heartbeats where there are too many to call them all."""
+"""Selection of the peers that a host sends heartbeats to."""
 
 import dataclasses
 import itertools
@@ -13,11 +13,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerOrder:
-    """All peers in the two orders that neighbours are taken from.
+    """All peers in the two orders from which neighbours are chosen.
 
     Attributes:
-        ring: From the host's place on the hash ring of names onwards.
-        far: By rendezvous weight, each host's own order.
+        ring: Clockwise on the hash ring, starting after the host itself.
+        by_weight: By rendezvous weight, a different order on each host.
     """
 
     ring: tuple[str, ...]
@@ -25,7 +25,7 @@
 
 
 def order_peers(name: str, peer_names: Iterable[str]) -> PeerOrder:
-    """Returns the orders in which a host looks for its neighbours."""
+    """Returns the orders from which a host chooses its neighbours."""
     peers = set(peer_names) - {name}
     ring = sorted({*peers, name}, key=lambda host: (hashing.digest(host), host))
     index = ring.index(name)
@@ -40,8 +40,8 @@
 
     Args:
         order: The host's peers.
-        is_live: Whether a peer is live as far as is known.
-        fan_out: How many live peers to heartbeat.
+        is_live: Returns whether a peer is known to be live.
+        fan_out: Number of live peers to choose.
     """
     if len(order.ring) <= fan_out:
         return order.ring
@@ -56,10 +56,11 @@
 def _nearest_successors(
     ring: tuple[str, ...], is_live: IsLive, count: int
 ) -> tuple[str, ...]:
-    # The dead hosts passed on the way stay neighbours: with static places, a
-    # failure domain that goes down could take all who watch a host, and two
-    # halves of a healed partition would never call each other again. So each
-    # host, live or dead, is watched by its nearest live predecessors.
+    # Returns the nearest `count` live successors and all dead hosts between
+    # them, so that every host, live or dead, is monitored by its nearest live
+    # predecessors. With a fixed assignment, a failed domain could take all
+    # monitors of a host with it. Without the dead hosts, the two sides of a
+    # healed partition would never call each other again.
     chosen = []
     for host in ring:
         if not count:
--- a/libs/peers/src/masticdale_peers/records.py
+++ b/libs/peers/src/masticdale_peers/records.py
@@ -1,4 +1,4 @@
-"""What one host knows of one peer."""
+"""A host's local state for each peer."""
 
 import dataclasses
 import math
@@ -11,21 +11,22 @@
 
 @dataclasses.dataclass(slots=True)
 class PeerRecord:
-    """What is known of one peer.
+    """Local state of one peer; times are in seconds of the monotonic clock.
 
     Attributes:
-        is_neighbour: This host heartbeats it, and believes only its answers.
-        answered_at: When it last answered this host's heartbeat.
-        called_at: When its own heartbeat last reached this host.
-        beat: What it last said about itself.
-        heard_at: When news of it last came.
-        condemned_at: When an accusation against it takes effect, as far as it
-            is known by news; None where nobody accuses it.
-        accused_at: When this host last accused it.
-        listed: It has been on the platform's list.
-        listed_leaving: The list says that it leaves.
-        removed: It was on the list and no longer is.
-        failures: Heartbeats without an answer since the last one with.
+        is_neighbour: Whether this host sends it heartbeats. If so, only its
+            replies decide whether it is live; otherwise gossip does.
+        answered_at: Time of its last reply to this host's heartbeat.
+        heartbeat_received_at: Time of the last heartbeat it sent to this host.
+        heartbeat: Its latest known heartbeat, without gossip.
+        last_update_at: Time of the last gossip update about it.
+        suspicion_expires_at: Time at which it counts as dead unless it
+            refutes the suspicion; None if it is not suspected.
+        suspected_at: Time at which this host last reported it as suspect.
+        listed: Whether it has ever been on the platform's host list.
+        listed_leaving: Whether the list marks it as leaving.
+        removed: Whether it has been on the list and no longer is.
+        consecutive_failures: Failed heartbeats since the last reply.
     """
 
     is_neighbour: bool = True
@@ -41,7 +42,7 @@
     consecutive_failures: int = 0
 
     def is_live(self, now: float, limits: MembershipLimits) -> bool:
-        """Returns whether the peer is a member."""
+        """Returns whether this host counts the peer as a member."""
         if self.removed:
             return False
         if self.is_neighbour:
@@ -49,7 +50,7 @@
         return self.is_reported_live(now)
 
     def live_until(self, limits: MembershipLimits) -> float:
-        """Returns when the live peer stops to be one, if nothing is heard."""
+        """Returns when a live peer expires unless it is heard from."""
         if self.is_neighbour:
             return (self.answered_at or 0.0) + limits.lease_s
         return (
@@ -59,13 +60,13 @@
         )
 
     def has_valid_lease(self, now: float, limits: MembershipLimits) -> bool:
-        """Returns whether it answered this host within its lease."""
+        """Returns whether it answered this host within the lease time."""
         if self.answered_at is None:
             return False
         return now - self.answered_at <= limits.lease_s
 
     def is_reported_live(self, now: float) -> bool:
-        """Returns whether it is live by the news of other hosts."""
+        """Returns whether it is live according to gossip."""
         if self.last_update_at is None:
             return False
         return (
@@ -75,7 +76,7 @@
     def apply_update(
         self, update: PeerNews, now: float, limits: MembershipLimits
     ) -> None:
-        """Takes the latest news of the peer."""
+        """Applies a gossip update about the peer."""
         was_live = self.is_reported_live(now)
         self.last_update_at = now
         if self.heartbeat is None or version_key(update) > version_key(
@@ -85,11 +86,10 @@
         if not update.accusers:
             self.suspicion_expires_at = None
             return
-        # One neighbour may have lost its own way to the peer, and the peer
-        # may be one that was only slow. So it stays a member for as long as
-        # its refutation takes to cross the hosts. A host that was not known
-        # to be live gets no such time: a host just started would otherwise
-        # take all the dead for live at first.
+        # The peer may only be slow, or the link between it and the accuser
+        # may be down. It stays a member until its refutation has had time to
+        # spread. A peer not known to be live gets no such time: otherwise a
+        # host that has just started would count all dead hosts as live.
         is_confirmed = len(update.accusers) > 1
         suspicion_timeout_s = (
             limits.refute_s if is_confirmed else limits.suspect_s
@@ -100,34 +100,34 @@
         self.suspicion_expires_at = expires_at
 
     def become_neighbour(self, now: float) -> None:
-        """Starts to go by the peer's own answers."""
+        """Starts to rely on the peer's replies to heartbeats."""
         if not self.is_neighbour and self.is_reported_live(now):
-            # It has had no time to answer yet: without a lease it would be
-            # gone from the view until it does.
+            # Start with a full lease. Otherwise the live peer would drop out
+            # of the view until its first reply.
             self.answered_at = now
         self.is_neighbour = True
 
     def become_non_neighbour(
         self, now: float, limits: MembershipLimits
     ) -> None:
-        """Starts to go by the news of the peer."""
+        """Starts to rely on gossip about the peer."""
         if self.is_neighbour and self.last_update_at is None:
-            # With a ninth peer the calls to all turn into calls to a few:
-            # those that answered until now stay, though no news has come.
+            # Gossip starts when the peers outnumber the fan-out. A peer with
+            # a valid lease stays live although no update has arrived yet.
             self.last_update_at = (
                 now if self.has_valid_lease(now, limits) else None
             )
         self.is_neighbour = False
 
     def extend_deadlines(self, seconds: float) -> None:
-        """Moves every time limit on by a pause of this process."""
+        """Extends all deadlines by the duration of a process pause."""
         if self.answered_at is not None:
             self.answered_at += seconds
         if self.suspicion_expires_at is not None:
             self.suspicion_expires_at += seconds
 
     def to_member(self, now: float) -> Member:
-        """Returns the live peer as others see it."""
+        """Returns the membership entry of the live peer."""
         assert self.heartbeat is not None
         leaving = self.heartbeat.leaving or self.listed_leaving
         return Member(
@@ -137,7 +137,7 @@
         )
 
     def state(self, now: float) -> JsonValue:
-        """Returns what the state dump shows."""
+        """Returns the peer's part of the state dump."""
         heartbeat = self.heartbeat
         return {
             "neighbour": self.is_neighbour,
--- a/libs/peers/src/masticdale_peers/views.py
+++ b/libs/peers/src/masticdale_peers/views.py
@@ -1,4 +1,4 @@
-"""What membership tells the rest of the process."""
+"""Types of the membership interface."""
 
 import dataclasses
 from collections.abc import Awaitable, Callable
@@ -9,18 +9,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembershipLimits:
-    """Timing of the heartbeats.
+    """Limits of failure detection and gossip; times are in seconds.
 
     Attributes:
-        period_s: Between two heartbeats to one peer.
-        timeout_s: For one heartbeat; then its connection is replaced.
-        lease_s: A peer that did not answer for this long is no member.
-        fan_out: With more peers, only so many live ones are called and the
-            others are known by news.
-        news_per_beat: Most news in one heartbeat or reply.
-        refute_s: How long a host that two neighbours accuse has to refute it.
-        suspect_s: The same for a host that only one neighbour accuses.
-        accuse_again_s: Before a host is accused again of the same silence.
+        period_s: Interval between heartbeats to the same peer.
+        timeout_s: Timeout of a heartbeat; its connection is then replaced.
+        lease_s: Time without a reply after which a neighbour is not a member.
+        fan_out: Number of live peers to heartbeat. With more peers than this,
+            the state of the others is learned by gossip.
+        news_per_beat: Maximum number of updates in a heartbeat or reply.
+        refute_s: Suspicion timeout of a host that two neighbours suspect.
+        suspect_s: Suspicion timeout of a host that one neighbour suspects.
+        accuse_again_s: Minimum interval between two suspicions of the same
+            host by this host.
     """
 
     period_s: float = 0.5
@@ -35,13 +36,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """A live host, itself included.
+    """A live host.
 
     Attributes:
-        heartbeat: What it last said about itself.
-        age_s: Seconds since it said so, or since the news of it came.
-        leaving: It said so itself, or the platform's list does.
-        is_self: True for this host.
+        heartbeat: Its latest known heartbeat.
+        age_s: Seconds since its last reply, or since the last gossip update
+            about it.
+        leaving: Whether the host itself or the platform's list says that it
+            is leaving.
+        is_self: Whether it is this host.
     """
 
     heartbeat: Heartbeat
@@ -57,11 +60,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """What subscribers are told.
+    """A change of membership.
 
     Attributes:
-        members: The members now.
-        restarted: Names of peers whose process is a new one.
+        members: The members after the change.
+        restarted: Names of peers that have restarted.
     """
 
     members: tuple[Member, ...]
@@ -73,7 +76,7 @@
 
 
 class ListedPeer(Protocol):
-    """A host on the platform's list; the platform client's type fits."""
+    """A host on the platform's list."""
 
     @property
     def name(self) -> str:
@@ -82,5 +85,5 @@
 
     @property
     def leaving(self) -> bool:
-        """True once the platform has begun to take it away."""
+        """Whether the platform has started to remove the host."""
         ...
