--- a/libs/peers/src/masticdale_peers/membership.py
+++ b/libs/peers/src/masticdale_peers/membership.py
@@ -1,11 +1,11 @@
-"""Which hosts are live, by heartbeats over the peer connections.
+"""Membership and failure detection by heartbeats and gossip.
 
-With few peers each host calls them all and believes only their answers. With
-more it calls a constant number of neighbours; what it learns from them it
-passes on as news, and it believes news of those it does not call.
+Up to a configured number of peers, each host sends heartbeats to all of them
+and relies on their replies alone. With more peers it sends heartbeats to a
+fixed number of live neighbours and learns about all others by gossip.
 
-Membership is soft: two hosts may see different members for a while, so
-nothing that has to be safe rests on it.
+Membership is eventually consistent: hosts may see different members for a
+while. Do not rely on it for safety.
 """
 
 import asyncio
@@ -59,14 +59,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _ViewEntry:
-    """A live host in the view that decides who owns what."""
+    """A live host in the view from which owners are chosen."""
 
     name: str
     leaving: bool
 
 
 class Membership:
-    """The live hosts as this one sees them; made by ``join``."""
+    """The live hosts as seen by this host; created by ``join``."""
 
     def __init__(
         self,
@@ -106,13 +106,13 @@
         self.set_peers(peer_names)
 
     def start(self) -> None:
-        """Starts one task for each neighbour and the tick."""
+        """Starts the heartbeat tasks and the periodic tick."""
         self._reconcile_tasks()
         period_s = self._limits.period_s / _TICKS_PER_PERIOD
         self._timers.subscribe(Subscription(_TICK_TIMER, period_s, self._tick))
 
     async def close(self) -> None:
-        """Stops the tasks."""
+        """Stops the tick and the heartbeat tasks."""
         self._timers.unsubscribe(_TICK_TIMER)
         tasks = list(self._task_by_host.values())
         self._task_by_host.clear()
@@ -121,7 +121,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def members(self) -> tuple[Member, ...]:
-        """Returns the live hosts by name, this one included."""
+        """Returns the live hosts, including this one, sorted by name."""
         self._detect_pause()
         now = self._clock()
         own_heartbeat = self._own_heartbeat()
@@ -132,17 +132,19 @@
         return tuple(sorted(members, key=lambda member: member.name))
 
     def live_names(self) -> tuple[str, ...]:
-        """Returns the names of the live hosts, this one included."""
-        return tuple(place.name for place in self._view())
+        """Returns the names of the live hosts, including this one."""
+        return tuple(entry.name for entry in self._view())
 
     def owner_names(self) -> tuple[str, ...]:
-        """Returns the hosts that may take new work: live, not leaving."""
-        candidates = tuple(p.name for p in self._view() if not p.leaving)
-        # With nobody else left, the last host goes on until it exits.
+        """Returns the hosts eligible for new work: live and not leaving."""
+        candidates = tuple(
+            entry.name for entry in self._view() if not entry.leaving
+        )
+        # If all hosts are leaving, this one stays eligible until it exits.
         return candidates or (self._name,)
 
     def owner_of(self, key: str) -> str:
-        """Returns the host that a key belongs to, as seen from here."""
+        """Returns the host that owns a key in this host's view."""
         view = self._view()
         if (
             view is not self._owner_cache_view
@@ -157,31 +159,32 @@
         return owner
 
     def neighbour_names(self) -> tuple[str, ...]:
-        """Returns the peers that this host heartbeats."""
+        """Returns the peers that this host sends heartbeats to."""
         return self._neighbours
 
     def subscribe(self, callback: ChangeCallback) -> None:
-        """Calls back when members come, go, restart or start to leave.
+        """Registers a callback for changes of membership.
 
         Args:
-            callback: Called in the event loop; it must not block.
+            callback: Called when a member joins, fails, restarts or starts
+                to leave. It runs in the event loop and must not block.
         """
         self._change_callbacks.append(callback)
 
     def subscribe_pause(self, callback: PauseCallback) -> None:
-        """Calls back with the seconds this process stood still.
+        """Registers a callback for pauses of this process.
 
         Args:
-            callback: Called once for each pause longer than the lease.
-                Others may have taken this host's shards over meanwhile.
+            callback: Called with the seconds of each pause longer than the
+                lease. Other hosts may have taken over this host's shards.
         """
         self._pause_callbacks.append(callback)
 
     def set_peers(self, peer_names: Iterable[str]) -> None:
-        """Takes the hosts of changed settings; those named before stay.
+        """Replaces the set of peers; keeps the state of those that remain.
 
         Args:
-            peer_names: Every other host in the settings now.
+            peer_names: Every other host in the current settings.
         """
         names = sorted(set(peer_names) - {self._name})
         for host in self._record_by_host.keys() - set(names):
@@ -197,14 +200,14 @@
         self._notify_changes()
 
     def set_listed(self, listed: Iterable[ListedPeer]) -> None:
-        """Takes the platform's list of hosts.
+        """Applies the platform's list of hosts.
 
-        The list lags, so it is believed only where it takes a host away: one
-        marked as leaving, and one that stood on the list and no longer does.
-        A host it has never shown is new to it, not gone.
+        The list is updated late, so it can only take hosts away: those marked
+        as leaving, and those that were on the list and no longer are. A host
+        that has never been listed is not considered removed.
 
         Args:
-            listed: The whole list.
+            listed: The complete list.
         """
         leaving_by_host = {peer.name: peer.leaving for peer in listed}
         for host, record in self._record_by_host.items():
@@ -216,12 +219,12 @@
         self._notify_changes()
 
     def receive_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatReply:
-        """Takes a peer's heartbeat; the handler's answer to it.
+        """Processes a peer's heartbeat and returns the reply.
 
-        A peer that reaches this host does not become a member by that: calls
-        to it may still fail, and a program sent there would wait for ever.
-        Only an answer to this host's own heartbeat, or to a neighbour's,
-        shows that.
+        A received heartbeat does not make the peer a member: calls in the
+        other direction may still fail, and a program sent there would wait
+        forever. Only a reply to this host's own heartbeat, or to that of a
+        neighbour, shows that the peer is reachable.
         """
         record = self._record_by_host.get(heartbeat.host)
         if record is None:
@@ -234,25 +237,25 @@
         return HeartbeatReply(self._next_heartbeat(heartbeat.host))
 
     async def send_heartbeat(self, host: str) -> None:
-        """Sends one heartbeat to a peer and takes its answer."""
+        """Sends one heartbeat to a peer and processes the reply."""
         record = self._record_by_host.get(host)
         if record is None:
-            return  # New settings have just dropped it.
+            return  # The settings no longer name the peer.
         sent = self._next_heartbeat(host)
         started_at = self._clock()
         result = await self._peers.client(host).heartbeat(
             sent, self._limits.timeout_s
         )
         if self._record_by_host.get(host) is not record:
-            return  # New settings dropped it during the call.
+            return  # The peer was removed from the settings during the call.
         if not isinstance(result, Success):
             self._gossip.requeue(host, sent.news)
             self._record_failure(record, host)
             return
         heartbeat = result.unwrap().beat
         if heartbeat.host != host:
-            # The address now belongs to another host: its answer must not
-            # keep this one alive.
+            # The address now belongs to another host, whose reply must not
+            # renew this peer's lease.
             self._gossip.requeue(host, sent.news)
             self._record_failure(record, host)
             logs.write(
@@ -273,7 +276,7 @@
         self._notify_changes()
 
     async def tick(self) -> None:
-        """Notices expired leases and pauses of this process."""
+        """Handles expired leases and pauses of this process."""
         self._suspect_unresponsive()
         self._choose_neighbours()
         self._notify_changes()
@@ -286,7 +289,7 @@
             await callback(paused_s)
 
     def state(self) -> JsonValue:
-        """Returns what the state dump shows."""
+        """Returns the membership part of the state dump."""
         now = self._clock()
         return {
             "members": list(self.live_names()),
@@ -312,8 +315,8 @@
                 )
 
     async def _send_heartbeats(self, host: str) -> None:
-        # Starting before its first news, a host calls each peer it knows of:
-        # spread out, so that they are not all called in the same instant.
+        # A random initial delay spreads the first heartbeats of a host that
+        # has just started, which go to every peer in its settings.
         await asyncio.sleep(
             self._random.random() * self._heartbeat_interval_s(host, 0.0)
         )
@@ -327,9 +330,9 @@
             await asyncio.sleep(interval_s * (1 + jitter))
 
     def _heartbeat_interval_s(self, host: str, base_interval_s: float) -> float:
-        # A live host gets its heartbeat each period. All the silent ones
-        # together get a fan-out of calls each period, so that hosts in the
-        # settings that are not there cost the same however many they are.
+        # Live neighbours get a heartbeat every period. The unresponsive ones
+        # together get at most `fan_out` heartbeats per period, so the load
+        # does not grow with the number of absent hosts in the settings.
         now = self._clock()
         unresponsive = [
             name
@@ -401,11 +404,14 @@
             or self._name in update.accusers
         ):
             return False
-        # Where only this host's own way to the peer is cut, the peer refutes
-        # each accusation. Made at once again, accusation and refutation
-        # would cross all the hosts without end.
-        at = record.suspected_at
-        return at is None or now - at > self._limits.accuse_again_s
+        # If only the link from this host to the peer is down, the peer
+        # refutes every suspicion. Without a minimum interval, suspicions and
+        # refutations would flood all hosts.
+        suspected_at = record.suspected_at
+        return (
+            suspected_at is None
+            or now - suspected_at > self._limits.accuse_again_s
+        )
 
     def _next_heartbeat(self, peer: str) -> Heartbeat:
         heartbeat = dataclasses.replace(
@@ -447,14 +453,15 @@
 
     def _refute(self, update: PeerNews) -> None:
         if update.incarnation != self._own_heartbeat().incarnation:
-            return  # It is about the process before this one.
+            return  # The update is about an earlier process of this host.
         if update.accusers and update.version >= self._version:
             self._version = update.version + 1
             self._metrics.count("peer_accusations_refuted_total")
 
     def _record_unknown(self, host: str) -> None:
-        # Known by name only, it could not be called: it becomes a peer when
-        # this host's settings name it. Bounded, lest a peer fill the memory.
+        # Only shown to operators: without an address the host cannot be
+        # called until this host's settings name it. The limit keeps a faulty
+        # peer from exhausting memory.
         if len(self._unknown_hosts) < _MAX_UNKNOWN_HOSTS:
             self._unknown_hosts.add(host)
 
@@ -468,7 +475,7 @@
     ) -> None:
         known = record.heartbeat
         if known is not None and version_key(heartbeat) < version_key(known):
-            return  # A late message, of the process before perhaps.
+            return  # Delayed message, possibly of an earlier process.
         record.heartbeat = dataclasses.replace(heartbeat, news=())
         if record.heartbeat != known:
             self._invalidate_view()
@@ -489,18 +496,18 @@
         self._last_checked_at = now
         if paused_s <= self._limits.lease_s:
             return
-        # After a pause every lease looks expired, although it was this host
-        # that could not listen. Taken at its word it would be alone and own
-        # every shard; so the peers get the pause on top of their leases.
+        # After a pause of this process all leases look expired, and this host
+        # would consider itself alone and the owner of every shard. So the
+        # deadlines of all peers are extended by the pause.
         self._pending_pause_s += paused_s
         for record in self._record_by_host.values():
             record.extend_deadlines(paused_s)
         self._invalidate_view()
 
     def _view(self) -> tuple[_ViewEntry, ...]:
-        # Asked for with every call that is placed, and hundreds of hosts take
-        # a millisecond to look through: kept until something is heard or the
-        # first lease in it ends.
+        # Cached because every call placement reads the view, and computing it
+        # takes time linear in the number of hosts. Valid until a peer's state
+        # changes or the first lease in it expires.
         self._detect_pause()
         now = self._clock()
         own = _ViewEntry(self._name, self._own_heartbeat().leaving)
@@ -513,9 +520,9 @@
         view = tuple(_ViewEntry(m.name, m.leaving) for m in members)
         self._cached_until = min(
             (
-                self._record_by_host[place.name].live_until(self._limits)
-                for place in view
-                if place.name != self._name
+                self._record_by_host[entry.name].live_until(self._limits)
+                for entry in view
+                if entry.name != self._name
             ),
             default=math.inf,
         )
@@ -542,7 +549,7 @@
 
 
 def new_incarnation() -> str:
-    """Returns a name for this process that sorts after its predecessors'."""
+    """Returns an id of this process that sorts after those of earlier ones."""
     started = f"{time.time_ns():0{_INCARNATION_DIGITS}x}"
     return f"{started}-{secrets.token_hex(4)}"
 
@@ -556,16 +563,16 @@
     clock: Clock = time.monotonic,
     metrics: Metrics | None = None,
 ) -> Membership:
-    """Returns a membership that knows no live peer yet.
+    """Creates a membership that knows no live peer yet.
 
     Args:
-        own_heartbeat: Returns what this host says about itself now.
+        own_heartbeat: Returns this host's current heartbeat.
         peer_names: Every other host in the settings.
-        peers: The calls to them.
-        timers: Ticks now and then once it is started.
-        limits: Timing; the defaults where None.
+        peers: Clients of the peers.
+        timers: Runs the periodic tick after ``Membership.start``.
+        limits: Limits; None for the defaults.
         clock: Returns monotonic seconds.
-        metrics: Where heartbeats and pauses are counted; nowhere where None.
+        metrics: Receives heartbeat and pause metrics; None to discard them.
     """
     limits = limits or MembershipLimits()
     metrics = metrics or Metrics()
