--- a/libs/peers/src/masticdale_peers/messages.py
+++ b/libs/peers/src/masticdale_peers/messages.py
@@ -1,4 +1,7 @@
-"""The messages of the service ``Peer``, each the mirror of a struct."""
+"""Messages of the ``Peer`` service.
+
+Each data class has the name and the fields of a struct in ``peer.thrift``.
+"""
 
 import dataclasses
 from typing import Any
@@ -9,17 +12,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerNews:
-    """What a host learnt of another and passes on while it is new.
+    """A gossip update about another host.
 
     Attributes:
-        host: The other host.
-        incarnation: Its process.
-        revision: The configuration revision in force there.
-        leaving: True once it hands its work over.
-        suspect: It did not answer its neighbours' heartbeats.
-        version: Rises with each change within an incarnation.
-        domain: Its failure domain.
-        accusers: The neighbours it did not answer, two at most.
+        host: Name of that host.
+        incarnation: Incarnation of its process; see ``Heartbeat``.
+        revision: Configuration revision in force there.
+        leaving: Whether it is handing off its work.
+        suspect: Whether a neighbour got no reply to its heartbeats.
+        version: Increases with each change within an incarnation.
+        domain: Failure domain of the host.
+        accusers: Neighbours that got no reply, two at most.
     """
 
     host: str
@@ -34,17 +37,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """What a host says about itself.
+    """State of the sending host.
 
     Attributes:
-        host: Its name.
-        domain: Its failure domain.
-        incarnation: Differs after each restart; a later one sorts higher.
-        revision: The configuration revision in force there.
-        leaving: True once it hands its work over.
-        quarantine_version: Version of its list of given-up requests.
-        news: What it learnt of other hosts lately.
-        version: Rises with each change within an incarnation.
+        host: Name of the host.
+        domain: Failure domain of the host.
+        incarnation: Id of its process; later ones sort higher.
+        revision: Configuration revision in force there.
+        leaving: Whether it is handing off its work.
+        quarantine_version: Version of its list of quarantined requests.
+        news: Gossip updates about other hosts.
+        version: Increases with each change within an incarnation.
     """
 
     host: str
@@ -66,13 +69,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Submission:
-    """One caller operation on its way to the program's owner.
+    """A caller's operation, forwarded to the owner of its program.
 
     Attributes:
         operation: JSON of the operation.
-        workspace: The caller's workspace.
-        deadline_ms: Milliseconds left when it was sent.
-        origin: The host that sends it.
+        workspace: Workspace of the caller.
+        deadline_ms: Time left when it was sent, in milliseconds.
+        origin: Host that forwards it.
     """
 
     operation: str
@@ -91,15 +94,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadRequest:
-    """Asks for the text of a turn from an offset on.
+    """Reads the text of a turn from an offset.
 
     Attributes:
-        program_id: The program.
-        request_id: The request whose answer is read.
-        offset: Characters the reader already has.
-        wait_ms: How long to wait for new text.
-        attempt: Attempt that these characters belong to.
-        workspace: The reader's workspace.
+        program_id: Id of the program.
+        request_id: Id of the request whose text is read.
+        offset: Number of characters the reader already has.
+        wait_ms: Maximum time to wait for new text, in milliseconds.
+        attempt: Attempt that produced these characters.
+        workspace: Workspace of the reader.
     """
 
     program_id: str
@@ -112,16 +115,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadReply:
-    """Text from an offset on.
+    """Text of a turn from an offset.
 
     Attributes:
         text: New characters.
-        done: True once the outcome is final.
-        result: JSON of the outcome, once done without a failure.
-        failure: The call's final failure, or the read's own.
-        attempt: The present attempt; another one restarts the text.
-        offset: Characters of the attempt before the text.
-        refused: True where the failure is of the read, not the outcome.
+        done: Whether the outcome is final.
+        result: JSON of the outcome, if done without a failure.
+        failure: Final failure of the call, or failure of this read.
+        attempt: Current attempt; the text restarts with each attempt.
+        offset: Number of characters of the attempt before ``text``.
+        refused: Whether ``failure`` concerns the read, not the call.
     """
 
     text: str = ""
@@ -135,14 +138,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PrefixNote:
-    """Names the prefix that a call builds on.
+    """Identifies the cached prompt prefix that a call can reuse.
 
     Attributes:
         branch_id: Branch of the program.
         template_digest: Digest of the shared first part of the prompt.
-        template_tokens: Tokens of that part.
-        parent_id: Branch this one was opened from; empty for none.
-        parent_tokens: Tokens of the history it began with.
+        template_tokens: Number of tokens of that part.
+        parent_id: Branch from which this one was opened; empty for none.
+        parent_tokens: Number of tokens of the history inherited from it.
     """
 
     branch_id: str = ""
@@ -154,24 +157,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TicketRequest:
-    """Asks a replica's home for a place in the replica's queue.
+    """Queues a call at the home of a replica.
 
     Attributes:
-        ticket_id: Names the place in later messages.
-        replica: The replica.
-        origin: The host that waits for the grant.
-        workspace: The caller's workspace.
-        priority: Smaller is served first.
-        attained_s: Service the program has had, in seconds.
-        waited_ms: Time since the call was first queued anywhere.
-        deadline_ms: Milliseconds left.
+        ticket_id: Id of the queue entry in later messages.
+        replica: Name of the replica.
+        origin: Host that waits for the grant.
+        workspace: Workspace of the caller.
+        priority: Priority; smaller values are served first.
+        attained_s: Service time the program has had, in seconds.
+        waited_ms: Time since the call was first queued on any replica.
+        deadline_ms: Time left, in milliseconds.
         prompt_tokens: Length of the prompt.
-        uncached_tokens: Part of it that the replica has to compute.
-        max_tokens: Most tokens to generate.
-        program_id: The program.
+        uncached_tokens: Prompt tokens that the replica must compute.
+        max_tokens: Maximum number of tokens to generate.
+        program_id: Id of the program.
         content_digest: Digest of the request's content.
-        exclusive: Run with nothing else in flight.
-        prefix: The prefix it builds on.
+        exclusive: Whether the call must run alone on the replica.
+        prefix: Prompt prefix that the call can reuse.
     """
 
     ticket_id: str
@@ -193,7 +196,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TicketReply:
-    """Granted at once, or the wait to expect; a grant carries its fencing."""
+    """A grant with its fencing token, or the expected wait."""
 
     granted: bool = False
     expected_wait_ms: int = 0
@@ -203,7 +206,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TicketRelease:
-    """Gives a ticket back, with what the call took."""
+    """Returns a ticket and reports the resources that the call used."""
 
     ticket_id: str
     replica: str
@@ -217,7 +220,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeRequest:
-    """Asks a replica's home how long a call would wait there."""
+    """Asks a replica's home for the expected wait of a call."""
 
     replica: str
     program_id: str
@@ -232,7 +235,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeReply:
-    """The wait to expect, what of the prompt is cached, the speeds learnt."""
+    """The expected wait, the cached part of the prompt and the speeds."""
 
     expected_wait_ms: int = 0
     cached_tokens: int = 0
@@ -246,14 +249,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RevisionsRequest:
-    """Asks for configuration revisions after a number."""
+    """Requests the configuration revisions after a given number."""
 
     after: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RevisionsReply:
-    """Revisions in order, or a snapshot where they are no longer held."""
+    """Revisions in order, or a snapshot if they are no longer available."""
 
     newest: int = 0
     revisions: tuple[bytes, ...] = ()
@@ -262,14 +265,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyRequest:
-    """Records to hold while the platform's service is down.
+    """Replicates records of a shard during an outage of the platform.
 
     Attributes:
-        shard: The shard.
-        epoch: The owner's epoch.
-        sequence: Number of the last record.
-        records: The records.
-        drained: Records up to the sequence are in the platform.
+        shard: Number of the shard.
+        epoch: Epoch of the shard's owner.
+        sequence: Sequence number of the last record.
+        records: The encoded records.
+        drained: Whether the platform has stored all records up to
+            ``sequence``.
     """
 
     shard: int
@@ -281,7 +285,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyReply:
-    """Whether the records are held."""
+    """Whether the peer keeps the records."""
 
     held: bool = False
     failure: Failure | None = None
@@ -289,7 +293,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SealRequest:
-    """Refuses copies of epochs smaller than this one from now on."""
+    """Fences a shard: copies of smaller epochs are refused from now on."""
 
     shard: int
     epoch: int
@@ -297,7 +301,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SealReply:
-    """The batches held for the shard, from the first sequence on."""
+    """The batches kept for the shard, starting at ``first_sequence``."""
 
     batches: tuple[bytes, ...] = ()
     first_sequence: int = 0
@@ -306,13 +310,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SuspectRequest:
-    """Asks or tells the home of a content digest about its runs.
+    """Requests admission of a run, or reports its end, at a digest's home.
 
     Attributes:
         action: ``admit``, ``succeeded``, ``ended`` or ``crashed``.
-        digests: One digest, or all that a crash may be due to.
-        run_id: The run it is about.
-        origin: Host of the owner that runs it.
+        digests: Content digest of the run, or all digests that may have
+            caused a crash.
+        run_id: Id of the run.
+        origin: Host that runs it.
     """
 
     action: str
@@ -323,7 +328,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SuspectReply:
-    """How the content may run: an ``Admission`` of the routing library."""
+    """Whether and how the content may run: an ``Admission`` value."""
 
     admission: str = ""
     failure: Failure | None = None
@@ -331,14 +336,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatesRequest:
-    """Asks a shard's owner which programs are gone."""
+    """Asks a shard's owner which programs no longer exist."""
 
     program_ids: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StatesReply:
-    """The programs that ended or that the owner does not know."""
+    """The programs that have ended or are unknown to the owner."""
 
     gone_ids: tuple[str, ...] = ()
     failure: Failure | None = None
@@ -346,15 +351,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProgramsRequest:
-    """An operator's question to a host about the programs it owns.
+    """An operator's query for the programs that a host owns.
 
     Attributes:
-        program_id: Only this one; empty for a list.
-        workspace: Only this workspace's; empty for all.
-        state: Only those in this state; empty for all.
-        after: Only ids that sort after this one.
-        limit: Most programs returned.
-        stop: End the named program.
+        program_id: Id of a single program; empty for a list.
+        workspace: Workspace to filter by; empty for all.
+        state: State to filter by; empty for all.
+        after: Return only ids that sort after this one.
+        limit: Maximum number of programs to return.
+        stop: Whether to end the program ``program_id``.
     """
 
     program_id: str = ""
@@ -375,7 +380,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GrantNotice:
-    """Tells waiting hosts that their tickets are granted."""
+    """Notifies a waiting host that its tickets are granted."""
 
     ticket_ids: tuple[str, ...]
     replica: str
@@ -384,7 +389,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Empty:
-    """Nothing but that the call was taken."""
+    """An empty reply."""
 
 
 HEARTBEAT = Rpc("heartbeat", Heartbeat, HeartbeatReply)
