--- a/libs/peers/src/masticdale_peers/__init__.py
+++ b/libs/peers/src/masticdale_peers/__init__.py
@@ -1,4 +1,4 @@
-"""Membership of hosts and the RPC between them."""
+"""Membership of hosts and the RPCs between them."""
 
 from masticdale_peers.connections import PeerClient, PeerDirectory, connect
 from masticdale_peers.interfaces import (
--- a/libs/peers/src/masticdale_peers/connections.py
+++ b/libs/peers/src/masticdale_peers/connections.py
@@ -1,4 +1,4 @@
-"""Calls to peers over pools of connections."""
+"""Clients of the peers, each with its own connection pools."""
 
 import ssl
 import time
@@ -37,7 +37,7 @@
 
 
 class PeerClient(RpcClient, PeerCalls):
-    """Calls to one peer; heartbeats have a connection of their own."""
+    """Client of one peer; heartbeats use a separate connection."""
 
     def __init__(
         self,
@@ -48,8 +48,8 @@
         clock: Clock = time.monotonic,
     ) -> None:
         super().__init__(peer, context, limits, metrics, PEER, clock)
-        # Behind long reads in a full pool a heartbeat would time out, and a
-        # busy peer would be taken for a dead one.
+        # In a pool exhausted by long reads heartbeats would time out, and a
+        # busy peer would be considered dead.
         self._heartbeat_pool = Pool(peer, context, 1, clock, PEER)
 
     async def call(
@@ -66,17 +66,17 @@
         return await self._call(pool, rpc, request, timeout_s)
 
     def close_idle(self) -> None:
-        """Closes the connections that were idle for too long."""
+        """Closes connections that exceeded the idle timeout."""
         super().close_idle()
         self._heartbeat_pool.close_idle(self._limits.idle_s)
 
     def close(self) -> None:
-        """Closes the connections."""
+        """Closes both pools."""
         super().close()
         self._heartbeat_pool.close()
 
     def state(self) -> JsonValue:
-        """Returns what the state dump shows."""
+        """Returns the peer's part of the state dump."""
         return {
             "address": str(self.peer.address),
             "calls": self._pool.state(),
@@ -85,14 +85,14 @@
 
     def _on_timeout(self, rpc: Rpc[RequestT, ReplyT]) -> None:
         if rpc is HEARTBEAT:
-            # What lies between the hosts may have lost track of all
-            # connections that are open now. Each would cost one call its
-            # whole timeout to find out.
+            # A firewall or NAT between the hosts may have dropped the state
+            # of all open connections. Otherwise each idle one would make one
+            # call wait for its whole timeout.
             self._pool.close_idle(0.0)
 
 
 class _UnknownPeer(PeerCalls):
-    """Calls to a host that is not in the settings."""
+    """Client of a host that is not in the settings."""
 
     def __init__(self, host: str) -> None:
         self._host = host
@@ -103,12 +103,14 @@
         request: RequestT,
         timeout_s: float | None = None,
     ) -> Result[ReplyT, Failure]:
-        """Fails: nothing can be sent."""
-        return Failed(unavailable(self._host, "no address", sent=False))
+        """Returns a failure; the host has no known address."""
+        return Failed(
+            unavailable(self._host, "not in the settings", sent=False)
+        )
 
 
 class PeerDirectory:
-    """The clients of all peers; made by ``connect``."""
+    """The clients of all peers; created by ``connect``."""
 
     def __init__(
         self,
@@ -127,14 +129,14 @@
         return self._client_by_host.get(host) or _UnknownPeer(host)
 
     def set_peers(self, peers: Iterable[PeerSettings]) -> None:
-        """Takes the hosts of changed settings; unchanged ones keep theirs.
+        """Replaces the set of peers; unchanged peers keep their client.
 
         Args:
-            peers: Every other host.
+            peers: Every other host in the current settings.
 
         Raises:
-            MasticdaleError: INVALID_SETTINGS, where plaintext is not allowed;
-                nothing is changed then.
+            MasticdaleError: INVALID_SETTINGS if plaintext is not allowed for
+                a peer; no client is changed in that case.
         """
         wanted = list(peers)
         if self._is_plaintext:
@@ -149,7 +151,7 @@
                 client.close()
 
     async def close_idle(self) -> None:
-        """Closes connections that were idle for too long."""
+        """Closes connections that exceeded the idle timeout."""
         for client in self._client_by_host.values():
             client.close_idle()
 
@@ -159,7 +161,7 @@
             client.close()
 
     def state(self) -> JsonValue:
-        """Returns what the state dump shows."""
+        """Returns the state dump of all clients by host name."""
         return {
             host: client.state()
             for host, client in self._client_by_host.items()
@@ -181,18 +183,18 @@
     timers: TimerService,
     limits: PoolLimits | None = None,
 ) -> PeerDirectory:
-    """Returns the clients of the peers; connections open on first use.
+    """Creates the clients of the peers; connections open on first use.
 
     Args:
         peers: Every other host.
         tls: Certificates; None for plaintext, on loopback only.
-        metrics: Where failed calls are counted.
-        timers: Closes idle connections now and then.
-        limits: Bounds for each peer; the defaults where None.
+        metrics: Receives the metrics of failed calls.
+        timers: Runs the periodic closing of idle connections.
+        limits: Limits of each peer's pool; None for the defaults.
 
     Raises:
-        MasticdaleError: INVALID_SETTINGS, where plaintext is not allowed or a
-            certificate cannot be used.
+        MasticdaleError: INVALID_SETTINGS if plaintext is not allowed for a
+            peer or a certificate file cannot be loaded.
     """
     limits = limits or PoolLimits()
     directory = PeerDirectory(tls, metrics, limits)
--- a/libs/peers/src/masticdale_peers/interfaces.py
+++ b/libs/peers/src/masticdale_peers/interfaces.py
@@ -1,4 +1,4 @@
-"""The calls between hosts, seen from the called and from the calling side."""
+"""Server and client interfaces of the ``Peer`` service."""
 
 import abc
 from typing import Protocol
@@ -38,14 +38,14 @@
 
 
 class PeerHandler(Protocol):
-    """What a host does for its peers, one method for each call.
+    """Server side of the service, one method for each RPC.
 
-    Expected errors go into the reply's ``failure``. An exception reaches the
-    caller as INTERNAL.
+    Expected errors are returned in the reply's ``failure``. An exception
+    reaches the caller as INTERNAL.
     """
 
     async def heartbeat(self, beat: Heartbeat) -> HeartbeatReply:
-        """Takes a peer's heartbeat and answers with this host's."""
+        """Processes a peer's heartbeat and replies with this host's."""
         ...
 
     async def submit(self, submission: Submission) -> SubmitReply:
@@ -53,61 +53,61 @@
         ...
 
     async def read(self, request: ReadRequest) -> ReadReply:
-        """Returns a turn's text from an offset on, waiting for new text."""
+        """Returns a turn's text from an offset, waiting for new text."""
         ...
 
     async def enqueue(self, request: TicketRequest) -> TicketReply:
-        """Queues a call before a replica whose home is this host."""
+        """Queues a call for a replica whose home is this host."""
         ...
 
     async def release(self, release: TicketRelease) -> Empty:
-        """Takes a granted ticket back after its call."""
+        """Releases a granted ticket after its call has ended."""
         ...
 
     async def withdraw(self, release: TicketRelease) -> Empty:
-        """Takes a ticket out of the queue before its call was sent."""
+        """Cancels a ticket whose call has not been sent."""
         ...
 
     async def grant(self, notice: GrantNotice) -> Empty:
-        """Wakes the calls whose tickets were granted."""
+        """Resumes the calls whose tickets were granted."""
         ...
 
     async def probe(self, request: ProbeRequest) -> ProbeReply:
-        """Says how long a call would wait before a replica."""
+        """Estimates how long a call would wait for a replica."""
         ...
 
     async def revisions(self, request: RevisionsRequest) -> RevisionsReply:
-        """Returns configuration revisions after a number."""
+        """Returns the configuration revisions after a given number."""
         ...
 
     async def put_copy(self, request: CopyRequest) -> CopyReply:
-        """Holds copies of a shard's records."""
+        """Stores copies of a shard's records."""
         ...
 
     async def seal_copies(self, request: SealRequest) -> SealReply:
-        """Refuses older epochs' copies from now on and returns those held."""
+        """Fences older epochs of a shard and returns the stored copies."""
         ...
 
     async def suspect(self, request: SuspectRequest) -> SuspectReply:
-        """Admits or notes a run of a content digest."""
+        """Admits a run of a content digest or records its end."""
         ...
 
     async def states(self, request: StatesRequest) -> StatesReply:
-        """Returns which of the programs are gone."""
+        """Returns which of the programs no longer exist."""
         ...
 
     async def programs(self, request: ProgramsRequest) -> ProgramsReply:
-        """Lists, shows or ends programs for an operator."""
+        """Lists, describes or ends programs for an operator."""
         ...
 
 
 class PeerCalls(abc.ABC):
-    """The calls to one peer.
+    """Client side of the service for one peer.
 
-    Each returns the peer's reply, whose ``failure`` the caller still has to
-    look at, or a failure of the call itself: PEER_UNAVAILABLE where no whole
-    answer came within the timeout (``was_sent`` tells whether it may have
-    arrived there), INTERNAL where the peer's handler raised.
+    Each method returns the peer's reply, whose ``failure`` the caller must
+    check, or a failure of the call itself: PEER_UNAVAILABLE if no complete
+    reply arrived within the timeout (``was_sent`` tells whether the peer may
+    have received the request), INTERNAL if the peer's handler raised.
     """
 
     @abc.abstractmethod
@@ -134,7 +134,7 @@
     async def read(
         self, request: ReadRequest, timeout_s: float | None = None
     ) -> Result[ReadReply, Failure]:
-        """See ``PeerHandler.read``; the timeout comes on top of the wait."""
+        """See ``PeerHandler.read``; the timeout is added to the wait."""
         return await self.call(messages.READ, request, timeout_s)
 
     async def enqueue(
@@ -205,13 +205,13 @@
 
 
 class Peers(Protocol):
-    """The calls to every peer, by host name."""
+    """Clients of all peers, by host name."""
 
     def client(self, host: str) -> PeerCalls:
-        """Returns the calls to a host.
+        """Returns the client of a host.
 
         Args:
-            host: Name of a peer in the settings; calls to any other name
-                fail with PEER_UNAVAILABLE, not sent.
+            host: Name of a peer in the settings. Calls to any other name
+                fail with PEER_UNAVAILABLE and are not sent.
         """
         ...
--- a/libs/peers/src/masticdale_peers/server.py
+++ b/libs/peers/src/masticdale_peers/server.py
@@ -1,4 +1,4 @@
-"""Serves this host's ``PeerHandler`` to its peers."""
+"""Server of the ``Peer`` service."""
 
 from masticdale_peers.interfaces import PeerHandler
 from masticdale_peers.messages import PEER
@@ -9,19 +9,19 @@
 async def serve(
     handler: PeerHandler, bind: Address, tls: TlsSettings | None
 ) -> RpcServer:
-    """Starts serving a handler.
+    """Starts serving a handler to the peers.
 
     Args:
-        handler: What to do for each call.
-        bind: Where to listen.
+        handler: Handles the calls.
+        bind: Address to listen on.
         tls: Certificates; None for plaintext, on loopback only.
 
     Returns:
-        The server, to be closed by the caller.
+        The server, which the caller must close.
 
     Raises:
-        MasticdaleError: INVALID_SETTINGS, where the port is taken, the
-            address is not this machine's, or plaintext is not allowed.
+        MasticdaleError: INVALID_SETTINGS if the address cannot be bound, a
+            certificate file cannot be loaded, or plaintext is not allowed.
     """
     if tls is None:
         require_loopback(bind)
--- a/libs/peers/src/masticdale_peers/testing.py
+++ b/libs/peers/src/masticdale_peers/testing.py
@@ -1,4 +1,4 @@
-"""A network of ``PeerHandler`` in memory that fails on request, for tests."""
+"""In-memory network with fault injection, for tests."""
 
 import asyncio
 import dataclasses
@@ -21,17 +21,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Link:
-    """The way from one host to another."""
+    """The direction from one host to another."""
 
     origin: str
     target: str
 
 
 class MemoryNetwork:
-    """Handlers by host name and what is wrong between them.
+    """Delivers calls between handlers in memory and injects faults.
 
     Attributes:
-        calls_by_link: How many calls were made on each link.
+        calls_by_link: Number of calls made on each link.
     """
 
     def __init__(self) -> None:
@@ -43,39 +43,39 @@
         self._lost_replies_by_link: dict[Link, int] = {}
 
     def attach(self, host: str, handler: PeerHandler) -> None:
-        """Starts a host; its new process replaces an earlier one."""
+        """Registers a host's handler; replaces an earlier one."""
         self._handler_by_host[host] = handler
 
     def detach(self, host: str) -> None:
-        """Kills a host: calls to it are refused, none is sent."""
+        """Removes a host: connections to it are refused."""
         self._handler_by_host.pop(host, None)
 
     def cut(self, origin: str, target: str) -> None:
-        """Drops calls one way; they time out without having arrived."""
+        """Drops calls in one direction: they time out and never arrive."""
         self._cut_links.add(Link(origin, target))
 
     def heal(self, origin: str, target: str) -> None:
-        """Ends a cut."""
+        """Restores a link that was cut."""
         self._cut_links.discard(Link(origin, target))
 
     def pause(self, host: str) -> None:
-        """Pauses a host: calls to it time out, its handler does not run."""
+        """Pauses a host: calls to it time out and its handler is not run."""
         self._paused_hosts.add(host)
 
     def resume(self, host: str) -> None:
-        """Ends a pause."""
+        """Resumes a paused host."""
         self._paused_hosts.discard(host)
 
     def delay(self, origin: str, target: str, seconds: float) -> None:
-        """Holds every call up on its way; 0 ends that."""
+        """Delays every call on a link; 0 removes the delay."""
         self._delay_by_link[Link(origin, target)] = seconds
 
     def lose_replies(self, origin: str, target: str, count: int = 1) -> None:
-        """Lets the next calls run and loses their replies."""
+        """Runs the next ``count`` calls on a link but drops their replies."""
         self._lost_replies_by_link[Link(origin, target)] = count
 
     def peers(self, origin: str) -> "MemoryPeers":
-        """Returns the calls that a host can make."""
+        """Returns the clients that a host uses."""
         return MemoryPeers(self, origin)
 
     async def deliver(
@@ -87,8 +87,8 @@
     ) -> Result[ReplyT, Failure]:
         """Makes one call; see ``PeerCalls.call``.
 
-        A call that a cut or a freeze swallows fails at once rather than after
-        its timeout, so that tests need not wait.
+        A call that is dropped by a cut or a pause fails immediately instead
+        of after its timeout, so that tests do not have to wait.
         """
         self.calls_by_link[link] = self.calls_by_link.get(link, 0) + 1
         delay_s = self._delay_by_link.get(link, 0.0)
@@ -126,7 +126,7 @@
 
 
 class _MemoryPeer(PeerCalls):
-    """Calls on one link."""
+    """Client of one host on one link."""
 
     def __init__(self, network: MemoryNetwork, link: Link) -> None:
         self._network = network
@@ -145,7 +145,7 @@
 
 
 class MemoryPeers:
-    """The calls that one host can make in a ``MemoryNetwork``."""
+    """The clients that one host uses in a ``MemoryNetwork``."""
 
     def __init__(self, network: MemoryNetwork, origin: str) -> None:
         self._network = network
@@ -157,7 +157,8 @@
 
 
 def _round_trip(message: Any) -> Any:
-    # Through the thrift struct: what would not survive the wire fails here.
+    # Converts to a thrift struct and back, so that values that cannot be
+    # transmitted fail in tests too.
     return from_wire(type(message), to_wire(message))
 
 
