--- a/libs/peers/src/masticdale_peers/peer.thrift
+++ b/libs/peers/src/masticdale_peers/peer.thrift
@@ -1,23 +1,22 @@
-// Messages between hosts. Every call is short: nothing waits longer than
-// ReadRequest.wait_ms. Thin structs, converted to data classes at the edge.
+// Messages between hosts. No call waits longer than ReadRequest.wait_ms.
 
 struct WireFailure {
   1: string kind,
   2: string detail,
-  3: i32 retry_after_ms,   // -1: the kind's own
+  3: i32 retry_after_ms,   // -1: default of the kind
   4: string host,
 }
 
-// What a neighbour on the ring learnt of a host, passed on while it is new.
+// A gossip update about another host.
 struct PeerNews {
   1: string host,
   2: string incarnation,
   3: i64 revision,
   4: bool leaving,
   5: bool suspect,
-  6: i64 version,           // rises with each change within an incarnation
+  6: i64 version,           // increases with each change within an incarnation
   7: string domain,
-  8: list<string> accusers, // neighbours it did not answer, two at most
+  8: list<string> accusers, // neighbours that got no reply, two at most
 }
 
 struct Heartbeat {
@@ -28,7 +27,7 @@
   5: bool leaving,
   6: i64 quarantine_version,
   7: list<PeerNews> news,
-  8: i64 version,           // rises with each change within an incarnation
+  8: i64 version,           // increases with each change within an incarnation
 }
 
 struct HeartbeatReply {
@@ -38,8 +37,8 @@
 struct Submission {
   1: string operation,      // JSON of one caller operation
   2: string workspace,
-  3: i64 deadline_ms,       // milliseconds left when sent
-  4: string origin,         // host that sends it
+  3: i64 deadline_ms,       // time left when sent
+  4: string origin,         // host that forwards it
 }
 
 struct SubmitReply {
@@ -61,12 +60,12 @@
   2: bool done,
   3: string result,         // JSON of the outcome, once done
   4: optional WireFailure failure,
-  5: i64 attempt,           // another attempt: forget the earlier text
+  5: i64 attempt,           // the text restarts with each attempt
   6: i64 offset,            // characters before the text
-  7: bool refused,          // the failure is of the read, not the outcome
+  7: bool refused,          // the failure concerns the read, not the call
 }
 
-// Names the prefix that a call builds on.
+// Identifies the cached prompt prefix that a call can reuse.
 struct PrefixNote {
   1: string branch_id,
   2: string template_digest,
@@ -81,15 +80,15 @@
   3: string origin,
   4: string workspace,
   5: i32 priority,          // smaller is served first
-  6: double attained_s,     // service the program has had
-  7: i64 waited_ms,         // since the call was first queued anywhere
+  6: double attained_s,     // service time the program has had
+  7: i64 waited_ms,         // since the call was first queued on any replica
   8: i64 deadline_ms,
   9: i64 prompt_tokens,
   10: i64 uncached_tokens,
   11: i32 max_tokens,
   12: string program_id,
   13: string content_digest,
-  14: bool exclusive,       // run with nothing else in flight
+  14: bool exclusive,       // run alone on the replica
   15: PrefixNote prefix,
 }
 
@@ -108,7 +107,7 @@
   5: i64 cached_tokens,
   6: i64 generated_tokens,
   7: i64 service_ms,
-  8: i64 first_token_ms,    // 0: not known
+  8: i64 first_token_ms,    // 0: unknown
 }
 
 struct ProbeRequest {
@@ -131,7 +130,7 @@
   5: double prefill_tokens_per_s,
   6: double decode_tokens_per_s,
   7: i32 in_flight,
-  8: i64 residence_ms,      // how long an unused token stays; 0: not pressed
+  8: i64 residence_ms,      // time until an unused token is evicted; 0: no evictions
 }
 
 struct RevisionsRequest {
@@ -149,7 +148,7 @@
   2: i64 epoch,
   3: i64 sequence,
   4: binary records,
-  5: bool drained,          // records up to sequence are in the platform
+  5: bool drained,          // the platform has stored records up to sequence
 }
 
 struct CopyReply {
@@ -159,7 +158,7 @@
 
 struct SealRequest {
   1: i32 shard,
-  2: i64 epoch,             // refuse copies of smaller epochs from now on
+  2: i64 epoch,             // copies of smaller epochs are refused from now on
 }
 
 struct SealReply {
@@ -172,7 +171,7 @@
   1: string action,         // admit, succeeded, ended, crashed
   2: list<string> digests,
   3: string run_id,
-  4: string origin,         // host of the owner that runs it
+  4: string origin,         // host that runs it
 }
 
 struct SuspectReply {
@@ -185,15 +184,15 @@
 }
 
 struct StatesReply {
-  1: list<string> gone_ids, // ended, or unknown to the shard's owner
+  1: list<string> gone_ids, // ended or unknown to the shard's owner
   2: optional WireFailure failure,
 }
 
 struct ProgramsRequest {
-  1: string program_id,     // only this one; empty for a list
-  2: string workspace,      // only this workspace's; empty for all
-  3: string state,          // only those in this state; empty for all
-  4: string after,          // only ids that sort after this one
+  1: string program_id,     // single program; empty for a list
+  2: string workspace,      // filter; empty for all
+  3: string state,          // filter; empty for all
+  4: string after,          // return only ids that sort after this one
   5: i32 limit,
   6: bool stop,             // end the named program
 }
