--- a/libs/peers/tests/hosts.py
+++ b/libs/peers/tests/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts for the tests of this library."""
+"""Servers, clients and a TCP proxy for the tests of this library."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 class EchoHandler:
-    """Answers with what it was asked; ``hold`` keeps submissions waiting."""
+    """Echoes requests; submissions wait while ``hold`` is cleared."""
 
     def __init__(self):
         self.hold = asyncio.Event()
@@ -44,7 +44,7 @@
 
 
 class MembershipHandler:
-    """Answers heartbeats for a membership."""
+    """Passes heartbeats to a membership."""
 
     def __init__(self, membership):
         self._membership = membership
@@ -86,17 +86,17 @@
         await timers.close()
 
 
-class Relay:
-    """Passes connections on until it loses track of those open then."""
+class TcpProxy:
+    """Proxy that can drop the traffic of its open connections."""
 
     def __init__(self, target):
         self._target = target
-        self._lost_ways = set()
+        self._dropped = set()
         self._writers = []
         self._server = None
 
     async def __aenter__(self):
-        self._server = await asyncio.start_server(self._pass_on, "127.0.0.1", 0)
+        self._server = await asyncio.start_server(self._forward, "127.0.0.1", 0)
         self.address = Address(
             ip="127.0.0.1", port=self._server.sockets[0].getsockname()[1]
         )
@@ -107,25 +107,29 @@
         for writer in self._writers:
             writer.transport.abort()
 
-    def lose(self, *ways):
-        """Drops what the connections open now send to or from the peer."""
+    def drop_open_connections(self, *directions):
+        """Drops data on the connections that are open now.
+
+        Args:
+            directions: ``to`` for data to the peer, ``from`` for its replies.
+        """
         count = len(self._writers)
-        self._lost_ways |= {(w, i) for w in ways for i in range(count)}
+        self._dropped |= {(w, i) for w in directions for i in range(count)}
 
-    async def _pass_on(self, reader, writer):
-        there, back = await asyncio.open_connection(
+    async def _forward(self, reader, writer):
+        peer_reader, peer_writer = await asyncio.open_connection(
             str(self._target.ip), self._target.port
         )
         key = len(self._writers)
-        self._writers += [writer, back]
+        self._writers += [writer, peer_writer]
         await asyncio.gather(
-            self._copy(reader, back, ("to", key)),
-            self._copy(there, writer, ("from", key)),
+            self._copy(reader, peer_writer, ("to", key)),
+            self._copy(peer_reader, writer, ("from", key)),
             return_exceptions=True,
         )
 
-    async def _copy(self, reader, writer, way):
+    async def _copy(self, reader, writer, direction):
         while data := await reader.read(4096):
-            if way not in self._lost_ways:
+            if direction not in self._dropped:
                 writer.write(data)
                 await writer.drain()
--- a/libs/peers/tests/paused_host.py
+++ b/libs/peers/tests/paused_host.py
@@ -1,7 +1,7 @@
-"""A host in a process of its own, for tests that pause it.
+"""A host in a separate process, for tests that pause it.
 
-Arguments: its own port and its peer's. Prints ``paused`` when told that it
-stood still.
+Arguments: the port of the host and that of its peer. Prints ``paused`` when
+the membership reports a pause.
 """
 
 import asyncio
--- a/libs/peers/tests/test_connections.py
+++ b/libs/peers/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Tests of the calls to a peer over real sockets on loopback."""
+"""Tests of the peer client over loopback sockets."""
 
 import asyncio
 import unittest
@@ -23,14 +23,14 @@
     return Submission(operation, "w", 1000, "host-a")
 
 
-async def swallow(reader, writer):
-    """A connection that has gone silent: open, and nothing ever comes."""
+async def never_reply(reader, writer):
+    """Keeps a connection open without ever replying."""
     await reader.read()
     writer.close()
 
 
 class CallTest(unittest.IsolatedAsyncioTestCase):
-    async def test_answers_and_reuses_the_connection(self):
+    async def test_consecutive_calls_reuse_the_connection(self):
         async with (
             hosts.serving(hosts.EchoHandler()) as address,
             hosts.client_of(address) as client,
@@ -40,9 +40,9 @@
                 self.assertEqual(reply, Success(SubmitReply(operation)))
             self.assertEqual(client.state()["calls"]["opened"], 1)
 
-    async def test_a_raising_handler_keeps_its_connection(self):
-        # The caller sees INTERNAL, not PEER_UNAVAILABLE: the host lives. The
-        # next call goes over the same connection and is answered.
+    async def test_a_handler_error_keeps_the_connection_open(self):
+        # The caller gets INTERNAL, not PEER_UNAVAILABLE, because the host is
+        # live. The connection is reused for the next call.
         async with (
             hosts.serving(hosts.EchoHandler()) as address,
             hosts.client_of(address) as client,
@@ -53,19 +53,18 @@
             self.assertEqual(reply, Success(SubmitReply("next")))
             self.assertEqual(client.state()["calls"]["opened"], 1)
 
-    async def test_refused_connect_is_known_as_not_sent(self):
-        # Nobody listens: the caller may say "not run" and try elsewhere.
+    async def test_a_refused_connection_counts_as_not_sent(self):
+        # The caller may report the request as not run, or retry elsewhere.
         async with hosts.client_of(hosts.free_address()) as client:
             failure = (await client.submit(submission("x"))).failure()
         self.assertIs(failure.kind, ErrorKind.PEER_UNAVAILABLE)
         self.assertFalse(was_sent(failure))
 
 
-class LateAnswerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_late_answer_never_reaches_the_next_call(self):
-        # The first caller times out while the peer still works. Its answer
-        # comes later; on the same connection the second caller would read
-        # it as its own. The connection was closed, so it cannot.
+class LateReplyTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_late_reply_never_reaches_the_next_call(self):
+        # The first call times out before its reply arrives. If the connection
+        # were reused, the second caller would read that reply as its own.
         handler = hosts.EchoHandler()
         limits = PoolLimits(connections=1)
         async with (
@@ -80,8 +79,7 @@
             self.assertEqual(reply, Success(SubmitReply("next")))
 
     async def test_cancelled_call_closes_its_connection(self):
-        # The caller goes away in the middle of its call; whoever gets the
-        # pool's place next must not read the answer left behind.
+        # The next call must not read the reply to a cancelled call.
         handler = hosts.EchoHandler()
         limits = PoolLimits(connections=1)
         async with (
@@ -99,15 +97,15 @@
             self.assertEqual(client.state()["calls"]["opened"], 2)
 
 
-class SilentConnectionTest(unittest.IsolatedAsyncioTestCase):
-    async def test_silent_connection_is_replaced(self):
-        # The first connection goes silent while new ones work. The caller
-        # sees one heartbeat time out; the next goes over a new connection.
+class UnresponsiveConnectionTest(unittest.IsolatedAsyncioTestCase):
+    async def test_an_unresponsive_connection_is_replaced(self):
+        # The server never replies. The heartbeat that times out closes its
+        # connection, and the next one opens a new one.
         accepted = []
 
         async def accept(reader, writer):
             accepted.append(writer)
-            await swallow(reader, writer)
+            await never_reply(reader, writer)
 
         silent = await asyncio.start_server(accept, "127.0.0.1", 0)
         address = hosts.Address(
@@ -120,44 +118,44 @@
         silent.close()
         self.assertEqual(len(accepted), 2)
 
-    async def test_calls_leave_connections_that_something_lost(self):
-        # What lies between two hosts loses track of the connections open
-        # now, both ways or one way; new ones work. The next heartbeat times
-        # out, is sent again over a new connection, and with it go the idle
-        # connections for calls: no caller waits for its timeout.
-        for ways in (("to", "from"), ("to",), ("from",)):
+    async def test_a_heartbeat_timeout_closes_idle_connections(self):
+        # A firewall drops the state of all open connections, in one or both
+        # directions; new connections work. The heartbeat that times out must
+        # also close the idle connections, so that no call waits for its
+        # timeout.
+        for directions in (("to", "from"), ("to",), ("from",)):
             async with (
                 hosts.serving(hosts.EchoHandler()) as address,
-                hosts.Relay(address) as relay,
+                hosts.TcpProxy(address) as relay,
                 hosts.client_of(relay.address) as client,
             ):
                 (await client.heartbeat(BEAT, 1.0)).unwrap()
                 (await client.submit(submission("before"))).unwrap()
-                relay.lose(*ways)
+                relay.drop_open_connections(*directions)
                 lost = await client.heartbeat(BEAT, 0.1)
                 self.assertTrue(was_sent(lost.failure()))
                 (await client.heartbeat(BEAT, 1.0)).unwrap()
                 reply = await client.submit(submission("after"), 5.0)
                 self.assertEqual(reply, Success(SubmitReply("after")))
 
-    async def test_a_call_replaces_its_lost_connection(self):
-        # The same before any heartbeat notices: one call fails, known as
-        # perhaps sent, and the next one is answered.
+    async def test_a_call_timeout_replaces_its_connection(self):
+        # The same fault before a heartbeat detects it: one call times out
+        # and counts as possibly sent, and the next one is answered.
         async with (
             hosts.serving(hosts.EchoHandler()) as address,
-            hosts.Relay(address) as relay,
+            hosts.TcpProxy(address) as relay,
             hosts.client_of(relay.address) as client,
         ):
             (await client.submit(submission("before"))).unwrap()
-            relay.lose("from")
+            relay.drop_open_connections("from")
             lost = await client.submit(submission("lost"), 0.1)
             self.assertTrue(was_sent(lost.failure()))
             reply = await client.submit(submission("after"), 5.0)
             self.assertEqual(reply, Success(SubmitReply("after")))
 
-    async def test_full_pool_does_not_stop_heartbeats(self):
-        # Every connection of the pool waits in a long read. Were heartbeats
-        # to wait behind them, a busy host would be taken for a dead one.
+    async def test_an_exhausted_pool_does_not_block_heartbeats(self):
+        # Long reads occupy all connections of the pool. Heartbeats must not
+        # wait for them, or a busy host would be considered dead.
         handler = hosts.EchoHandler()
         limits = PoolLimits(connections=2)
         async with (
--- a/libs/peers/tests/test_frames.py
+++ b/libs/peers/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Tests of the wire under hostile bytes."""
+"""Tests of the frame decoder with malformed input."""
 
 import asyncio
 import unittest
@@ -24,78 +24,78 @@
 LENGTH_BYTES = 4
 HUGE = (0x7FFFFFFF).to_bytes(4, "big")
 HEADER = b"\x80\x01\x00\x01\x00\x00\x00\x09heartbeat\x00\x00\x00\x01"
-LIST_OF_NO_TYPE = b"\x0f\x00\x63\x00" + HUGE
-WORST = {
+LIST_OF_UNKNOWN_TYPE = b"\x0f\x00\x63\x00" + HUGE
+MALFORMED_BODIES = {
     "giant frame": HUGE,
     "giant string": b"\x0c\x00\x01\x0b\x00\x01" + HUGE,
     "negative string": b"\x0c\x00\x01\x0b\x00\x01\xff\xff\xff\xff",
     "giant list": b"\x0c\x00\x01\x0f\x00\x07\x0c" + HUGE,
-    "list of no type": LIST_OF_NO_TYPE,
+    "list of no type": LIST_OF_UNKNOWN_TYPE,
     "string for a number": b"\x0c\x00\x01\x0b\x00\x04" + HUGE,
     "deep": b"\x0c\x00\x63" * 5000,
 }
 
 
-def good_frame():
+def valid_frame():
     body = PEER.service.heartbeat_args(to_wire(BEAT))
     return frames.encode("heartbeat", TMessageType.CALL, 1, body)
 
 
-def framed(message):
+def add_length_prefix(message):
     return len(message).to_bytes(LENGTH_BYTES, "big") + message
 
 
-def read(message):
+def decode(message):
     body = PEER.service.heartbeat_args()
     frames.Message(message).read(body)
     return body
 
 
 @st.composite
-def broken_frames(draw):
-    frame = bytearray(good_frame())
+def corrupted_messages(draw):
+    frame = bytearray(valid_frame())
     for _ in range(draw(st.integers(1, 4))):
-        place = draw(st.integers(LENGTH_BYTES, len(frame) - 1))
-        frame[place] = draw(st.integers(0, 255))
+        offset = draw(st.integers(LENGTH_BYTES, len(frame) - 1))
+        frame[offset] = draw(st.integers(0, 255))
     return bytes(frame[LENGTH_BYTES : draw(st.integers(5, len(frame)))])
 
 
 class FrameTest(unittest.TestCase):
-    def test_a_good_frame_is_read(self):
-        body = read(good_frame()[LENGTH_BYTES:])
+    def test_a_valid_frame_is_decoded(self):
+        body = decode(valid_frame()[LENGTH_BYTES:])
         self.assertEqual(body, PEER.service.heartbeat_args(to_wire(BEAT)))
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=500)
-    @hypothesis.given(st.binary(max_size=200) | broken_frames())
-    def test_bytes_are_a_message_or_refused(self, message):
+    @hypothesis.given(st.binary(max_size=200) | corrupted_messages())
+    def test_arbitrary_bytes_decode_or_raise_malformed_frame(self, message):
         try:
-            read(message)
+            decode(message)
         except frames.MalformedFrameError:
             pass
 
-    def test_lengths_beyond_the_frame_are_refused(self):
-        for name, message in WORST.items():
+    def test_malformed_bodies_are_rejected(self):
+        for name, message in MALFORMED_BODIES.items():
             with (
                 self.subTest(name),
                 self.assertRaises(frames.MalformedFrameError),
             ):
-                read(HEADER + message)
+                decode(HEADER + message)
 
 
-class HostileConnectionTest(unittest.IsolatedAsyncioTestCase):
-    async def test_other_connections_go_on(self):
-        # A connection sends bytes that would make the decoder allocate two
-        # gigabytes or count to two billion. The sender sees its connection
-        # closed; calls of the other connection are answered all the time.
+class MalformedInputTest(unittest.IsolatedAsyncioTestCase):
+    async def test_other_connections_are_unaffected(self):
+        # A connection sends bytes that would make the decoder allocate 2 GB
+        # or loop two billion times. Only that connection may be closed; calls
+        # on another one are still answered.
         async with (
             hosts.serving(hosts.EchoHandler()) as address,
             hosts.client_of(address) as client,
         ):
-            for name, message in WORST.items():
-                whole = framed(HEADER + message)
+            for name, message in MALFORMED_BODIES.items():
+                frame = add_length_prefix(HEADER + message)
                 if name == "giant frame":
-                    whole = message + HEADER
-                for sent in (whole, whole[:-1]):
+                    frame = message + HEADER
+                for sent in (frame, frame[:-1]):
                     await self.send(address, sent)
                     reply = await client.submit(Submission("x", "w", 1, "a"))
                     self.assertEqual(reply, Success(SubmitReply("x")))
@@ -113,9 +113,9 @@
             pass
         writer.close()
 
-    async def test_an_answer_too_large_to_send_fails_alone(self):
-        # The peer would drop the connection over it. The caller sees the
-        # call fail, as an error of the handler.
+    async def test_an_oversized_message_fails_only_its_call(self):
+        # The peer would close the connection because of it. Only the call
+        # fails, and the next one succeeds.
         text = "x" * frames.MAX_FRAME_BYTES
         async with (
             hosts.serving(hosts.EchoHandler()) as address,
--- a/libs/peers/tests/test_membership.py
+++ b/libs/peers/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of membership on the in-memory network with a hand-moved clock."""
+"""Tests of membership on the in-memory network with a manual clock."""
 
 import asyncio
 import types
@@ -17,7 +17,7 @@
 
 
 class Cluster:
-    """Hosts that beat in lockstep, one period a step."""
+    """Hosts that send heartbeats in lockstep, one period per step."""
 
     def __init__(self, names=NAMES, limits=LIMITS):
         self.limits = limits
@@ -77,7 +77,7 @@
                     await membership.send_heartbeat(peer)
                 await membership.tick()
 
-    def expected(self, name):
+    def reachable_hosts(self, name):
         return tuple(
             peer
             for peer in self.names
@@ -93,7 +93,7 @@
 
 
 class ViewsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_killed_host_goes_within_its_lease(self):
+    async def test_a_killed_host_is_removed_after_its_lease(self):
         cluster = Cluster()
         await cluster.step()
         self.assertEqual(cluster.view("a"), NAMES)
@@ -101,9 +101,9 @@
         await cluster.step(PERIODS_TO_CONVERGE)
         self.assertEqual(cluster.view("a"), ("a", "c", "d"))
 
-    async def test_one_way_cut_removes_the_peer_on_one_side_only(self):
-        # a's calls to b are lost, b's to a arrive. a must not route to b
-        # although it hears from it: the calls would be lost. b may go on.
+    async def test_a_one_way_cut_removes_the_peer_on_one_side_only(self):
+        # Calls from a to b are lost, calls from b to a arrive. a must not
+        # route to b although it receives b's heartbeats.
         cluster = Cluster()
         await cluster.step()
         cluster.cut(("a", "b"))
@@ -111,7 +111,7 @@
         self.assertNotIn("b", cluster.view("a"))
         self.assertIn("a", cluster.view("b"))
 
-    async def test_leaving_host_gets_no_keys_but_stays_callable(self):
+    async def test_a_leaving_host_owns_no_keys_but_stays_a_member(self):
         cluster = Cluster()
         cluster.leaving.add("b")
         await cluster.step()
@@ -120,9 +120,9 @@
         owners = {membership.owner_of(str(i)) for i in range(200)}
         self.assertEqual(owners, {"a", "c", "d"})
 
-    async def test_list_only_takes_hosts_away(self):
-        # The platform's list lags: it does not show d yet, which is live.
-        # c stood on it and is gone: it is removed though it still answers.
+    async def test_the_platform_list_only_removes_hosts(self):
+        # d is live but not on the list yet and stays a member. c was on the
+        # list and no longer is: it is removed although it still answers.
         cluster = Cluster()
         await cluster.step()
         membership = cluster.membership_by_host["a"]
@@ -136,7 +136,7 @@
         self.assertEqual(membership.live_names(), ("a", "b", "d"))
         self.assertEqual(membership.owner_names(), ("a", "d"))
 
-    async def test_restart_is_told(self):
+    async def test_a_restart_is_reported(self):
         cluster = Cluster()
         await cluster.step()
         changes = []
@@ -145,10 +145,12 @@
         await cluster.step()
         self.assertEqual([c.restarted for c in changes], [("b",)])
 
-    async def test_pause_past_the_lease_is_told_and_keeps_the_peers(self):
-        # The process is stopped for a minute and goes on. Its leases look
-        # expired; taken so, it would own every shard at once. It is told of
-        # the pause instead and keeps its peers until they fail to answer.
+    async def test_a_pause_beyond_the_lease_is_reported_and_keeps_the_peers(
+        self,
+    ):
+        # After a pause all leases look expired, and the host would consider
+        # itself the owner of every shard. It must keep its peers until they
+        # fail to answer, and report the pause once.
         cluster = Cluster()
         await cluster.step()
         pauses = []
@@ -164,10 +166,10 @@
         await membership.tick()
         self.assertEqual(pauses, [60.0])
 
-    async def test_a_host_of_new_settings_joins(self):
-        # A fifth host starts; its settings name the others. They learn its
-        # name from its heartbeats and show it to the operator, but have no
-        # address to call until the new settings reach them. Nothing waits.
+    async def test_a_host_joins_when_the_settings_name_it(self):
+        # The settings of a new host name the others, but theirs do not name
+        # it yet. They list it as unknown, and it becomes a member once their
+        # settings change.
         cluster = Cluster()
         await cluster.step()
         cluster.names = (*NAMES, "e")
@@ -202,8 +204,9 @@
         asyncio.run(self.converge(faults))
 
     async def converge(self, faults):
-        # Links and hosts fail and return in any order. Once they stop, each
-        # host's view is what it can reach, within a lease and two periods.
+        # Links and hosts fail and recover in any order. Within a lease and
+        # two periods after the last fault, each host's view consists of the
+        # hosts it can reach.
         cluster = Cluster()
         for action, origin, target, periods in faults:
             if action in ("kill", "start"):
@@ -213,14 +216,14 @@
             await cluster.step(periods)
         await cluster.step(PERIODS_TO_CONVERGE)
         for name in cluster.membership_by_host:
-            self.assertEqual(cluster.view(name), cluster.expected(name))
+            self.assertEqual(cluster.view(name), cluster.reachable_hosts(name))
 
 
 MANY_NAMES = tuple(f"h{number:02}" for number in range(24))
-SPARSE_LIMITS = MembershipLimits(fan_out=4)
-# A lease until a neighbour notices, the time to refute, and the spread; all
-# once more where the neighbours of a host died with it.
-SPARSE_PERIODS = 30
+GOSSIP_LIMITS = MembershipLimits(fan_out=4)
+# The lease, the suspicion timeout and the spread of the update, twice: the
+# neighbours of a host may fail together with it.
+GOSSIP_PERIODS = 30
 
 FAULTS = st.lists(
     st.tuples(
@@ -233,117 +236,116 @@
 )
 
 
-class SparseTest(unittest.IsolatedAsyncioTestCase):
+class GossipTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        # The loop's debug mode takes half of the time here.
+        # The event loop's debug mode doubles the duration of these tests.
         asyncio.get_running_loop().set_debug(False)
 
     def cluster(self):
-        return Cluster(MANY_NAMES, SPARSE_LIMITS)
+        return Cluster(MANY_NAMES, GOSSIP_LIMITS)
 
-    async def test_each_host_calls_few_and_knows_all(self):
+    async def test_each_host_calls_its_fan_out_and_sees_all(self):
         cluster = self.cluster()
-        await cluster.step(SPARSE_PERIODS)
+        await cluster.step(GOSSIP_PERIODS)
         for name, membership in cluster.membership_by_host.items():
             self.assertEqual(cluster.view(name), MANY_NAMES)
             self.assertEqual(len(membership.neighbour_names()), 4)
 
-    async def test_half_of_the_hosts_die_together(self):
-        # A failure domain goes down, and with it all that watch some of its
-        # hosts. Their nearest live predecessors take over the watch.
+    async def test_half_of_the_hosts_fail_together(self):
+        # A failure domain fails, and with it all monitors of some hosts. The
+        # nearest live predecessors must take over and detect those hosts.
         cluster = self.cluster()
-        await cluster.step(SPARSE_PERIODS)
+        await cluster.step(GOSSIP_PERIODS)
         for name in MANY_NAMES[::2]:
             cluster.kill(name)
-        await cluster.step(SPARSE_PERIODS)
+        await cluster.step(GOSSIP_PERIODS)
         for name in MANY_NAMES[1::2]:
             self.assertEqual(cluster.view(name), MANY_NAMES[1::2])
 
-    async def test_accused_but_reachable_host_stays(self):
-        # Two of the hosts that watch a host lose their way to it and accuse
-        # it, again and again. The others reach it; it refutes each time, so
-        # that no host without a cut ever takes it for dead.
+    async def test_a_suspected_but_reachable_host_stays(self):
+        # Two monitors of a host lose their links to it and suspect it
+        # repeatedly. It refutes each suspicion in time, so that no other host
+        # ever removes it.
         cluster = self.cluster()
-        await cluster.step(SPARSE_PERIODS)
-        watchers = [
+        await cluster.step(GOSSIP_PERIODS)
+        monitors = [
             name
             for name, membership in cluster.membership_by_host.items()
             if "h05" in membership.neighbour_names()
         ]
-        for watcher in watchers[:2]:
+        for watcher in monitors[:2]:
             cluster.cut((watcher, "h05"))
-        others = set(MANY_NAMES) - set(watchers[:2])
-        for _ in range(2 * SPARSE_PERIODS):
+        others = set(MANY_NAMES) - set(monitors[:2])
+        for _ in range(2 * GOSSIP_PERIODS):
             await cluster.step()
             for name in others:
                 self.assertIn("h05", cluster.view(name))
 
-    async def test_a_new_process_never_sees_the_dead(self):
-        # A host starts after another has died. Its peers tell it of the dead
-        # host together with the accusations: it must not take that host for
-        # live until they run out, and send it programs.
+    async def test_a_new_host_never_counts_dead_hosts_as_live(self):
+        # A new host learns of a dead host together with the suspicions. It
+        # must not count that host as live until the suspicion timeout, or it
+        # would send programs there.
         cluster = self.cluster()
-        await cluster.step(SPARSE_PERIODS)
+        await cluster.step(GOSSIP_PERIODS)
         cluster.kill("h05")
-        await cluster.step(SPARSE_PERIODS)
+        await cluster.step(GOSSIP_PERIODS)
         cluster.start("h11")
-        for _ in range(SPARSE_PERIODS):
+        for _ in range(GOSSIP_PERIODS):
             await cluster.step()
             self.assertNotIn("h05", cluster.view("h11"))
 
-    async def test_absent_hosts_of_the_settings_change_nothing(self):
-        # The settings name as many hosts again that are not there yet. The
-        # others find each other in the same time and call few of them.
+    async def test_absent_hosts_do_not_slow_convergence(self):
+        # Half of the hosts in the settings are absent. The others converge in
+        # the same time and do not send heartbeats to all absent ones.
         cluster = self.cluster()
         absent = MANY_NAMES[::2]
         for name in absent:
             cluster.kill(name)
-        await cluster.step(SPARSE_PERIODS)
+        await cluster.step(GOSSIP_PERIODS)
         for name, membership in cluster.membership_by_host.items():
             self.assertEqual(cluster.view(name), MANY_NAMES[1::2])
             self.assertLess(len(membership.neighbour_names()), len(absent))
 
-    async def test_news_tell_revisions_and_leaving(self):
+    async def test_gossip_spreads_revisions_and_leaving(self):
         cluster = self.cluster()
-        await cluster.step(SPARSE_PERIODS)
+        await cluster.step(GOSSIP_PERIODS)
         cluster.leaving.add("h07")
         cluster.revision = 9
-        await cluster.step(SPARSE_PERIODS)
+        await cluster.step(GOSSIP_PERIODS)
         for membership in cluster.membership_by_host.values():
             self.assertNotIn("h07", membership.owner_names())
             revisions = {m.heartbeat.revision for m in membership.members()}
             self.assertEqual(revisions, {9})
 
 
-class SparseConvergenceTest(unittest.TestCase):
+class GossipConvergenceTest(unittest.TestCase):
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=15)
     @hypothesis.given(FAULTS)
     def test_views_converge_after_any_faults(self, faults):
         asyncio.run(self.converge(faults))
 
     async def converge(self, faults):
-        # Hosts die and return and links are cut and heal in any order. Some
-        # periods later the dead are gone from every view, and every host
-        # without a cut is in all of them; once all cuts heal, every view is
-        # the set of the living.
-        cluster = Cluster(MANY_NAMES, SPARSE_LIMITS)
+        # Hosts and links fail and recover in any order. Then no view contains
+        # a dead host, and every view contains all live hosts whose links are
+        # intact. Once all links are restored, every view is the live hosts.
+        cluster = Cluster(MANY_NAMES, GOSSIP_LIMITS)
         for action, origin, target, periods in faults:
             if action in ("kill", "start"):
                 getattr(cluster, action)(origin)
             elif origin != target:
                 getattr(cluster, action)((origin, target))
             await cluster.step(periods)
-        await cluster.step(SPARSE_PERIODS)
-        living = set(cluster.membership_by_host)
-        uncut = living - {name for link in cluster.cuts for name in link}
-        for name in living:
-            self.assertLessEqual(set(cluster.view(name)), living)
-            self.assertLessEqual(uncut, set(cluster.view(name)))
+        await cluster.step(GOSSIP_PERIODS)
+        live = set(cluster.membership_by_host)
+        unaffected = live - {name for link in cluster.cuts for name in link}
+        for name in live:
+            self.assertLessEqual(set(cluster.view(name)), live)
+            self.assertLessEqual(unaffected, set(cluster.view(name)))
         for link in list(cluster.cuts):
             cluster.heal(link)
-        await cluster.step(SPARSE_PERIODS)
-        for name in living:
-            self.assertEqual(set(cluster.view(name)), living)
+        await cluster.step(GOSSIP_PERIODS)
+        for name in live:
+            self.assertEqual(set(cluster.view(name)), live)
 
 
 if __name__ == "__main__":
--- a/libs/peers/tests/test_messages.py
+++ b/libs/peers/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of the messages and their conversion to thrift structs."""
+"""Tests of the conversion between messages and thrift structs."""
 
 import dataclasses
 import typing
@@ -24,10 +24,10 @@
 }
 
 
-def messages_of(message_type):
+def message_strategy(message_type):
     hints = typing.get_type_hints(message_type)
     fields = {
-        name: messages_of(hint)
+        name: message_strategy(hint)
         if dataclasses.is_dataclass(hint)
         else _STRATEGY_BY_HINT.get(hint, st.from_type(hint))
         for name, hint in hints.items()
@@ -41,11 +41,11 @@
     def test_every_message_survives_the_round_trip(self, data):
         rpc = data.draw(st.sampled_from(messages.ALL_RPCS))
         kind = data.draw(st.sampled_from([rpc.request_type, rpc.reply_type]))
-        message = data.draw(messages_of(kind))
+        message = data.draw(message_strategy(kind))
         struct = messages.to_wire(message)
         self.assertEqual(messages.from_wire(kind, struct), message)
 
-    def test_data_classes_mirror_the_idl(self):
+    def test_data_classes_match_the_idl(self):
         for rpc in messages.ALL_RPCS:
             for kind in (rpc.request_type, rpc.reply_type):
                 struct = messages.to_wire(
@@ -56,16 +56,16 @@
                     )
                 )
                 idl = [spec[1] for spec in struct.thrift_spec.values()]
-                own = [field.name for field in dataclasses.fields(kind)]
-                self.assertEqual(idl, own, kind.__name__)
+                declared = [field.name for field in dataclasses.fields(kind)]
+                self.assertEqual(idl, declared, kind.__name__)
 
-    def test_fields_an_older_host_left_out_take_their_zero(self):
+    def test_fields_omitted_by_an_older_host_get_zero_values(self):
         struct = messages.to_wire(messages.CopyReply(held=True))
         struct.held = None
         reply = messages.from_wire(messages.CopyReply, struct)
         self.assertIs(reply.held, False)
 
-    def test_a_failure_kind_of_a_later_version_is_internal(self):
+    def test_an_unknown_failure_kind_becomes_internal(self):
         failure = Failure(ErrorKind.OVERLOADED, "x")
         struct = messages.to_wire(messages.SubmitReply(failure=failure))
         struct.failure.kind = "new_kind"
--- a/libs/peers/tests/test_neighbours.py
+++ b/libs/peers/tests/test_neighbours.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of the peers that a host heartbeats."""
+"""Tests of the selection of heartbeat neighbours."""
 
 import unittest
 
@@ -19,19 +19,19 @@
 class NeighboursTest(unittest.TestCase):
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(st.sets(st.sampled_from(NAMES), min_size=1))
-    def test_every_host_is_watched_and_none_calls_too_many(self, live):
-        # Whichever hosts are dead, each of the rest, and each dead one that
-        # may return, has as many live watchers as there can be up to two.
-        watched = dict.fromkeys(NAMES, 0)
+    def test_every_host_is_monitored_within_the_fan_out(self, live):
+        # Whichever hosts are dead, every host, live or dead, is monitored by
+        # half a fan-out of live hosts, or by all other live hosts if fewer.
+        monitor_count = dict.fromkeys(NAMES, 0)
         for name in live:
             found = neighbours_of(name, live)
             self.assertEqual(len(found), len(set(found)))
             self.assertLessEqual(len(live.intersection(found)), FAN_OUT)
             for host in found:
-                watched[host] += 1
+                monitor_count[host] += 1
         for host in NAMES:
-            least = min(FAN_OUT // 2, len(live - {host}))
-            self.assertGreaterEqual(watched[host], least)
+            required = min(FAN_OUT // 2, len(live - {host}))
+            self.assertGreaterEqual(monitor_count[host], required)
 
     def test_few_peers_are_all_neighbours(self):
         found = neighbours_of("h00", set(), NAMES[: FAN_OUT + 1])
--- a/libs/peers/tests/test_pauses.py
+++ b/libs/peers/tests/test_pauses.py
@@ -1,4 +1,4 @@
-"""Test of a real process that is stopped past its lease."""
+"""Test of a real process that is paused beyond its lease."""
 
 import asyncio
 import pathlib
@@ -10,27 +10,26 @@
 import paused_host
 
 SCRIPT = pathlib.Path(paused_host.__file__)
-MOST_S = 30.0
+TIMEOUT_S = 30.0
 
 
-async def nothing(seconds):
+async def ignore_pause(seconds):
     pass
 
 
 class PausedProcessTest(unittest.IsolatedAsyncioTestCase):
-    async def until(self, membership, names):
-        async with asyncio.timeout(MOST_S):
+    async def wait_for_members(self, membership, names):
+        async with asyncio.timeout(TIMEOUT_S):
             while membership.live_names() != names:
                 await asyncio.sleep(0.05)
 
     async def test_a_stopped_process_goes_and_returns(self):
-        # A host's process is stopped; its sockets stay open and silent. It
-        # leaves the other's view. Continued, it is told that it stood still,
-        # since its shards may have new owners, and comes back as the same
-        # process.
+        # A host is paused with SIGSTOP while its sockets stay open. The other
+        # host must remove it, and after SIGCONT it must detect the pause,
+        # since its shards may have new owners, and become a member again.
         ports = [hosts.free_address().port for _ in range(2)]
         membership, server, timers = await paused_host.run_host(
-            "a", *ports, nothing
+            "a", *ports, ignore_pause
         )
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -39,13 +38,13 @@
             stdout=asyncio.subprocess.PIPE,
         )
         try:
-            await self.until(membership, ("a", "b"))
+            await self.wait_for_members(membership, ("a", "b"))
             process.send_signal(signal.SIGSTOP)
-            await self.until(membership, ("a",))
+            await self.wait_for_members(membership, ("a",))
             process.send_signal(signal.SIGCONT)
-            async with asyncio.timeout(MOST_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 self.assertEqual(await process.stdout.readline(), b"paused\n")
-            await self.until(membership, ("a", "b"))
+            await self.wait_for_members(membership, ("a", "b"))
         finally:
             process.kill()
             await process.wait()
--- a/libs/peers/tests/test_server.py
+++ b/libs/peers/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of serving peers: ports, plaintext, TLS, shutdown."""
+"""Tests of the peer server: binding, plaintext, TLS and shutdown."""
 
 import asyncio
 import pathlib
@@ -24,8 +24,8 @@
 
 class BindTest(unittest.IsolatedAsyncioTestCase):
     async def test_second_server_on_a_port_is_refused(self):
-        # With SO_REUSEPORT the second daemon would start without an error
-        # and take part of the first one's connections.
+        # With SO_REUSEPORT a second daemon would start without an error and
+        # receive part of the first one's connections.
         async with hosts.serving(hosts.EchoHandler()) as address:
             with self.assertRaises(MasticdaleError) as caught:
                 await serve(hosts.EchoHandler(), address, None)
@@ -39,9 +39,9 @@
             await serve(hosts.EchoHandler(), address, None)
         self.assertIn("plaintext", caught.exception.failure.detail)
 
-    async def test_close_lets_calls_in_flight_finish(self):
-        # A planned stop: the caller whose call is under way gets its answer
-        # although the server has stopped listening before.
+    async def test_close_drains_calls_in_flight(self):
+        # In a planned shutdown the server stops listening but still sends
+        # the reply to a call in flight.
         handler = hosts.EchoHandler()
         handler.hold.clear()
         address = hosts.free_address()
@@ -58,9 +58,9 @@
 
 class TlsTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = pathlib.Path(folder.name)
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.folder = pathlib.Path(directory.name)
         self.authority = trustme.CA()
 
     def certificate(self, name, authority=None):
@@ -83,15 +83,15 @@
         ):
             return await client.heartbeat(beat, 2.0)
 
-    async def test_right_certificates_are_accepted(self):
+    async def test_valid_certificates_are_accepted(self):
         result = await self.call(
             self.certificate(hosts.HOST), self.certificate("host-a")
         )
         self.assertEqual(result.unwrap().beat.host, hosts.HOST)
 
     async def test_client_of_another_authority_is_refused(self):
-        stranger = self.certificate("host-a", trustme.CA())
-        result = await self.call(self.certificate(hosts.HOST), stranger)
+        untrusted = self.certificate("host-a", trustme.CA())
+        result = await self.call(self.certificate(hosts.HOST), untrusted)
         self.assertIs(result.failure().kind, ErrorKind.PEER_UNAVAILABLE)
 
     async def test_plaintext_client_is_refused(self):
@@ -99,8 +99,8 @@
         self.assertIs(result.failure().kind, ErrorKind.PEER_UNAVAILABLE)
 
     async def test_server_with_another_hosts_certificate_is_refused(self):
-        # The address now belongs to another host: its certificate is signed
-        # by the right authority, but not for the peer's name.
+        # The address now belongs to another host: the right authority signed
+        # its certificate, but not for the peer's name.
         result = await self.call(
             self.certificate("host-c"), self.certificate("host-a")
         )
