--- a/libs/ledger/src/masticdale_ledger/copier.py
+++ b/libs/ledger/src/masticdale_ledger/copier.py
@@ -13,7 +13,7 @@
     CopyReply,
     CopyRequest,
 )
-from masticdale_rpc import RpcClient, was_sent
+from masticdale_rpc import RpcClient, may_have_been_sent
 
 # One copy, in seconds: a hundred round trips between failure domains.
 _COPY_TIMEOUT_S = 0.3
@@ -139,7 +139,7 @@
         )
         outcome = await self._peer.call(COPY, request, _COPY_TIMEOUT_S)
         is_failed = isinstance(outcome, Failed)
-        if is_failed and not was_sent(outcome.failure()):
+        if is_failed and not may_have_been_sent(outcome.failure()):
             return outcome
         self.standby_may_hold_copy = True
         if not state.owner_has_store:
--- a/libs/ledger/src/masticdale_ledger/reconciler.py
+++ b/libs/ledger/src/masticdale_ledger/reconciler.py
@@ -36,7 +36,7 @@
     ShardView,
 )
 from masticdale_platform import MUST_NOT_EXIST, ObjectStore
-from masticdale_rpc import was_sent
+from masticdale_rpc import may_have_been_sent
 
 # How often the shards are looked at, in seconds.
 RECONCILE_INTERVAL_S = 0.2
@@ -397,7 +397,7 @@
         # accounts. To admit turns here too would spend a budget twice; the
         # shard waits for its takeover.
         if isinstance(outcome, Failed):
-            return not was_sent(failure)
+            return not may_have_been_sent(failure)
         return failure.kind is not ErrorKind.WRITE_UNKNOWN
 
     def _handover_targets(self) -> list[HostAddress]:
--- a/libs/peers/src/masticdale_peers/__init__.py
+++ b/libs/peers/src/masticdale_peers/__init__.py
@@ -52,8 +52,8 @@
     PeerSettings,
     PoolLimits,
     TlsSettings,
+    may_have_been_sent,
     unavailable,
-    was_sent,
 )
 
 __all__ = [
@@ -100,8 +100,8 @@
     "TlsSettings",
     "connect",
     "join",
+    "may_have_been_sent",
     "new_incarnation",
     "serve",
     "unavailable",
-    "was_sent",
 ]
--- a/libs/peers/src/masticdale_peers/interfaces.py
+++ b/libs/peers/src/masticdale_peers/interfaces.py
@@ -106,8 +106,8 @@
 
     Each method returns the peer's reply, whose ``failure`` the caller must
     check, or a failure of the call itself: PEER_UNAVAILABLE if no complete
-    reply arrived within the timeout (``was_sent`` tells whether the peer may
-    have received the request), INTERNAL if the peer's handler raised.
+    reply arrived within the timeout (``may_have_been_sent`` tells whether the
+    peer may have received the request), INTERNAL if the peer's handler raised.
     """
 
     @abc.abstractmethod
--- a/libs/peers/tests/test_connections.py
+++ b/libs/peers/tests/test_connections.py
@@ -13,7 +13,7 @@
     ReadRequest,
     Submission,
     SubmitReply,
-    was_sent,
+    may_have_been_sent,
 )
 
 BEAT = Heartbeat("host-a", "d1", "1")
@@ -58,7 +58,7 @@
         async with hosts.client_of(hosts.free_address()) as client:
             failure = (await client.submit(submission("x"))).failure()
         self.assertIs(failure.kind, ErrorKind.PEER_UNAVAILABLE)
-        self.assertFalse(was_sent(failure))
+        self.assertFalse(may_have_been_sent(failure))
 
 
 class LateReplyTest(unittest.IsolatedAsyncioTestCase):
@@ -73,7 +73,7 @@
         ):
             handler.hold.clear()
             late = await client.submit(submission("late"), 0.05)
-            self.assertTrue(was_sent(late.failure()))
+            self.assertTrue(may_have_been_sent(late.failure()))
             handler.hold.set()
             reply = await client.submit(submission("next"))
             self.assertEqual(reply, Success(SubmitReply("next")))
@@ -133,7 +133,7 @@
                 (await client.submit(submission("before"))).unwrap()
                 relay.drop_open_connections(*directions)
                 lost = await client.heartbeat(BEAT, 0.1)
-                self.assertTrue(was_sent(lost.failure()))
+                self.assertTrue(may_have_been_sent(lost.failure()))
                 (await client.heartbeat(BEAT, 1.0)).unwrap()
                 reply = await client.submit(submission("after"), 5.0)
                 self.assertEqual(reply, Success(SubmitReply("after")))
@@ -149,7 +149,7 @@
             (await client.submit(submission("before"))).unwrap()
             relay.drop_open_connections("from")
             lost = await client.submit(submission("lost"), 0.1)
-            self.assertTrue(was_sent(lost.failure()))
+            self.assertTrue(may_have_been_sent(lost.failure()))
             reply = await client.submit(submission("after"), 5.0)
             self.assertEqual(reply, Success(SubmitReply("after")))
 
@@ -167,7 +167,7 @@
             for _ in range(limits.connections):
                 await handler.arrived.acquire()
             waiting = await client.submit(submission("x"), 0.05)
-            self.assertFalse(was_sent(waiting.failure()))
+            self.assertFalse(may_have_been_sent(waiting.failure()))
             beat = await client.heartbeat(BEAT, 1.0)
             self.assertEqual(beat.unwrap().beat.host, hosts.HOST)
             for task in reads:
--- a/libs/rpc/src/masticdale_rpc/__init__.py
+++ b/libs/rpc/src/masticdale_rpc/__init__.py
@@ -3,8 +3,8 @@
 from masticdale_rpc.client import (
     PoolLimits,
     RpcClient,
+    may_have_been_sent,
     unavailable,
-    was_sent,
 )
 from masticdale_rpc.contracts import Contract, Rpc, parse_idl
 from masticdale_rpc.server import RpcServer
@@ -21,7 +21,7 @@
     "RpcServer",
     "TlsSettings",
     "build_structs",
+    "may_have_been_sent",
     "parse_idl",
     "unavailable",
-    "was_sent",
 ]
--- a/libs/rpc/src/masticdale_rpc/client.py
+++ b/libs/rpc/src/masticdale_rpc/client.py
@@ -181,8 +181,8 @@
 
         Returns:
             The reply, or a failure: PEER_UNAVAILABLE if no complete reply
-            arrived in time (``was_sent`` tells whether the peer may have
-            received the request), INTERNAL if the peer's handler raised.
+            arrived in time (``may_have_been_sent`` tells whether the peer may
+            have received the request), INTERNAL if the peer's handler raised.
         """
         return await self._call(self._pool, rpc, request, timeout_s)
 
@@ -279,7 +279,7 @@
     return Failure(ErrorKind.PEER_UNAVAILABLE, f"{state}: {host}: {reason}")
 
 
-def was_sent(failure: Failure) -> bool:
+def may_have_been_sent(failure: Failure) -> bool:
     """Returns whether the peer may have received a failed call's request."""
     not_sent = failure.detail.startswith(f"{_NOT_SENT}:")
     return not (failure.kind is ErrorKind.PEER_UNAVAILABLE and not_sent)
