--- a/libs/peers/tests/hosts.py
+++ b/libs/peers/tests/hosts.py
@@ -107,7 +107,7 @@
         for writer in self._writers:
             writer.transport.abort()
 
-    def drop_open_connections(self, *directions):
+    def drop_traffic(self, *directions):
         """Drops data on the connections that are open now.
 
         Args:
--- a/libs/peers/tests/test_connections.py
+++ b/libs/peers/tests/test_connections.py
@@ -16,7 +16,7 @@
     may_have_been_sent,
 )
 
-BEAT = Heartbeat("host-a", "d1", "1")
+HEARTBEAT = Heartbeat("host-a", "d1", "1")
 
 
 def submission(operation):
@@ -107,15 +107,15 @@
             accepted.append(writer)
             await never_reply(reader, writer)
 
-        silent = await asyncio.start_server(accept, "127.0.0.1", 0)
+        server = await asyncio.start_server(accept, "127.0.0.1", 0)
         address = hosts.Address(
-            ip="127.0.0.1", port=silent.sockets[0].getsockname()[1]
+            ip="127.0.0.1", port=server.sockets[0].getsockname()[1]
         )
         async with hosts.client_of(address) as client:
             for _ in range(2):
-                result = await client.heartbeat(BEAT, 0.05)
+                result = await client.heartbeat(HEARTBEAT, 0.05)
                 self.assertIs(result.failure().kind, ErrorKind.PEER_UNAVAILABLE)
-        silent.close()
+        server.close()
         self.assertEqual(len(accepted), 2)
 
     async def test_a_heartbeat_timeout_closes_idle_connections(self):
@@ -129,12 +129,12 @@
                 hosts.TcpProxy(address) as relay,
                 hosts.client_of(relay.address) as client,
             ):
-                (await client.heartbeat(BEAT, 1.0)).unwrap()
+                (await client.heartbeat(HEARTBEAT, 1.0)).unwrap()
                 (await client.submit(submission("before"))).unwrap()
-                relay.drop_open_connections(*directions)
-                lost = await client.heartbeat(BEAT, 0.1)
+                relay.drop_traffic(*directions)
+                lost = await client.heartbeat(HEARTBEAT, 0.1)
                 self.assertTrue(may_have_been_sent(lost.failure()))
-                (await client.heartbeat(BEAT, 1.0)).unwrap()
+                (await client.heartbeat(HEARTBEAT, 1.0)).unwrap()
                 reply = await client.submit(submission("after"), 5.0)
                 self.assertEqual(reply, Success(SubmitReply("after")))
 
@@ -147,7 +147,7 @@
             hosts.client_of(relay.address) as client,
         ):
             (await client.submit(submission("before"))).unwrap()
-            relay.drop_open_connections("from")
+            relay.drop_traffic("from")
             lost = await client.submit(submission("lost"), 0.1)
             self.assertTrue(may_have_been_sent(lost.failure()))
             reply = await client.submit(submission("after"), 5.0)
@@ -168,8 +168,8 @@
                 await handler.arrived.acquire()
             waiting = await client.submit(submission("x"), 0.05)
             self.assertFalse(may_have_been_sent(waiting.failure()))
-            beat = await client.heartbeat(BEAT, 1.0)
-            self.assertEqual(beat.unwrap().beat.host, hosts.HOST)
+            reply = await client.heartbeat(HEARTBEAT, 1.0)
+            self.assertEqual(reply.unwrap().beat.host, hosts.HOST)
             for task in reads:
                 task.cancel()
             await asyncio.gather(*reads, return_exceptions=True)
--- a/libs/peers/tests/test_frames.py
+++ b/libs/peers/tests/test_frames.py
@@ -18,7 +18,7 @@
 from masticdale_peers.messages import PEER, to_wire
 from masticdale_rpc import frames
 
-BEAT = Heartbeat(
+HEARTBEAT = Heartbeat(
     "host-a", "d", "1", news=(PeerNews("x", "1", accusers=("b",)),)
 )
 LENGTH_BYTES = 4
@@ -30,14 +30,14 @@
     "giant string": b"\x0c\x00\x01\x0b\x00\x01" + HUGE,
     "negative string": b"\x0c\x00\x01\x0b\x00\x01\xff\xff\xff\xff",
     "giant list": b"\x0c\x00\x01\x0f\x00\x07\x0c" + HUGE,
-    "list of no type": LIST_OF_UNKNOWN_TYPE,
+    "list of unknown type": LIST_OF_UNKNOWN_TYPE,
     "string for a number": b"\x0c\x00\x01\x0b\x00\x04" + HUGE,
     "deep": b"\x0c\x00\x63" * 5000,
 }
 
 
 def valid_frame():
-    body = PEER.service.heartbeat_args(to_wire(BEAT))
+    body = PEER.service.heartbeat_args(to_wire(HEARTBEAT))
     return frames.encode("heartbeat", TMessageType.CALL, 1, body)
 
 
@@ -63,7 +63,7 @@
 class FrameTest(unittest.TestCase):
     def test_a_valid_frame_is_decoded(self):
         body = decode(valid_frame()[LENGTH_BYTES:])
-        self.assertEqual(body, PEER.service.heartbeat_args(to_wire(BEAT)))
+        self.assertEqual(body, PEER.service.heartbeat_args(to_wire(HEARTBEAT)))
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=500)
     @hypothesis.given(st.binary(max_size=200) | corrupted_messages())
@@ -113,9 +113,9 @@
             pass
         writer.close()
 
-    async def test_an_oversized_message_fails_only_its_call(self):
-        # The peer would close the connection because of it. Only the call
-        # fails, and the next one succeeds.
+    async def test_an_answer_too_large_to_send_fails_alone(self):
+        # The peer would drop the connection over it. The caller sees the
+        # call fail, as an error of the handler.
         text = "x" * frames.MAX_FRAME_BYTES
         async with (
             hosts.serving(hosts.EchoHandler()) as address,
--- a/libs/peers/tests/test_membership.py
+++ b/libs/peers/tests/test_membership.py
@@ -273,8 +273,8 @@
             for name, membership in cluster.membership_by_host.items()
             if "h05" in membership.neighbour_names()
         ]
-        for watcher in monitors[:2]:
-            cluster.cut((watcher, "h05"))
+        for monitor in monitors[:2]:
+            cluster.cut((monitor, "h05"))
         others = set(MANY_NAMES) - set(monitors[:2])
         for _ in range(2 * GOSSIP_PERIODS):
             await cluster.step()
--- a/libs/peers/tests/test_neighbours.py
+++ b/libs/peers/tests/test_neighbours.py
@@ -24,18 +24,18 @@
         # half a fan-out of live hosts, or by all other live hosts if fewer.
         monitor_count = dict.fromkeys(NAMES, 0)
         for name in live:
-            found = neighbours_of(name, live)
-            self.assertEqual(len(found), len(set(found)))
-            self.assertLessEqual(len(live.intersection(found)), FAN_OUT)
-            for host in found:
+            neighbours = neighbours_of(name, live)
+            self.assertEqual(len(neighbours), len(set(neighbours)))
+            self.assertLessEqual(len(live.intersection(neighbours)), FAN_OUT)
+            for host in neighbours:
                 monitor_count[host] += 1
         for host in NAMES:
             required = min(FAN_OUT // 2, len(live - {host}))
             self.assertGreaterEqual(monitor_count[host], required)
 
     def test_few_peers_are_all_neighbours(self):
-        found = neighbours_of("h00", set(), NAMES[: FAN_OUT + 1])
-        self.assertEqual(set(found), set(NAMES[1 : FAN_OUT + 1]))
+        neighbours = neighbours_of("h00", set(), NAMES[: FAN_OUT + 1])
+        self.assertEqual(set(neighbours), set(NAMES[1 : FAN_OUT + 1]))
 
 
 if __name__ == "__main__":
--- a/libs/peers/tests/test_server.py
+++ b/libs/peers/tests/test_server.py
@@ -76,12 +76,12 @@
         )
 
     async def call(self, server_tls, client_tls):
-        beat = Heartbeat("host-a", "d1", "1")
+        heartbeat = Heartbeat("host-a", "d1", "1")
         async with (
             hosts.serving(hosts.EchoHandler(), server_tls) as address,
             hosts.client_of(address, client_tls) as client,
         ):
-            return await client.heartbeat(beat, 2.0)
+            return await client.heartbeat(heartbeat, 2.0)
 
     async def test_valid_certificates_are_accepted(self):
         result = await self.call(
