--- a/libs/peers/src/masticdale_peers/neighbours.py
+++ b/libs/peers/src/masticdale_peers/neighbours.py
@@ -47,10 +47,8 @@
         return order.ring
     ring_count = fan_out // _RING_DIVISOR
     successors = _nearest_successors(order.ring, is_live, ring_count)
-    weighted = (
-        h for h in order.by_weight if h not in successors and is_live(h)
-    )
-    return (*successors, *itertools.islice(weighted, fan_out - ring_count))
+    others = (h for h in order.by_weight if h not in successors and is_live(h))
+    return (*successors, *itertools.islice(others, fan_out - ring_count))
 
 
 def _nearest_successors(
