--- a/libs/rpc/src/masticdale_rpc/client.py
+++ b/libs/rpc/src/masticdale_rpc/client.py
@@ -200,9 +200,7 @@
             async with asyncio.timeout_at(deadline):
                 connection = await pool.acquire()
         except TimeoutError:
-            return self._unavailable(
-                rpc.name, "timed out waiting for a connection", sent=False
-            )
+            return self._unavailable(rpc.name, "no connection", sent=False)
         except OSError as error:
             return self._unavailable(rpc.name, repr(error), sent=False)
         return await self._exchange(pool, connection, rpc, request, deadline)
