--- a/libs/ledger/src/masticdale_ledger/reconciler.py
+++ b/libs/ledger/src/masticdale_ledger/reconciler.py
@@ -36,7 +36,7 @@
     ShardView,
 )
 from masticdale_platform import MUST_NOT_EXIST, ObjectStore
-from masticdale_rpc import was_sent
+from masticdale_rpc import may_have_been_sent
 
 # Interval of the reconciliation loop, in seconds.
 RECONCILE_INTERVAL_S = 0.2
@@ -398,7 +398,7 @@
         # accounts. Admitting turns here too would spend budgets twice, so the
         # shard waits for its takeover.
         if isinstance(outcome, Failed):
-            return not was_sent(failure)
+            return not may_have_been_sent(failure)
         return failure.kind is not ErrorKind.WRITE_UNKNOWN
 
     def _handover_targets(self) -> list[HostAddress]:
