--- a/apps/masticdaled/src/masticdaled/callers/entry.py
+++ b/apps/masticdaled/src/masticdaled/callers/entry.py
@@ -21,13 +21,13 @@
     decode_result,
     encode_operation,
 )
-from masticdaled.cluster import MOVING_KINDS, Cluster
+from masticdaled.cluster import FAILOVER_KINDS, Cluster
 
 _RETRY_FIRST_S = 0.02
 _RETRY_MOST_S = 0.5
 _SUBMIT_TIMEOUT_S = 2.5
 _READ_WAIT_MS = 1000
-_MOVING_KINDS = MOVING_KINDS | {ErrorKind.CONFLICT, ErrorKind.WRITE_UNKNOWN}
+_MOVING_KINDS = FAILOVER_KINDS | {ErrorKind.CONFLICT, ErrorKind.WRITE_UNKNOWN}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/apps/masticdaled/src/masticdaled/cluster.py
+++ b/apps/masticdaled/src/masticdaled/cluster.py
@@ -12,7 +12,7 @@
 _DIGEST_ROLE = "digest"
 
 # What the calls of a role answer while it moves to another host.
-MOVING_KINDS = frozenset({ErrorKind.NOT_OWNER, ErrorKind.PEER_UNAVAILABLE})
+FAILOVER_KINDS = frozenset({ErrorKind.NOT_OWNER, ErrorKind.PEER_UNAVAILABLE})
 
 
 class LocalCalls(PeerCalls):
--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -29,7 +29,7 @@
 )
 from masticdale_upstreams import Chunk, Completion, GenerateRequest
 from masticdaled.background import Background
-from masticdaled.cluster import MOVING_KINDS, Cluster
+from masticdaled.cluster import FAILOVER_KINDS, Cluster
 from masticdaled.directory import UpstreamDirectory
 from masticdaled.execution.crash_checks import DigestHomeClient
 from masticdaled.execution.placement import Placer
@@ -87,7 +87,7 @@
                 return outcome
             failure = outcome.failure()
             now = time.monotonic()
-            if failure.kind in MOVING_KINDS and now < call.deadline:
+            if failure.kind in FAILOVER_KINDS and now < call.deadline:
                 # A home is moving to another host. This wait does not count
                 # as a retry: a planned stop would otherwise exhaust the retry
                 # budget and fail calls.
--- a/apps/masticdaled/src/masticdaled/execution/placement.py
+++ b/apps/masticdaled/src/masticdaled/execution/placement.py
@@ -17,7 +17,7 @@
     choose_probes,
     place,
 )
-from masticdaled.cluster import MOVING_KINDS, Cluster
+from masticdaled.cluster import FAILOVER_KINDS, Cluster
 from masticdaled.directory import UpstreamDirectory
 from masticdaled.execution.runs import Run, prefix_note
 from masticdaled.execution.tool_pauses import PrefixOffloader
@@ -146,7 +146,7 @@
 
 
 def _is_moving(reply: ProbeReply) -> bool:
-    return reply.failure is not None and reply.failure.kind in MOVING_KINDS
+    return reply.failure is not None and reply.failure.kind in FAILOVER_KINDS
 
 
 def _candidate(
--- a/apps/masticdaled/src/masticdaled/execution/tickets.py
+++ b/apps/masticdaled/src/masticdaled/execution/tickets.py
@@ -15,7 +15,7 @@
     TicketRequest,
 )
 from masticdaled.background import Background
-from masticdaled.cluster import MOVING_KINDS, Cluster
+from masticdaled.cluster import FAILOVER_KINDS, Cluster
 
 _OFFER_INTERVAL_S = 1.0
 _MOVE_RETRY_S = 0.1
@@ -109,7 +109,7 @@
             if reply.granted or waiter.granted:
                 return Success(None)
             failure = reply.failure
-            if failure is not None and failure.kind not in MOVING_KINDS:
+            if failure is not None and failure.kind not in FAILOVER_KINDS:
                 return Failed(failure)
             pause_s = (
                 _OFFER_INTERVAL_S if reply.failure is None else _MOVE_RETRY_S
