--- a/apps/masticdaled/src/masticdaled/directory.py
+++ b/apps/masticdaled/src/masticdaled/directory.py
@@ -15,7 +15,7 @@
         self._in_force = in_force
         self._homes = homes
 
-    def may_get_work(self, upstream: RenderedUpstream) -> bool:
+    def accepts_work(self, upstream: RenderedUpstream) -> bool:
         """Returns False for an upstream that is drained or leaves."""
         is_leaving = self._homes.is_listed_leaving(upstream.replica)
         return not upstream.draining and not is_leaving
--- a/apps/masticdaled/src/masticdaled/execution/placement.py
+++ b/apps/masticdaled/src/masticdaled/execution/placement.py
@@ -113,7 +113,7 @@
         engines = [
             engine
             for engine in engines_of(workspace, run.call.model, config)
-            if self._directory.may_get_work(engine)
+            if self._directory.accepts_work(engine)
         ]
         untried = [e for e in engines if e.name not in run.failed_replicas]
         return untried or engines
--- a/apps/masticdaled/src/masticdaled/execution/service_calls.py
+++ b/apps/masticdaled/src/masticdaled/execution/service_calls.py
@@ -116,7 +116,7 @@
             for service in self._directory.services(
                 call.workspace, call.operation
             )
-            if self._directory.may_get_work(service)
+            if self._directory.accepts_work(service)
         ]
         self._rotation += 1
         first = self._rotation % max(1, len(services))
