--- a/apps/masticdaled/src/masticdaled/background.py
+++ b/apps/masticdaled/src/masticdaled/background.py
@@ -7,7 +7,7 @@
 from masticdale_common import logs
 
 
-class Background:
+class BackgroundTasks:
     """Tasks of one part."""
 
     def __init__(self) -> None:
--- a/apps/masticdaled/src/masticdaled/execution/crash_checks.py
+++ b/apps/masticdaled/src/masticdaled/execution/crash_checks.py
@@ -13,7 +13,7 @@
 from masticdale_peers import SuspectReply, SuspectRequest
 from masticdale_programs import TextSink
 from masticdale_routing import Admission
-from masticdaled.background import Background
+from masticdaled.background import BackgroundTasks
 from masticdaled.cluster import Cluster
 from masticdaled.execution.runs import Run
 
@@ -26,7 +26,7 @@
 class DigestHomeClient:
     """Requests admission from the homes of content digests."""
 
-    def __init__(self, cluster: Cluster, background: Background) -> None:
+    def __init__(self, cluster: Cluster, background: BackgroundTasks) -> None:
         self._cluster = cluster
         self._background = background
 
--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -28,7 +28,7 @@
     decide_retry,
 )
 from masticdale_upstreams import Chunk, Completion, GenerateRequest
-from masticdaled.background import Background
+from masticdaled.background import BackgroundTasks
 from masticdaled.cluster import FAILOVER_KINDS, Cluster
 from masticdaled.directory import UpstreamDirectory
 from masticdaled.execution.crash_checks import DigestHomeClient
@@ -64,7 +64,7 @@
         self._homes = homes
         self._metrics = metrics
         self._retry_budget_by_model: dict[str, RetryBudget] = {}
-        self._background = Background()
+        self._background = BackgroundTasks()
         directory = UpstreamDirectory(in_force, homes)
         self._placer = Placer(cluster, in_force, directory, offloader)
         self._digest_homes = DigestHomeClient(cluster, self._background)
--- a/apps/masticdaled/src/masticdaled/execution/tickets.py
+++ b/apps/masticdaled/src/masticdaled/execution/tickets.py
@@ -14,7 +14,7 @@
     TicketReply,
     TicketRequest,
 )
-from masticdaled.background import Background
+from masticdaled.background import BackgroundTasks
 from masticdaled.cluster import FAILOVER_KINDS, Cluster
 
 _OFFER_INTERVAL_S = 1.0
@@ -38,7 +38,7 @@
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
-        self._background = Background()
+        self._background = BackgroundTasks()
         self._waiter_by_ticket_id: dict[str, _Waiter] = {}
 
     def handle_grant(self, notice: GrantNotice) -> None:
--- a/apps/masticdaled/src/masticdaled/execution/tool_pauses.py
+++ b/apps/masticdaled/src/masticdaled/execution/tool_pauses.py
@@ -23,7 +23,7 @@
     PauseModel,
 )
 from masticdale_upstreams import ModelEngine
-from masticdaled.background import Background
+from masticdaled.background import BackgroundTasks
 
 _MAX_BRANCHES = 20_000
 _ANY_TOOL = ""
@@ -63,7 +63,7 @@
         self._paused_by_branch: collections.OrderedDict[
             BranchKey, _PausedBranch
         ] = collections.OrderedDict()
-        self._background = Background()
+        self._background = BackgroundTasks()
 
     def record_return(self, call: ModelCall) -> None:
         """Records the length of the pause that ends with a call."""
--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -35,7 +35,7 @@
     Ticket,
     create_replica_queue,
 )
-from masticdaled.background import Background
+from masticdaled.background import BackgroundTasks
 from masticdaled.cluster import Cluster
 from masticdaled.replicas.crash_reports import CrashReporter
 from masticdaled.replicas.home import (
@@ -73,7 +73,7 @@
         self._crash_reporter = CrashReporter(cluster, metrics)
         self._home_by_replica: dict[str, ReplicaHome] = {}
         self._leaving_names: frozenset[str] = frozenset()
-        self._background = Background()
+        self._background = BackgroundTasks()
 
     def set_leaving(self, names: Iterable[str]) -> None:
         """Sets the upstreams that the platform's list shows as leaving."""
