--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -42,9 +42,9 @@
 from masticdaled.following import ConfigFollower
 from masticdaled.handler import Handler, Parts
 from masticdaled.operators.access import create_access
-from masticdaled.operators.desk import OperatorDesk
+from masticdaled.operators.desk import DaemonOperatorContext
 from masticdaled.operators.listener import create_operator_app
-from masticdaled.operators.programs import ProgramsDesk
+from masticdaled.operators.programs import ProgramAdmin
 from masticdaled.replicas.crash_suspects import DigestHome
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.replicas.orders import OrderDispatcher
@@ -94,7 +94,7 @@
         )
         self.cluster = Cluster(settings.host, self.membership, self.peers)
         self.clients = UpstreamClients(self.metrics)
-        self.desk = TicketClient(self.cluster)
+        self.ticket_client = TicketClient(self.cluster)
         self.homes = ReplicaHomes(
             self.cluster,
             self.in_force,
@@ -106,12 +106,12 @@
             self.cluster,
             self.in_force,
             self.clients,
-            self.desk,
+            self.ticket_client,
             self.homes,
             PrefixOffloader(self.metrics),
             self.metrics,
         )
-        self.owners = OwnedShards(
+        self.owned_shards = OwnedShards(
             self.cluster,
             self.store,
             self.executor,
@@ -121,9 +121,9 @@
             self.metrics,
             PeerCopyHolders(self.cluster),
         )
-        self.suspects = DigestHome(self.store)
-        self.copy_desk = CopyService(CopyStore())
-        self.programs_desk = ProgramsDesk(settings.host, self.owners)
+        self.digest_home = DigestHome(self.store)
+        self.copy_service = CopyService(CopyStore())
+        self.program_admin = ProgramAdmin(settings.host, self.owned_shards)
         self.follower = ConfigFollower(
             self.cluster, self.store, self.in_force, self.metrics
         )
@@ -179,7 +179,7 @@
         stop = self.settings.stop
         self._leaving = True
         await asyncio.sleep(stop.unready_s)
-        await self.owners.stop(stop.finish_s)
+        await self.owned_shards.stop(stop.finish_s)
         for server in self._http_servers:
             server.should_exit = True
         await asyncio.gather(*self._http_tasks)
@@ -229,38 +229,38 @@
 
     def _members_changed(self, change: MembershipChange) -> None:
         self.homes.members_changed(change)
-        self.suspects.members_changed(change)
+        self.digest_home.members_changed(change)
         self.metrics.gauge("hosts_live", len(change.members))
 
     def _parts(self) -> Parts:
         return Parts(
             self.membership,
-            self.owners,
+            self.owned_shards,
             self.homes,
-            self.desk,
-            self.suspects,
-            self.programs_desk,
-            self.copy_desk,
+            self.ticket_client,
+            self.digest_home,
+            self.program_admin,
+            self.copy_service,
             self.in_force,
         )
 
     def _register_dumps(self) -> None:
         self.state_dump.register("membership", self.membership.state)
         self.state_dump.register("config", self.in_force.dump)
-        self.state_dump.register("shards", self.owners.dump)
+        self.state_dump.register("shards", self.owned_shards.dump)
         self.state_dump.register("homes", self.homes.dump)
-        self.state_dump.register("quarantine", self.suspects.dump)
+        self.state_dump.register("quarantine", self.digest_home.dump)
         self.state_dump.register("peers", self.peers.state)
         self.state_dump.register("timers", lambda: list(self.timers.names()))
 
     def _subscribe_timers(self) -> None:
         rows = (
-            ("owners", _OWNERS_PERIOD_S, self.owners.tick),
-            ("takeovers", _OWNERS_PERIOD_S, self.owners.open_assigned),
+            ("owners", _OWNERS_PERIOD_S, self.owned_shards.tick),
+            ("takeovers", _OWNERS_PERIOD_S, self.owned_shards.open_assigned),
             ("homes", _HOMES_PERIOD_S, self.homes.tick),
             ("config", _CONFIG_PERIOD_S, self.follower.tick),
             ("list", _LIST_PERIOD_S, self._read_list),
-            ("suspects", _SUSPECTS_PERIOD_S, self.suspects.tick),
+            ("suspects", _SUSPECTS_PERIOD_S, self.digest_home.tick),
             ("orphans", _ORPHANS_PERIOD_S, self.orphans.sweep),
         )
         for name, period_s, callback in rows:
@@ -279,20 +279,20 @@
         )
 
     def _operators_app(self) -> litestar.Litestar:
-        desk = OperatorDesk(
+        context = DaemonOperatorContext(
             self.settings.host,
             self.config_store,
             self.in_force,
             self.metrics,
             self.state_dump,
             self.cluster,
-            self.owners,
+            self.owned_shards,
             self.clients,
-            self.suspects,
+            self.digest_home,
             self._readiness,
         )
         access = create_access(self.settings.operator_tokens)
-        return create_operator_app(desk, access)
+        return create_operator_app(context, access)
 
     def _readiness(self) -> Readiness:
         if self._leaving:
@@ -304,7 +304,7 @@
     async def _host_paused(self, seconds: float) -> None:
         self.metrics.count("host_pauses_total")
         logs.write("checking_shards_after_pause", seconds=round(seconds, 3))
-        await self.owners.check_ownership()
+        await self.owned_shards.check_ownership()
 
     async def _serve_http(
         self, address: Address, app: litestar.Litestar
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -43,7 +43,7 @@
     encode_result,
 )
 from masticdaled.execution.tickets import TicketClient
-from masticdaled.operators.programs import ProgramsDesk
+from masticdaled.operators.programs import ProgramAdmin
 from masticdaled.replicas.crash_suspects import DigestHome
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.shards.copies import CopyService
@@ -55,12 +55,12 @@
     """The parts of the daemon that serve peers."""
 
     membership: Membership
-    owners: OwnedShards
+    owned_shards: OwnedShards
     homes: ReplicaHomes
-    desk: TicketClient
-    suspects: DigestHome
-    programs: ProgramsDesk
-    copies: CopyService
+    ticket_client: TicketClient
+    digest_home: DigestHome
+    program_admin: ProgramAdmin
+    copy_service: CopyService
     in_force: ConfigInForce
 
 
@@ -79,14 +79,14 @@
         operation = decode_operation(submission.operation)
         deadline = time.monotonic() + submission.deadline_ms / 1000
         caller = Caller(submission.workspace, deadline)
-        outcome = await self._parts().owners.submit(operation, caller)
+        outcome = await self._parts().owned_shards.submit(operation, caller)
         if isinstance(outcome, Failed):
             return SubmitReply(failure=outcome.failure())
         return SubmitReply(encode_result(outcome.unwrap()))
 
     async def read(self, request: ReadRequest) -> ReadReply:
         """See ``PeerHandler.read``."""
-        outcome = await self._parts().owners.read(
+        outcome = await self._parts().owned_shards.read(
             RequestKey(request.program_id, request.request_id),
             request.workspace,
             request.attempt,
@@ -123,7 +123,7 @@
 
     async def grant(self, notice: GrantNotice) -> Empty:
         """See ``PeerHandler.grant``."""
-        self._parts().desk.handle_grant(notice)
+        self._parts().ticket_client.handle_grant(notice)
         return Empty()
 
     async def probe(self, request: ProbeRequest) -> ProbeReply:
@@ -137,21 +137,21 @@
 
     async def put_copy(self, request: CopyRequest) -> CopyReply:
         """See ``PeerHandler.put_copy``."""
-        return self._parts().copies.put(request)
+        return self._parts().copy_service.put(request)
 
     async def seal_copies(self, request: SealRequest) -> SealReply:
         """See ``PeerHandler.seal_copies``."""
-        return self._parts().copies.seal(request)
+        return self._parts().copy_service.seal(request)
 
     async def suspect(self, request: SuspectRequest) -> SuspectReply:
         """See ``PeerHandler.suspect``."""
-        return await self._parts().suspects.handle(request)
+        return await self._parts().digest_home.handle(request)
 
     async def states(self, request: StatesRequest) -> StatesReply:
         """See ``PeerHandler.states``."""
-        gone = await self._parts().owners.gone_ids(request.program_ids)
+        gone = await self._parts().owned_shards.gone_ids(request.program_ids)
         return StatesReply(gone)
 
     async def programs(self, request: ProgramsRequest) -> ProgramsReply:
         """See ``PeerHandler.programs``."""
-        return await self._parts().programs.handle(request)
+        return await self._parts().program_admin.handle(request)
--- a/apps/masticdaled/src/masticdaled/operators/desk.py
+++ b/apps/masticdaled/src/masticdaled/operators/desk.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OperatorDesk:
+class DaemonOperatorContext:
     """The daemon's ``OperatorContext``.
 
     Attributes:
@@ -45,9 +45,9 @@
         metrics: The process's metrics.
         state_dump: The process's state dump.
         cluster: Finds hosts by role.
-        owners: The shards owned here.
+        owned_shards: The shards owned by this host.
         clients: Talks to upstreams.
-        suspects: The quarantine.
+        digest_home: The quarantine.
         find_readiness: Returns whether callers may be sent here.
     """
 
@@ -57,9 +57,9 @@
     metrics: Metrics
     state_dump: StateDump
     cluster: Cluster
-    owners: OwnedShards
+    owned_shards: OwnedShards
     clients: UpstreamClients
-    suspects: DigestHome
+    digest_home: DigestHome
     find_readiness: Callable[[], Readiness]
 
     def hosts(self) -> tuple[HostStatus, ...]:
@@ -130,17 +130,17 @@
         self,
     ) -> Result[tuple[QuarantinedRequest, ...], Failure]:
         """See ``OperatorContext.quarantined``."""
-        await self.suspects.refresh()
+        await self.digest_home.refresh()
         return Success(
             tuple(
                 QuarantinedRequest(record.digest, "", record.crashes, 0.0)
-                for record in self.suspects.quarantined()
+                for record in self.digest_home.quarantined()
             )
         )
 
     async def release_quarantined(self, digest: str) -> Result[None, Failure]:
         """See ``OperatorContext.release_quarantined``."""
-        if await self.suspects.release(digest):
+        if await self.digest_home.release(digest):
             return Success(None)
         return Failed(Failure(ErrorKind.NOT_FOUND, digest))
 
@@ -151,7 +151,7 @@
         if not 0 <= shard < hashing.SHARD_COUNT:
             detail = f"shard {shard}; there are {hashing.SHARD_COUNT}"
             return Failed(Failure(ErrorKind.NOT_FOUND, detail))
-        forced = await self.owners.force_takeover(shard)
+        forced = await self.owned_shards.force_takeover(shard)
         if isinstance(forced, Failed):
             return Failed(forced.failure())
         epoch = forced.unwrap().epoch
--- a/apps/masticdaled/src/masticdaled/operators/programs.py
+++ b/apps/masticdaled/src/masticdaled/operators/programs.py
@@ -16,12 +16,12 @@
 _RUNNING = "running"
 
 
-class ProgramsDesk:
+class ProgramAdmin:
     """Lists, shows and ends the programs owned here."""
 
-    def __init__(self, host: str, owners: OwnedShards) -> None:
+    def __init__(self, host: str, owned_shards: OwnedShards) -> None:
         self._host = host
-        self._owners = owners
+        self._owned_shards = owned_shards
 
     async def handle(self, request: ProgramsRequest) -> ProgramsReply:
         """Answers one question; see ``ProgramsRequest``."""
@@ -29,7 +29,7 @@
             return await self._one(request)
         wanted = [
             owned
-            for owned in self._owners.programs()
+            for owned in self._owned_shards.programs()
             if _is_wanted(owned, request)
         ]
         wanted.sort(key=lambda owned: owned.program.program_id)
@@ -37,7 +37,7 @@
         return ProgramsReply(tuple(self._encode(owned) for owned in page))
 
     async def _one(self, request: ProgramsRequest) -> ProgramsReply:
-        found = await self._owners.find_program(request.program_id)
+        found = await self._owned_shards.find_program(request.program_id)
         if isinstance(found, Failed):
             return ProgramsReply(failure=found.failure())
         owned = found.unwrap()
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -14,7 +14,7 @@
 from masticdaled.cluster import Cluster
 from masticdaled.execution.tickets import TicketClient
 from masticdaled.handler import Handler, Parts
-from masticdaled.operators.programs import ProgramsDesk
+from masticdaled.operators.programs import ProgramAdmin
 from masticdaled.replicas.crash_suspects import DigestHome
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.replicas.orders import OrderDispatcher
@@ -42,7 +42,7 @@
         name: Its name.
         membership: The hosts it sees.
         cluster: Calls by role.
-        owners: Its shards.
+        owned_shards: The shards it owns.
         homes: Its replicas' queues.
         entry: Its entry role.
         callers: What a callers' listener needs.
@@ -52,7 +52,7 @@
     name: str
     membership: Membership
     cluster: Cluster
-    owners: OwnedShards
+    owned_shards: OwnedShards
     homes: ReplicaHomes
     entry: Entry
     callers: CallersContext
@@ -62,7 +62,7 @@
         """Stops its parts."""
         await self.timers.close()
         await self.membership.close()
-        for shard in self.owners.owned_shards():
+        for shard in self.owned_shards.owned_shards():
             await shard.close()
         await self.homes.close()
 
@@ -104,7 +104,7 @@
         OrderDispatcher(store, name, metrics),
         metrics,
     )
-    owners = OwnedShards(
+    owned_shards = OwnedShards(
         cluster,
         store,
         executor,
@@ -116,11 +116,11 @@
     )
     parts = Parts(
         membership,
-        owners,
+        owned_shards,
         homes,
         TicketClient(cluster),
         DigestHome(store),
-        ProgramsDesk(name, owners),
+        ProgramAdmin(name, owned_shards),
         CopyService(CopyStore()),
         in_force,
     )
@@ -137,5 +137,5 @@
         metrics,
     )
     return MemoryHost(
-        name, membership, cluster, owners, homes, entry, callers, timers
+        name, membership, cluster, owned_shards, homes, entry, callers, timers
     )
