--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -42,7 +42,7 @@
 from masticdaled.following import ConfigFollower
 from masticdaled.handler import Handler, Parts
 from masticdaled.operators.access import create_access
-from masticdaled.operators.desk import DaemonOperatorContext
+from masticdaled.operators.context import DaemonOperatorContext
 from masticdaled.operators.listener import create_operator_app
 from masticdaled.operators.programs import ProgramAdmin
 from masticdaled.replicas.crash_suspects import DigestHome
