--- a/apps/masticdaled/src/masticdaled/background.py
+++ b/apps/masticdaled/src/masticdaled/background.py
@@ -17,7 +17,7 @@
         """Starts work; an exception of it is logged."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_done)
 
     async def close(self) -> None:
         """Cancels what runs and waits for it."""
@@ -26,7 +26,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _done(self, task: asyncio.Task[Any]) -> None:
+    def _on_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if task.cancelled():
             return
--- a/apps/masticdaled/src/masticdaled/callers/entry.py
+++ b/apps/masticdaled/src/masticdaled/callers/entry.py
@@ -23,15 +23,18 @@
 )
 from masticdaled.cluster import FAILOVER_KINDS, Cluster
 
-_RETRY_FIRST_S = 0.02
-_RETRY_MOST_S = 0.5
+_INITIAL_RETRY_DELAY_S = 0.02
+_MAX_RETRY_DELAY_S = 0.5
 _SUBMIT_TIMEOUT_S = 2.5
 _READ_WAIT_MS = 1000
-_MOVING_KINDS = FAILOVER_KINDS | {ErrorKind.CONFLICT, ErrorKind.WRITE_UNKNOWN}
+_RETRYABLE_KINDS = FAILOVER_KINDS | {
+    ErrorKind.CONFLICT,
+    ErrorKind.WRITE_UNKNOWN,
+}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Request:
+class OperationRequest:
     """One caller's operation at its entry host.
 
     Attributes:
@@ -46,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TextPart:
+class TextDelta:
     """New text for the caller.
 
     Attributes:
@@ -59,30 +62,30 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Final:
+class FinalOutcome:
     """A call's final outcome."""
 
     outcome: Result[Outcome, Failure]
 
 
 @dataclasses.dataclass(slots=True)
-class _Reader:
+class _ReadState:
     """How much of an answer the caller has."""
 
     attempt: int = 0
     text: str = ""
 
 
-class Entry:
+class OperationForwarder:
     """Forwards operations; asks again under the same request id on trouble."""
 
     def __init__(self, cluster: Cluster, metrics: Metrics) -> None:
         self._cluster = cluster
         self._metrics = metrics
-        self._hint_by_shard: dict[int, str] = {}
+        self._owner_hint_by_shard: dict[int, str] = {}
 
     async def submit(
-        self, request: Request
+        self, request: OperationRequest
     ) -> Result[OperationResult, Failure]:
         """Takes an operation to its owner, wherever the owner has moved.
 
@@ -90,25 +93,27 @@
         on the way is asked for again.
         """
         shard = hashing.shard_of(request.operation.program_id)
-        delay_s = _RETRY_FIRST_S
+        delay_s = _INITIAL_RETRY_DELAY_S
         while True:
             outcome = await self._submit_once(request, shard)
             if isinstance(outcome, Success):
                 return outcome
             failure = outcome.failure()
-            if failure.kind not in _MOVING_KINDS:
+            if failure.kind not in _RETRYABLE_KINDS:
                 return outcome
             if time.monotonic() + delay_s > request.deadline:
-                return Failed(_unanswered(failure))
+                return Failed(_owner_unavailable(failure))
             if failure.host:
-                self._hint_by_shard[shard] = failure.host
+                self._owner_hint_by_shard[shard] = failure.host
                 self._metrics.count("entry_redirects_total")
             else:
-                self._hint_by_shard.pop(shard, None)
+                self._owner_hint_by_shard.pop(shard, None)
             await asyncio.sleep(delay_s)
-            delay_s = min(delay_s * 2, _RETRY_MOST_S)
+            delay_s = min(delay_s * 2, _MAX_RETRY_DELAY_S)
 
-    async def follow(self, request: Request) -> AsyncIterator[TextPart | Final]:
+    async def follow(
+        self, request: OperationRequest
+    ) -> AsyncIterator[TextDelta | FinalOutcome]:
         """Yields an accepted call's text as it comes, then its outcome.
 
         Args:
@@ -117,108 +122,108 @@
         operation = request.operation
         assert isinstance(operation, SendTurn | CallService)
         key = RequestKey(operation.program_id, operation.request_id)
-        reader = _Reader()
+        state = _ReadState()
         while True:
             if time.monotonic() > request.deadline:
-                yield Final(Failed(Failure(ErrorKind.TIMED_OUT)))
+                yield FinalOutcome(Failed(Failure(ErrorKind.TIMED_OUT)))
                 return
-            reply = await self._read(request, key, reader)
+            reply = await self._read_once(request, key, state)
             if reply.refused:
                 outcome = await self.submit(request)
                 if isinstance(outcome, Failed):
-                    yield Final(Failed(outcome.failure()))
+                    yield FinalOutcome(Failed(outcome.failure()))
                     return
                 continue
-            part = _new_text(reply, reader)
-            if part.text or part.restart:
-                yield part
+            delta = _next_delta(reply, state)
+            if delta.text or delta.restart:
+                yield delta
             if not reply.done:
                 continue
-            if _is_moving(reply):
+            if _is_retryable(reply):
                 # The owner was deposed while the call ran: the next one has
                 # no outcome of it and runs it again.
                 outcome = await self.submit(request)
                 if isinstance(outcome, Failed):
-                    yield Final(Failed(outcome.failure()))
+                    yield FinalOutcome(Failed(outcome.failure()))
                     return
                 continue
-            yield Final(_final(reply))
+            yield FinalOutcome(_decode_outcome(reply))
             return
 
     async def _submit_once(
-        self, request: Request, shard: int
+        self, request: OperationRequest, shard: int
     ) -> Result[OperationResult, Failure]:
-        host = self._holder(shard)
-        left_ms = int((request.deadline - time.monotonic()) * 1000)
+        host = self._owner_of(shard)
+        remaining_ms = int((request.deadline - time.monotonic()) * 1000)
         submission = Submission(
             encode_operation(request.operation),
             request.workspace,
-            left_ms,
+            remaining_ms,
             self._cluster.host,
         )
         calls = self._cluster.calls(host)
         outcome = await calls.submit(submission, _SUBMIT_TIMEOUT_S)
         if isinstance(outcome, Failed):
-            self._hint_by_shard.pop(shard, None)
+            self._owner_hint_by_shard.pop(shard, None)
             return Failed(outcome.failure())
         reply = outcome.unwrap()
         if reply.failure is not None:
             return Failed(reply.failure)
         return Success(decode_result(reply.result))
 
-    async def _read(
-        self, request: Request, key: RequestKey, reader: _Reader
+    async def _read_once(
+        self, request: OperationRequest, key: RequestKey, state: _ReadState
     ) -> ReadReply:
         shard = hashing.shard_of(key.program_id)
-        left_ms = max(0, int((request.deadline - time.monotonic()) * 1000))
+        remaining_ms = max(0, int((request.deadline - time.monotonic()) * 1000))
         message = ReadRequest(
             key.program_id,
             key.request_id,
-            len(reader.text),
-            min(_READ_WAIT_MS, left_ms),
-            reader.attempt,
+            len(state.text),
+            min(_READ_WAIT_MS, remaining_ms),
+            state.attempt,
             request.workspace,
         )
-        calls = self._cluster.calls(self._holder(shard))
+        calls = self._cluster.calls(self._owner_of(shard))
         outcome = await calls.read(message)
         if isinstance(outcome, Failed):
-            self._hint_by_shard.pop(shard, None)
+            self._owner_hint_by_shard.pop(shard, None)
             return ReadReply(failure=outcome.failure(), refused=True)
         return outcome.unwrap()
 
-    def _holder(self, shard: int) -> str:
-        hint = self._hint_by_shard.get(shard)
+    def _owner_of(self, shard: int) -> str:
+        hint = self._owner_hint_by_shard.get(shard)
         if hint is not None and hint in self._cluster.membership.live_names():
             return hint
         return self._cluster.owner_of_shard(shard)
 
 
-def _new_text(reply: ReadReply, reader: _Reader) -> TextPart:
+def _next_delta(reply: ReadReply, state: _ReadState) -> TextDelta:
     """Returns what the caller lacks and notes that it has it."""
-    if reply.attempt == reader.attempt and reply.offset == len(reader.text):
-        reader.text += reply.text
-        return TextPart(False, reply.text)
+    if reply.attempt == state.attempt and reply.offset == len(state.text):
+        state.text += reply.text
+        return TextDelta(False, reply.text)
     # Another attempt, or the committed answer, whole: where it goes on from
     # what the caller has, nothing is void.
-    known = reader.text
-    reader.attempt = reply.attempt
-    reader.text = reply.text
-    if reply.text.startswith(known):
-        return TextPart(False, reply.text[len(known) :])
-    return TextPart(True, reply.text)
+    received = state.text
+    state.attempt = reply.attempt
+    state.text = reply.text
+    if reply.text.startswith(received):
+        return TextDelta(False, reply.text[len(received) :])
+    return TextDelta(True, reply.text)
 
 
-def _is_moving(reply: ReadReply) -> bool:
-    return reply.failure is not None and reply.failure.kind in _MOVING_KINDS
+def _is_retryable(reply: ReadReply) -> bool:
+    return reply.failure is not None and reply.failure.kind in _RETRYABLE_KINDS
 
 
-def _final(reply: ReadReply) -> Result[Outcome, Failure]:
+def _decode_outcome(reply: ReadReply) -> Result[Outcome, Failure]:
     if reply.failure is not None:
         return Failed(reply.failure)
     return Success(decode_outcome(reply.result))
 
 
-def _unanswered(failure: Failure) -> Failure:
+def _owner_unavailable(failure: Failure) -> Failure:
     """Returns what a caller is told who waited in vain for the owner.
 
     An owner that died may have accepted the call, so nothing may say that it
--- a/apps/masticdaled/src/masticdaled/callers/limits.py
+++ b/apps/masticdaled/src/masticdaled/callers/limits.py
@@ -18,7 +18,7 @@
     def __init__(self, cluster: Cluster, in_force: ConfigInForce) -> None:
         self._cluster = cluster
         self._in_force = in_force
-        self._gate_by_workspace: dict[str, HostShareLimiter] = {}
+        self._limiter_by_workspace: dict[str, HostShareLimiter] = {}
 
     def begin(self, workspace_name: str, turn_id: str) -> Result[None, Failure]:
         """Begins a call within this host's share of the limits.
@@ -30,15 +30,15 @@
         if workspace is None:
             return Success(None)
         now = time.monotonic()
-        return self._gate(workspace, now).begin(turn_id, now)
+        return self._current_limiter(workspace, now).begin(turn_id, now)
 
     def end(self, workspace_name: str, turn_id: str) -> None:
         """Ends a call; one that never began is ignored."""
-        gate = self._gate_by_workspace.get(workspace_name)
-        if gate is not None:
-            gate.end(turn_id)
+        limiter = self._limiter_by_workspace.get(workspace_name)
+        if limiter is not None:
+            limiter.end(turn_id)
 
-    def _gate(
+    def _current_limiter(
         self, workspace: RenderedWorkspace, now: float
     ) -> HostShareLimiter:
         limits = WorkspaceLimits(
@@ -52,10 +52,10 @@
             self._cluster.host,
             self._cluster.membership.owner_names(),
         )
-        gate = self._gate_by_workspace.get(workspace.name)
-        if gate is None:
-            gate = HostShareLimiter(share, now)
-            self._gate_by_workspace[workspace.name] = gate
-            return gate
-        gate.update_share(share, now)
-        return gate
+        limiter = self._limiter_by_workspace.get(workspace.name)
+        if limiter is None:
+            limiter = HostShareLimiter(share, now)
+            self._limiter_by_workspace[workspace.name] = limiter
+            return limiter
+        limiter.update_share(share, now)
+        return limiter
--- a/apps/masticdaled/src/masticdaled/callers/listener.py
+++ b/apps/masticdaled/src/masticdaled/callers/listener.py
@@ -40,7 +40,12 @@
     error_response,
     exception_handlers,
 )
-from masticdaled.callers.entry import Entry, Final, Request, TextPart
+from masticdaled.callers.entry import (
+    FinalOutcome,
+    OperationForwarder,
+    OperationRequest,
+    TextDelta,
+)
 from masticdaled.callers.limits import WorkspaceLimiter
 from masticdaled.callers.models import (
     CallAnswerBody,
@@ -74,7 +79,7 @@
 class CallersContext:
     """What the callers' listener stands on."""
 
-    entry: Entry
+    forwarder: OperationForwarder
     in_force: ConfigInForce
     limiter: WorkspaceLimiter
     readiness: Readiness
@@ -82,7 +87,7 @@
     metrics: Metrics
 
 
-class _RefusedError(Exception):
+class _RequestFailedError(Exception):
     """Carries a failure out of a route."""
 
     def __init__(self, failure: Failure) -> None:
@@ -90,7 +95,9 @@
         self.failure = failure
 
 
-def _refused(request: AnyRequest, error: _RefusedError) -> Any:
+def _handle_request_failed(
+    request: AnyRequest, error: _RequestFailedError
+) -> Any:
     return error_response(error.failure)
 
 
@@ -110,10 +117,12 @@
         kind = find_kind(config, workspace.name, data.program)
         if kind is None:
             detail = f"program kind {data.program!r}"
-            raise _RefusedError(Failure(ErrorKind.NOT_FOUND, detail))
-        program_id = program_id_of(workspace.name, data.request_id)
+            raise _RequestFailedError(Failure(ErrorKind.NOT_FOUND, detail))
+        program_id = derive_program_id(workspace.name, data.request_id)
         operation = CreateProgram(program_id, kind)
-        return await _ask(request, workspace, operation, data.deadline_ms)
+        return await _submit_operation(
+            request, workspace, operation, data.deadline_ms
+        )
 
     @litestar.get("/{program_id:str}", summary="Read a program's status")
     async def get_status(
@@ -125,7 +134,7 @@
         """Reads status and, with ``history=BRANCH``, a branch's history."""
         workspace = _authenticate(request)
         operation = GetProgram(program_id, history)
-        return await _ask(request, workspace, operation, None)
+        return await _submit_operation(request, workspace, operation, None)
 
     @litestar.post("/{program_id:str}/branches", summary="Open a branch")
     async def open_branch(
@@ -137,7 +146,9 @@
         """Opens a sub-agent's branch, which shares the program's budget."""
         workspace = _authenticate(request)
         operation = OpenBranch(program_id, data.branch, data.parent)
-        return await _ask(request, workspace, operation, data.deadline_ms)
+        return await _submit_operation(
+            request, workspace, operation, data.deadline_ms
+        )
 
     @litestar.post("/{program_id:str}/end", summary="End a program")
     async def end(
@@ -149,7 +160,9 @@
         """Ends a program and releases the engine memory held for it."""
         workspace = _authenticate(request)
         operation = EndProgram(program_id)
-        return await _ask(request, workspace, operation, data.deadline_ms)
+        return await _submit_operation(
+            request, workspace, operation, data.deadline_ms
+        )
 
     @litestar.post(
         "/{program_id:str}/turns", summary="Send a turn", status_code=200
@@ -171,8 +184,8 @@
         )
         call = _call_request(request, operation, data.deadline_ms)
         if data.stream:
-            return ServerSentEvent(_events(request, call))
-        return _whole(await _run(request, call))
+            return ServerSentEvent(_event_stream(request, call))
+        return _json_response(await _run_call(request, call))
 
     @litestar.post(
         "/{program_id:str}/calls", summary="Call a service", status_code=200
@@ -193,10 +206,10 @@
             data.sequence,
         )
         call = _call_request(request, operation, data.deadline_ms)
-        return _whole(await _run(request, call))
+        return _json_response(await _run_call(request, call))
 
 
-def program_id_of(workspace: str, request_id: str) -> str:
+def derive_program_id(workspace: str, request_id: str) -> str:
     """Returns the id of the program that a request id begins.
 
     Derived rather than drawn, so that a create sent again, at any host, names
@@ -222,7 +235,10 @@
 
     app = litestar.Litestar(
         [CallersController, healthz, readyz],
-        exception_handlers={**exception_handlers(), _RefusedError: _refused},
+        exception_handlers={
+            **exception_handlers(),
+            _RequestFailedError: _handle_request_failed,
+        },
         logging_config=None,
         request_max_body_size=context.settings.max_bytes,
     )
@@ -241,7 +257,7 @@
     config = _context(request).in_force.current
     workspace = config.workspace_by_caller_digest.get(caller_key_digest(key))
     if workspace is None or not header.startswith(_BEARER):
-        raise _RefusedError(Failure(ErrorKind.UNAUTHENTICATED))
+        raise _RequestFailedError(Failure(ErrorKind.UNAUTHENTICATED))
     return workspace
 
 
@@ -250,39 +266,39 @@
     workspace: RenderedWorkspace,
     operation: Operation,
     deadline_ms: int | None,
-) -> Request:
+) -> OperationRequest:
     settings = _context(request).settings
-    asked_ms = deadline_ms or settings.default_deadline_ms
-    allowed_ms = min(asked_ms, settings.max_deadline_ms)
+    requested_ms = deadline_ms or settings.default_deadline_ms
+    allowed_ms = min(requested_ms, settings.max_deadline_ms)
     deadline = time.monotonic() + allowed_ms / _MS
-    return Request(operation, workspace.name, deadline)
+    return OperationRequest(operation, workspace.name, deadline)
 
 
 def _call_request(
     request: AnyRequest,
     operation: SendTurn | CallService,
     deadline_ms: int | None,
-) -> Request:
+) -> OperationRequest:
     workspace = _authenticate(request)
     return _entry_request(request, workspace, operation, deadline_ms)
 
 
-async def _ask(
+async def _submit_operation(
     request: AnyRequest,
     workspace: RenderedWorkspace,
     operation: Operation,
     deadline_ms: int | None,
 ) -> ProgramBody:
     message = _entry_request(request, workspace, operation, deadline_ms)
-    outcome = await _context(request).entry.submit(message)
+    outcome = await _context(request).forwarder.submit(message)
     if isinstance(outcome, Failed):
-        raise _RefusedError(outcome.failure())
+        raise _RequestFailedError(outcome.failure())
     return _program_body(outcome.unwrap())
 
 
-async def _follow(
-    request: AnyRequest, call: Request
-) -> AsyncIterator[TextPart | Final]:
+async def _follow_call(
+    request: AnyRequest, call: OperationRequest
+) -> AsyncIterator[TextDelta | FinalOutcome]:
     """Submits a call within its workspace's limits and follows its answer."""
     context = _context(request)
     operation = call.operation
@@ -291,17 +307,19 @@
     turn_id = f"{operation.program_id}/{operation.request_id}"
     begun = context.limiter.begin(call.workspace, turn_id)
     if isinstance(begun, Failed):
-        yield Final(Failed(begun.failure()))
+        yield FinalOutcome(Failed(begun.failure()))
         return
     kind = "none"
     try:
-        accepted = await context.entry.submit(call)
+        accepted = await context.forwarder.submit(call)
         if isinstance(accepted, Failed):
             kind = accepted.failure().kind.value
-            yield Final(Failed(accepted.failure()))
+            yield FinalOutcome(Failed(accepted.failure()))
             return
-        async for part in context.entry.follow(call):
-            if isinstance(part, Final) and isinstance(part.outcome, Failed):
+        async for part in context.forwarder.follow(call):
+            if isinstance(part, FinalOutcome) and isinstance(
+                part.outcome, Failed
+            ):
                 kind = part.outcome.failure().kind.value
             yield part
     finally:
@@ -321,18 +339,20 @@
         )
 
 
-async def _run(request: AnyRequest, call: Request) -> Result[Outcome, Failure]:
-    async for part in _follow(request, call):
-        if isinstance(part, Final):
+async def _run_call(
+    request: AnyRequest, call: OperationRequest
+) -> Result[Outcome, Failure]:
+    async for part in _follow_call(request, call):
+        if isinstance(part, FinalOutcome):
             return part.outcome
     return Failed(Failure(ErrorKind.INTERNAL))
 
 
-async def _events(
-    request: AnyRequest, call: Request
+async def _event_stream(
+    request: AnyRequest, call: OperationRequest
 ) -> AsyncIterator[ServerSentEventMessage]:
-    async for part in _follow(request, call):
-        if isinstance(part, TextPart):
+    async for part in _follow_call(request, call):
+        if isinstance(part, TextDelta):
             name = "restart" if part.restart else "text"
             data = json.dumps({"text": part.text})
             yield ServerSentEventMessage(event=name, data=data)
@@ -343,11 +363,11 @@
                 event="done", data=body.model_dump_json()
             )
             continue
-        told = orjson.dumps(error_body(part.outcome.failure()))
-        yield ServerSentEventMessage(event="error", data=told.decode())
+        error_json = orjson.dumps(error_body(part.outcome.failure()))
+        yield ServerSentEventMessage(event="error", data=error_json.decode())
 
 
-def _whole(outcome: Result[Outcome, Failure]) -> Any:
+def _json_response(outcome: Result[Outcome, Failure]) -> Any:
     if isinstance(outcome, Failed):
         return error_response(outcome.failure())
     return litestar.Response(outcome_body(outcome.unwrap()))
--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -32,7 +32,7 @@
 from masticdale_platform.client import PlatformClient
 from masticdale_programs import CopyStore, ShardSettings
 from masticdale_rpc import RpcServer
-from masticdaled.callers.entry import Entry
+from masticdaled.callers.entry import OperationForwarder
 from masticdaled.callers.limits import WorkspaceLimiter
 from masticdaled.callers.listener import CallersContext, create_callers_app
 from masticdaled.cluster import Cluster
@@ -55,13 +55,13 @@
 from masticdaled.upstream_clients import UpstreamClients
 
 _PEER_CONNECTIONS = 256
-_OWNERS_PERIOD_S = 0.5
+_SHARDS_PERIOD_S = 0.5
 _HOMES_PERIOD_S = 1.0
 _CONFIG_PERIOD_S = 0.25
-_LIST_PERIOD_S = 1.0
-_SUSPECTS_PERIOD_S = 1.0
+_HOST_LIST_PERIOD_S = 1.0
+_QUARANTINE_PERIOD_S = 1.0
 _ORPHANS_PERIOD_S = 5.0
-_POLL_S = 0.05
+_STARTUP_POLL_S = 0.05
 _KEEP_ALIVE_S = 120
 
 
@@ -87,7 +87,7 @@
             PoolLimits(connections=_PEER_CONNECTIONS),
         )
         self.membership = join(
-            self._own_beat,
+            self._own_heartbeat,
             [peer.name for peer in settings.other_peers],
             self.peers,
             self.timers,
@@ -130,7 +130,7 @@
         self.orphans = OrphanSweeper(
             self.cluster, self.homes, self.clients, self.metrics
         )
-        self.entry = Entry(self.cluster, self.metrics)
+        self.forwarder = OperationForwarder(self.cluster, self.metrics)
         self.handler = Handler(self._parts)
         self._leaving = False
         self._started = False
@@ -153,14 +153,14 @@
         self.membership.subscribe(self._members_changed)
         self.membership.subscribe_pause(self._host_paused)
         self.membership.start()
-        await self._hear_peers()
+        await self._exchange_heartbeats()
         await self.follower.start()
         # A full collection walks every declaration and stalls the loop for
         # hundreds of milliseconds at 4,600 workspaces; what is loaded at the
         # start stays, so the collector need not look at it again.
         gc.collect()
         gc.freeze()
-        await self._read_list()
+        await self._refresh_host_list()
         self._register_dumps()
         self._subscribe_timers()
         await self._serve_http(settings.operators, self._operators_app())
@@ -198,7 +198,7 @@
         await self.clients.close()
         await self.store.close()
 
-    async def _hear_peers(self) -> None:
+    async def _exchange_heartbeats(self) -> None:
         """Waits for one round of heartbeats.
 
         Alone in its own eyes, a starting host would own every shard.
@@ -206,7 +206,7 @@
         names = [peer.name for peer in self.settings.other_peers]
         await asyncio.gather(*(self.membership.beat(name) for name in names))
 
-    async def _read_list(self) -> None:
+    async def _refresh_host_list(self) -> None:
         outcome = await self.store.hosts()
         if not isinstance(outcome, Success):
             return
@@ -214,7 +214,7 @@
         self.membership.set_listed(listed)
         self.homes.set_leaving(item.name for item in listed if item.leaving)
 
-    def _own_beat(self) -> Heartbeat:
+    def _own_heartbeat(self) -> Heartbeat:
         return Heartbeat(
             host=self.settings.host,
             domain=self.settings.domain,
@@ -255,12 +255,12 @@
 
     def _subscribe_timers(self) -> None:
         rows = (
-            ("owners", _OWNERS_PERIOD_S, self.owned_shards.tick),
-            ("takeovers", _OWNERS_PERIOD_S, self.owned_shards.open_assigned),
+            ("owners", _SHARDS_PERIOD_S, self.owned_shards.tick),
+            ("takeovers", _SHARDS_PERIOD_S, self.owned_shards.open_assigned),
             ("homes", _HOMES_PERIOD_S, self.homes.tick),
             ("config", _CONFIG_PERIOD_S, self.follower.tick),
-            ("list", _LIST_PERIOD_S, self._read_list),
-            ("suspects", _SUSPECTS_PERIOD_S, self.digest_home.tick),
+            ("list", _HOST_LIST_PERIOD_S, self._refresh_host_list),
+            ("suspects", _QUARANTINE_PERIOD_S, self.digest_home.tick),
             ("orphans", _ORPHANS_PERIOD_S, self.orphans.sweep),
         )
         for name, period_s, callback in rows:
@@ -269,7 +269,7 @@
     def _callers_app(self) -> litestar.Litestar:
         return create_callers_app(
             CallersContext(
-                self.entry,
+                self.forwarder,
                 self.in_force,
                 WorkspaceLimiter(self.cluster, self.in_force),
                 self,
@@ -326,7 +326,7 @@
         self._http_servers.append(server)
         self._http_tasks.append(asyncio.create_task(server.serve()))
         while not server.started:
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_STARTUP_POLL_S)
 
 
 class _HttpServer(uvicorn.Server):
--- a/apps/masticdaled/src/masticdaled/following.py
+++ b/apps/masticdaled/src/masticdaled/following.py
@@ -16,7 +16,7 @@
 from masticdale_platform import ObjectStore
 from masticdaled.cluster import Cluster
 
-WATCHERS = 3
+WATCHER_COUNT = 3
 _WATCH_KEY = "config-watch"
 
 
@@ -35,12 +35,12 @@
         self._in_force = in_force
         self._metrics = metrics
         self._watch_task: asyncio.Task[None] | None = None
-        self._started = False
+        self._loaded = False
 
     @property
     def is_loaded(self) -> bool:
         """True once this host knows what is in force."""
-        return self._started
+        return self._loaded
 
     async def start(self) -> None:
         """Learns the newest revision before this host serves.
@@ -50,7 +50,7 @@
         live peers and the platform, and waits until one of them answers.
         """
         members = self._cluster.membership.members()
-        self._started = await learn_newest(
+        self._loaded = await learn_newest(
             self._store,
             self._in_force,
             {m.name: self._source(m.name) for m in members if not m.is_self},
@@ -58,11 +58,11 @@
 
     async def tick(self) -> None:
         """Watches or asks a peer that has more; run a few times a second."""
-        if not self._started:
+        if not self._loaded:
             await self.start()
             return
-        self._watch_if_chosen()
-        await self._ask_newest_peer()
+        self._update_watch()
+        await self._fetch_from_peers()
 
     async def close(self) -> None:
         """Stops watching."""
@@ -72,10 +72,10 @@
         await asyncio.gather(self._watch_task, return_exceptions=True)
         self._watch_task = None
 
-    def _watch_if_chosen(self) -> None:
+    def _update_watch(self) -> None:
         names = self._cluster.membership.live_names()
-        chosen = hashing.rank(_WATCH_KEY, names)[:WATCHERS]
-        if self._cluster.host not in chosen:
+        watchers = hashing.rank(_WATCH_KEY, names)[:WATCHER_COUNT]
+        if self._cluster.host not in watchers:
             if self._watch_task is not None:
                 self._watch_task.cancel()
                 self._watch_task = None
@@ -84,7 +84,7 @@
             watcher = ConfigWatcher(self._store, self._in_force, self._metrics)
             self._watch_task = asyncio.create_task(watcher.run())
 
-    async def _ask_newest_peer(self) -> None:
+    async def _fetch_from_peers(self) -> None:
         own = self._in_force.number
         ahead = {
             member.name: self._source(member.name)
--- a/apps/masticdaled/src/masticdaled/operators/access.py
+++ b/apps/masticdaled/src/masticdaled/operators/access.py
@@ -59,7 +59,7 @@
     name: str
     role: Role
 
-    def may(self, role: Role) -> bool:
+    def has_role(self, role: Role) -> bool:
         """Returns whether the operator may do what a role allows."""
         return self.role is Role.OPERATE or role is Role.READ
 
@@ -101,11 +101,11 @@
         if not authorization.lower().startswith(_SCHEME):
             detail = "send the header 'Authorization: Bearer TOKEN'"
             return Failed(Failure(ErrorKind.UNAUTHENTICATED, detail))
-        shown = token_digest(authorization[len(_SCHEME) :].strip())
+        presented = token_digest(authorization[len(_SCHEME) :].strip())
         # The digest is compared, not the token, so the time this takes tells
         # nothing that helps to guess one.
         for digest, operator in self._operator_by_digest.items():
-            if hmac.compare_digest(digest, shown):
+            if hmac.compare_digest(digest, presented):
                 return Success(operator)
         detail = "the token is not among this host's settings"
         return Failed(Failure(ErrorKind.UNAUTHENTICATED, detail))
@@ -140,6 +140,6 @@
     return hashlib.sha256(token.encode()).hexdigest()
 
 
-def record(entry: AuditEntry) -> None:
+def write_audit_entry(entry: AuditEntry) -> None:
     """Writes one line of the audit log."""
     logs.write(AUDIT, **dataclasses.asdict(entry))
--- a/apps/masticdaled/src/masticdaled/operators/context.py
+++ b/apps/masticdaled/src/masticdaled/operators/context.py
@@ -80,35 +80,35 @@
         return self.find_readiness()
 
     async def list_programs(
-        self, wanted: ProgramFilter
+        self, selection: ProgramFilter
     ) -> Result[ProgramPage, Failure]:
         """See ``OperatorContext.list_programs``."""
         request = ProgramsRequest(
-            workspace=wanted.workspace,
-            state=wanted.state,
-            after=wanted.after,
-            limit=wanted.limit + 1,
+            workspace=selection.workspace,
+            state=selection.state,
+            after=selection.after,
+            limit=selection.limit + 1,
         )
         hosts = self.cluster.membership.live_names()
         outcomes = await asyncio.gather(
             *(self.cluster.calls(host).programs(request) for host in hosts)
         )
         summaries: list[ProgramSummary] = []
-        unanswered: list[str] = []
+        unreachable_hosts: list[str] = []
         for host, outcome in zip(hosts, outcomes, strict=True):
             if isinstance(outcome, Failed):
-                unanswered.append(host)
+                unreachable_hosts.append(host)
                 continue
             details = map(decode_detail, outcome.unwrap().details)
             summaries.extend(detail.summary for detail in details)
         summaries.sort(key=lambda summary: summary.program_id)
-        page = tuple(summaries[: wanted.limit])
+        page = tuple(summaries[: selection.limit])
         has_more = len(summaries) > len(page)
         return Success(
             ProgramPage(
                 page,
                 page[-1].program_id if has_more and page else "",
-                tuple(unanswered),
+                tuple(unreachable_hosts),
             )
         )
 
--- a/apps/masticdaled/src/masticdaled/operators/guarding.py
+++ b/apps/masticdaled/src/masticdaled/operators/guarding.py
@@ -58,9 +58,9 @@
             raise MasticdaleError(identified.failure())
         operator = identified.unwrap()
         connection.state[_OPERATOR_KEY] = operator
-        wanted = handler.opt.get("role", Role.READ)
-        if not operator.may(wanted):
-            detail = f"it has the role {operator.role}; this needs {wanted}"
+        required = handler.opt.get("role", Role.READ)
+        if not operator.has_role(required):
+            detail = f"it has the role {operator.role}; this needs {required}"
             raise MasticdaleError(Failure(ErrorKind.FORBIDDEN, detail))
 
     return guard
@@ -79,7 +79,7 @@
         request: The request that asked for it.
         detail: What it changed.
     """
-    access_lib.record(
+    access_lib.write_audit_entry(
         AuditEntry(
             operator=operator_of(request).name,
             action=f"{request.method} {request.url.path}",
@@ -90,7 +90,7 @@
     )
 
 
-def create_refusal_audit(
+def create_rejection_audit(
     metrics: Metrics,
 ) -> Callable[[Exception, Scope], Awaitable[None]]:
     """Returns what records refused changes and refused access.
@@ -99,16 +99,16 @@
         metrics: Counts the refusals by their kind.
     """
 
-    async def audit_refusal(error: Exception, scope: Scope) -> None:
+    async def audit_rejection(error: Exception, scope: Scope) -> None:
         handler = scope.get("route_handler")
-        changes = handler is not None and "role" in handler.opt
+        is_change = handler is not None and "role" in handler.opt
         failure = answers.failure_of(error)
-        if not changes and failure.kind not in _ACCESS_KINDS:
+        if not is_change and failure.kind not in _ACCESS_KINDS:
             return
         metrics.count("operator_refusals_total", kind=failure.kind.value)
         operator: Operator | None = scope.get("state", {}).get(_OPERATOR_KEY)
         client = scope.get("client")
-        access_lib.record(
+        access_lib.write_audit_entry(
             AuditEntry(
                 operator=operator.name if operator else UNKNOWN_OPERATOR,
                 action=f"{scope.get('method', '')} {scope['path']}",
@@ -118,4 +118,4 @@
             )
         )
 
-    return audit_refusal
+    return audit_rejection
--- a/apps/masticdaled/src/masticdaled/operators/listener.py
+++ b/apps/masticdaled/src/masticdaled/operators/listener.py
@@ -59,7 +59,7 @@
     OperatorRequest,
     audit_accepted,
     create_guard,
-    create_refusal_audit,
+    create_rejection_audit,
     operator_of,
 )
 from masticdaled.operators.models import OperatorContext
@@ -93,7 +93,7 @@
         ],
         guards=[create_guard(access)],
         exception_handlers=dict(answers.exception_handlers()),
-        after_exception=[create_refusal_audit(context.metrics)],
+        after_exception=[create_rejection_audit(context.metrics)],
         request_max_body_size=MAX_BODY_BYTES,
         logging_config=None,
         openapi_config=OpenAPIConfig(
@@ -149,14 +149,16 @@
         after: FromQuery[str] = "",
         limit: Limit = MAX_PAGE,
     ) -> DeclarationPage:
-        return _page(context, _Wanted(kind, name, after, limit))
+        return _declaration_page(
+            context, _DeclarationFilter(kind, name, after, limit)
+        )
 
     @post("/v1/config/plan", status_code=200, operation_class=ChangeOperation)
     async def plan(request: OperatorRequest, body: RawBody) -> PlanReport:
         change = _parse(body, ChangeRequest).to_change(
             operator_of(request).name
         )
-        planned = _value(await _store(context).plan(change))
+        planned = _unwrap(await _require_store(context).plan(change))
         return reports.plan_report(planned)
 
     @post(
@@ -169,7 +171,7 @@
         change = _parse(body, ChangeRequest).to_change(
             operator_of(request).name
         )
-        accepted = _value(await _store(context).apply(change))
+        accepted = _unwrap(await _require_store(context).apply(change))
         context.metrics.count("config_changes_total")
         detail = f"revision {accepted.revision} change {change.change_id}"
         audit_accepted(request, detail)
@@ -188,14 +190,14 @@
 
     @get("/v1/revisions/{number:int}")
     async def show_revision(number: FromPath[int]) -> RevisionReport:
-        revision = _value(await _store(context).revision(number))
+        revision = _unwrap(await _require_store(context).revision(number))
         if revision is None:
             raise _error(ErrorKind.NOT_FOUND, f"revision {number}")
         return reports.revision_report(revision)
 
     @get("/v1/revisions/{number:int}/rollback")
     async def rollback(number: FromPath[int]) -> RollbackEdits:
-        found = _value(await restoring_edits(_store(context), number))
+        found = _unwrap(await restoring_edits(_require_store(context), number))
         edits = tuple(EditRequest.of(edit) for edit in found)
         return RollbackEdits(number, edits)
 
@@ -210,18 +212,18 @@
         after: FromQuery[str] = "",
         limit: Limit = DEFAULT_PAGE,
     ) -> ProgramPage:
-        wanted = ProgramFilter(workspace, program_state, after, limit)
-        return _value(await context.list_programs(wanted))
+        selection = ProgramFilter(workspace, program_state, after, limit)
+        return _unwrap(await context.list_programs(selection))
 
     @get("/v1/programs/{program_id:str}")
     async def inspect_program(program_id: FromPath[str]) -> ProgramDetail:
-        return _value(await context.inspect_program(program_id))
+        return _unwrap(await context.inspect_program(program_id))
 
     @post("/v1/programs/{program_id:str}/stop", opt=OPERATE, status_code=200)
     async def stop_program(
         request: OperatorRequest, program_id: FromPath[str]
     ) -> ProgramDetail:
-        detail = _value(await context.stop_program(program_id))
+        detail = _unwrap(await context.stop_program(program_id))
         audit_accepted(request, f"program {program_id}")
         return detail
 
@@ -231,11 +233,11 @@
 def _repair_routes(context: OperatorContext) -> list[BaseRouteHandler]:
     @get("/v1/quarantine")
     async def list_quarantine() -> QuarantineReport:
-        return QuarantineReport(_value(await context.quarantined()))
+        return QuarantineReport(_unwrap(await context.quarantined()))
 
     @post("/v1/quarantine/{digest:str}/release", opt=OPERATE, status_code=200)
     async def release(request: OperatorRequest, digest: FromPath[str]) -> None:
-        _value(await context.release_quarantined(digest))
+        _unwrap(await context.release_quarantined(digest))
         audit_accepted(request, f"request {digest}")
 
     @post("/v1/shards/{shard:int}/takeover", opt=OPERATE, status_code=200)
@@ -245,7 +247,7 @@
         if not 0 <= shard < hashing.SHARD_COUNT:
             last = hashing.SHARD_COUNT - 1
             raise _error(ErrorKind.NOT_FOUND, f"shards are 0 to {last}")
-        report = _value(await context.force_takeover(shard))
+        report = _unwrap(await context.force_takeover(shard))
         lost = len(report.possibly_lost)
         audit_accepted(request, f"shard {shard}, possibly lost {lost}")
         return report
@@ -254,7 +256,7 @@
     async def drain(
         request: OperatorRequest, name: FromPath[str]
     ) -> DrainReport:
-        report = _value(await context.drain_upstream(name))
+        report = _unwrap(await context.drain_upstream(name))
         audit_accepted(request, f"upstream {name}")
         return report
 
@@ -262,21 +264,23 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Wanted:
+class _DeclarationFilter:
     kind: Kind | None
     name: str
     after: str
     limit: int
 
 
-def _page(context: OperatorContext, wanted: _Wanted) -> DeclarationPage:
+def _declaration_page(
+    context: OperatorContext, selection: _DeclarationFilter
+) -> DeclarationPage:
     state = context.in_force.state
     keys = [
         key
         for key in sorted(state.declaration_by_key)
-        if _matches(key, wanted) and str(key) > wanted.after
+        if _matches(key, selection) and str(key) > selection.after
     ]
-    shown = keys[: wanted.limit]
+    shown = keys[: selection.limit]
     items = tuple(
         StoredDeclaration(state.digest_of(key), state.declaration_by_key[key])
         for key in shown
@@ -285,10 +289,10 @@
     return DeclarationPage(state.number, items, next_after)
 
 
-def _matches(key: DeclarationKey, wanted: _Wanted) -> bool:
-    if wanted.kind is not None and key.kind is not wanted.kind:
+def _matches(key: DeclarationKey, selection: _DeclarationFilter) -> bool:
+    if selection.kind is not None and key.kind is not selection.kind:
         return False
-    return not wanted.name or key.name == wanted.name
+    return not selection.name or key.name == selection.name
 
 
 async def _catch_up(context: OperatorContext) -> bool:
@@ -297,7 +301,7 @@
     return isinstance(await context.config_store.load(), Success)
 
 
-def _store(context: OperatorContext) -> ConfigStore:
+def _require_store(context: OperatorContext) -> ConfigStore:
     if context.config_store is None:
         raise _error(ErrorKind.PLATFORM_UNAVAILABLE, "no platform is connected")
     return context.config_store
@@ -313,7 +317,7 @@
         raise MasticdaleError(problems.to_failure(found)) from error
 
 
-def _value(outcome: Result[ValueT, Failure]) -> ValueT:
+def _unwrap(outcome: Result[ValueT, Failure]) -> ValueT:
     if isinstance(outcome, Failed):
         raise MasticdaleError(outcome.failure())
     return outcome.unwrap()
--- a/apps/masticdaled/src/masticdaled/operators/models.py
+++ b/apps/masticdaled/src/masticdaled/operators/models.py
@@ -70,7 +70,7 @@
         ...
 
     async def list_programs(
-        self, wanted: ProgramFilter
+        self, selection: ProgramFilter
     ) -> Result[ProgramPage, Failure]:
         """Lists programs of all hosts."""
         ...
--- a/apps/masticdaled/src/masticdaled/operators/programs.py
+++ b/apps/masticdaled/src/masticdaled/operators/programs.py
@@ -26,17 +26,17 @@
     async def handle(self, request: ProgramsRequest) -> ProgramsReply:
         """Answers one question; see ``ProgramsRequest``."""
         if request.program_id:
-            return await self._one(request)
-        wanted = [
+            return await self._handle_one(request)
+        selected = [
             owned
             for owned in self._owned_shards.programs()
-            if _is_wanted(owned, request)
+            if _is_selected(owned, request)
         ]
-        wanted.sort(key=lambda owned: owned.program.program_id)
-        page = wanted[: request.limit]
+        selected.sort(key=lambda owned: owned.program.program_id)
+        page = selected[: request.limit]
         return ProgramsReply(tuple(self._encode(owned) for owned in page))
 
-    async def _one(self, request: ProgramsRequest) -> ProgramsReply:
+    async def _handle_one(self, request: ProgramsRequest) -> ProgramsReply:
         found = await self._owned_shards.find_program(request.program_id)
         if isinstance(found, Failed):
             return ProgramsReply(failure=found.failure())
@@ -68,7 +68,7 @@
     return reason.value if reason is not None else _RUNNING
 
 
-def _is_wanted(owned: OwnedProgram, request: ProgramsRequest) -> bool:
+def _is_selected(owned: OwnedProgram, request: ProgramsRequest) -> bool:
     program = owned.program
     if request.workspace and program.workspace != request.workspace:
         return False
--- a/apps/masticdaled/src/masticdaled/operators/testing.py
+++ b/apps/masticdaled/src/masticdaled/operators/testing.py
@@ -86,16 +86,16 @@
         return Readiness(self.is_ready, "" if self.is_ready else "stopping")
 
     async def list_programs(
-        self, wanted: ProgramFilter
+        self, selection: ProgramFilter
     ) -> Result[ProgramPage, Failure]:
         """Lists the programs of a workspace."""
         shown = [
             detail.summary
             for program_id, detail in sorted(self.program_by_id.items())
-            if wanted.workspace in ("", detail.summary.workspace)
-            and program_id > wanted.after
+            if selection.workspace in ("", detail.summary.workspace)
+            and program_id > selection.after
         ]
-        return Success(ProgramPage(tuple(shown[: wanted.limit])))
+        return Success(ProgramPage(tuple(shown[: selection.limit])))
 
     async def inspect_program(
         self, program_id: str
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -8,7 +8,7 @@
 from masticdale_peers.testing import MemoryNetwork
 from masticdale_platform import ObjectStore
 from masticdale_programs import CopyStore, Executor, ShardSettings
-from masticdaled.callers.entry import Entry
+from masticdaled.callers.entry import OperationForwarder
 from masticdaled.callers.limits import WorkspaceLimiter
 from masticdaled.callers.listener import CallersContext
 from masticdaled.cluster import Cluster
@@ -54,8 +54,8 @@
     cluster: Cluster
     owned_shards: OwnedShards
     homes: ReplicaHomes
-    entry: Entry
-    callers: CallersContext
+    forwarder: OperationForwarder
+    callers_context: CallersContext
     timers: TimerService
 
     async def close(self) -> None:
@@ -127,9 +127,9 @@
     handler = Handler(lambda: parts)
     network.attach(name, handler)
     cluster.attach(handler, frozenset(others))
-    entry = Entry(cluster, metrics)
-    callers = CallersContext(
-        entry,
+    forwarder = OperationForwarder(cluster, metrics)
+    callers_context = CallersContext(
+        forwarder,
         in_force,
         WorkspaceLimiter(cluster, in_force),
         AlwaysReady(),
@@ -137,5 +137,12 @@
         metrics,
     )
     return MemoryHost(
-        name, membership, cluster, owned_shards, homes, entry, callers, timers
+        name,
+        membership,
+        cluster,
+        owned_shards,
+        homes,
+        forwarder,
+        callers_context,
+        timers,
     )
--- a/apps/masticdaled/src/masticdaled/upstream_clients.py
+++ b/apps/masticdaled/src/masticdaled/upstream_clients.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Known:
+class _CachedClient:
     address: str
     client: EngineClient | ServiceClient
 
@@ -30,41 +30,45 @@
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        self._known_by_name: dict[str, _Known] = {}
+        self._cached_by_name: dict[str, _CachedClient] = {}
         self._closing: set[asyncio.Task[None]] = set()
 
     def engine(self, upstream: RenderedEngine) -> EngineClient:
         """Returns the client of an engine at its present address."""
-        known = self._known(upstream)
-        if known is not None and isinstance(known.client, EngineClient):
-            return known.client
+        cached = self._find_cached(upstream)
+        if cached is not None and isinstance(cached.client, EngineClient):
+            return cached.client
         options = EngineOptions(base_url=f"http://{upstream.address}")
         client = create_engine_client(options, self._metrics)
-        self._known_by_name[upstream.name] = _Known(upstream.address, client)
+        self._cached_by_name[upstream.name] = _CachedClient(
+            upstream.address, client
+        )
         return client
 
     def service(self, upstream: RenderedService) -> ServiceClient:
         """Returns the client of a service at its present address."""
-        known = self._known(upstream)
-        if known is not None and isinstance(known.client, ServiceClient):
-            return known.client
+        cached = self._find_cached(upstream)
+        if cached is not None and isinstance(cached.client, ServiceClient):
+            return cached.client
         options = ServiceOptions(base_url=f"http://{upstream.address}")
         client = create_service_client(options, self._metrics)
-        self._known_by_name[upstream.name] = _Known(upstream.address, client)
+        self._cached_by_name[upstream.name] = _CachedClient(
+            upstream.address, client
+        )
         return client
 
     async def close(self) -> None:
         """Closes every client."""
-        for known in self._known_by_name.values():
-            await known.client.close()
+        for cached in self._cached_by_name.values():
+            await cached.client.close()
         await asyncio.gather(*self._closing, return_exceptions=True)
 
-    def _known(self, upstream: RenderedUpstream) -> _Known | None:
-        known = self._known_by_name.get(upstream.name)
-        if known is None or known.address == upstream.address:
-            return known
-        del self._known_by_name[upstream.name]
-        task = asyncio.create_task(known.client.close())
+    def _find_cached(self, upstream: RenderedUpstream) -> _CachedClient | None:
+        cached = self._cached_by_name.get(upstream.name)
+        if cached is None or cached.address == upstream.address:
+            return cached
+        del self._cached_by_name[upstream.name]
+        task = asyncio.create_task(cached.client.close())
         self._closing.add(task)
         task.add_done_callback(self._closing.discard)
         return None
--- a/apps/masticdaled/tests/test_callers.py
+++ b/apps/masticdaled/tests/test_callers.py
@@ -31,7 +31,7 @@
             in_force,
             FakeExecutor(),
         )
-        app = create_callers_app(self.host.callers)
+        app = create_callers_app(self.host.callers_context)
         self.client = AsyncTestClient(app)
         await self.client.__aenter__()
 
