--- a/apps/masticdaled/src/masticdaled/callers/listener.py
+++ b/apps/masticdaled/src/masticdaled/callers/listener.py
@@ -67,7 +67,7 @@
 AnyRequest = litestar.Request[Any, Any, Any]
 
 
-class Readiness(Protocol):
+class ReadinessCheck(Protocol):
     """Whether the balancer should send callers here."""
 
     def is_ready(self) -> bool:
@@ -82,7 +82,7 @@
     forwarder: OperationForwarder
     in_force: ConfigInForce
     limiter: WorkspaceLimiter
-    readiness: Readiness
+    readiness: ReadinessCheck
     settings: RequestSettings
     metrics: Metrics
 
--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -40,7 +40,7 @@
 from masticdaled.execution.tickets import TicketClient
 from masticdaled.execution.tool_pauses import PrefixOffloader
 from masticdaled.following import ConfigFollower
-from masticdaled.handler import Handler, Parts
+from masticdaled.handler import DaemonPeerHandler, PeerServices
 from masticdaled.operators.access import create_access
 from masticdaled.operators.context import DaemonOperatorContext
 from masticdaled.operators.listener import create_operator_app
@@ -131,7 +131,7 @@
             self.cluster, self.homes, self.clients, self.metrics
         )
         self.forwarder = OperationForwarder(self.cluster, self.metrics)
-        self.handler = Handler(self._parts)
+        self.handler = DaemonPeerHandler(self._peer_services)
         self._leaving = False
         self._started = False
         self._peer_server: RpcServer | None = None
@@ -232,8 +232,8 @@
         self.digest_home.members_changed(change)
         self.metrics.gauge("hosts_live", len(change.members))
 
-    def _parts(self) -> Parts:
-        return Parts(
+    def _peer_services(self) -> PeerServices:
+        return PeerServices(
             self.membership,
             self.owned_shards,
             self.homes,
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parts:
+class PeerServices:
     """The parts of the daemon that serve peers."""
 
     membership: Membership
@@ -64,29 +64,29 @@
     in_force: ConfigInForce
 
 
-class Handler:
+class DaemonPeerHandler:
     """The daemon's ``PeerHandler``."""
 
-    def __init__(self, parts: Callable[[], Parts]) -> None:
-        self._parts = parts
+    def __init__(self, services: Callable[[], PeerServices]) -> None:
+        self._services = services
 
     async def heartbeat(self, beat: Heartbeat) -> HeartbeatReply:
         """See ``PeerHandler.heartbeat``."""
-        return self._parts().membership.receive(beat)
+        return self._services().membership.receive(beat)
 
     async def submit(self, submission: Submission) -> SubmitReply:
         """See ``PeerHandler.submit``."""
         operation = decode_operation(submission.operation)
         deadline = time.monotonic() + submission.deadline_ms / 1000
         caller = Caller(submission.workspace, deadline)
-        outcome = await self._parts().owned_shards.submit(operation, caller)
+        outcome = await self._services().owned_shards.submit(operation, caller)
         if isinstance(outcome, Failed):
             return SubmitReply(failure=outcome.failure())
         return SubmitReply(encode_result(outcome.unwrap()))
 
     async def read(self, request: ReadRequest) -> ReadReply:
         """See ``PeerHandler.read``."""
-        outcome = await self._parts().owned_shards.read(
+        outcome = await self._services().owned_shards.read(
             RequestKey(request.program_id, request.request_id),
             request.workspace,
             request.attempt,
@@ -109,49 +109,49 @@
 
     async def enqueue(self, request: TicketRequest) -> TicketReply:
         """See ``PeerHandler.enqueue``."""
-        return self._parts().homes.enqueue(request)
+        return self._services().homes.enqueue(request)
 
     async def release(self, release: TicketRelease) -> Empty:
         """See ``PeerHandler.release``."""
-        await self._parts().homes.release(release)
+        await self._services().homes.release(release)
         return Empty()
 
     async def withdraw(self, release: TicketRelease) -> Empty:
         """See ``PeerHandler.withdraw``."""
-        self._parts().homes.withdraw(release)
+        self._services().homes.withdraw(release)
         return Empty()
 
     async def grant(self, notice: GrantNotice) -> Empty:
         """See ``PeerHandler.grant``."""
-        self._parts().ticket_client.handle_grant(notice)
+        self._services().ticket_client.handle_grant(notice)
         return Empty()
 
     async def probe(self, request: ProbeRequest) -> ProbeReply:
         """See ``PeerHandler.probe``."""
-        return self._parts().homes.probe(request)
+        return self._services().homes.probe(request)
 
     async def revisions(self, request: RevisionsRequest) -> RevisionsReply:
         """See ``PeerHandler.revisions``."""
-        export = await self._parts().in_force.make_export(request.after)
+        export = await self._services().in_force.make_export(request.after)
         return RevisionsReply(export.newest, export.revisions, export.snapshot)
 
     async def put_copy(self, request: CopyRequest) -> CopyReply:
         """See ``PeerHandler.put_copy``."""
-        return self._parts().copy_service.put(request)
+        return self._services().copy_service.put(request)
 
     async def seal_copies(self, request: SealRequest) -> SealReply:
         """See ``PeerHandler.seal_copies``."""
-        return self._parts().copy_service.seal(request)
+        return self._services().copy_service.seal(request)
 
     async def suspect(self, request: SuspectRequest) -> SuspectReply:
         """See ``PeerHandler.suspect``."""
-        return await self._parts().digest_home.handle(request)
+        return await self._services().digest_home.handle(request)
 
     async def states(self, request: StatesRequest) -> StatesReply:
         """See ``PeerHandler.states``."""
-        gone = await self._parts().owned_shards.gone_ids(request.program_ids)
+        gone = await self._services().owned_shards.gone_ids(request.program_ids)
         return StatesReply(gone)
 
     async def programs(self, request: ProgramsRequest) -> ProgramsReply:
         """See ``PeerHandler.programs``."""
-        return await self._parts().program_admin.handle(request)
+        return await self._services().program_admin.handle(request)
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -13,7 +13,7 @@
 from masticdaled.callers.listener import CallersContext
 from masticdaled.cluster import Cluster
 from masticdaled.execution.tickets import TicketClient
-from masticdaled.handler import Handler, Parts
+from masticdaled.handler import DaemonPeerHandler, PeerServices
 from masticdaled.operators.programs import ProgramAdmin
 from masticdaled.replicas.crash_suspects import DigestHome
 from masticdaled.replicas.homes import ReplicaHomes
@@ -114,7 +114,7 @@
         metrics,
         PeerCopyHolders(cluster),
     )
-    parts = Parts(
+    services = PeerServices(
         membership,
         owned_shards,
         homes,
@@ -124,7 +124,7 @@
         CopyService(CopyStore()),
         in_force,
     )
-    handler = Handler(lambda: parts)
+    handler = DaemonPeerHandler(lambda: services)
     network.attach(name, handler)
     cluster.attach(handler, frozenset(others))
     forwarder = OperationForwarder(cluster, metrics)
