--- a/apps/masticdaled/src/masticdaled/callers/__init__.py
+++ b/apps/masticdaled/src/masticdaled/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side of an entry host."""
+"""The callers' API of an entry host."""
--- a/apps/masticdaled/src/masticdaled/callers/entry.py
+++ b/apps/masticdaled/src/masticdaled/callers/entry.py
@@ -1,4 +1,4 @@
-"""The entry role: takes callers' operations to the programs' owners."""
+"""Forwards callers' operations to the hosts that own their programs."""
 
 import asyncio
 import dataclasses
@@ -35,12 +35,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OperationRequest:
-    """One caller's operation at its entry host.
+    """A caller's operation at the host that received it.
 
     Attributes:
-        operation: What is asked.
+        operation: The operation to run.
         workspace: Workspace of the caller's key.
-        deadline: Monotonic seconds after which nobody waits.
+        deadline: Time of the monotonic clock, in seconds, at which the caller
+            stops waiting.
     """
 
     operation: Operation
@@ -50,11 +51,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TextDelta:
-    """New text for the caller.
+    """Text to append to the caller's answer.
 
     Attributes:
-        restart: The text before is void: another replica began anew.
-        text: New characters.
+        restart: Whether to discard the text sent so far, because another
+            replica generates the answer from its start.
+        text: The text to append.
     """
 
     restart: bool
@@ -63,21 +65,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FinalOutcome:
-    """A call's final outcome."""
+    """The end of an answer: the call's outcome."""
 
     outcome: Result[Outcome, Failure]
 
 
 @dataclasses.dataclass(slots=True)
 class _ReadState:
-    """How much of an answer the caller has."""
+    """The attempt and the text that the caller has received."""
 
     attempt: int = 0
     text: str = ""
 
 
 class OperationForwarder:
-    """Forwards operations; asks again under the same request id on trouble."""
+    """Forwards operations to their owners and retries under the same id."""
 
     def __init__(self, cluster: Cluster, metrics: Metrics) -> None:
         self._cluster = cluster
@@ -87,10 +89,10 @@
     async def submit(
         self, request: OperationRequest
     ) -> Result[OperationResult, Failure]:
-        """Takes an operation to its owner, wherever the owner has moved.
+        """Submits an operation to its program's owner.
 
-        Every operation is idempotent by its ids, so an answer that was lost
-        on the way is asked for again.
+        Retries with exponential backoff until the deadline while the shard
+        fails over. Retries are safe: every operation is idempotent by its ids.
         """
         shard = hashing.shard_of(request.operation.program_id)
         delay_s = _INITIAL_RETRY_DELAY_S
@@ -114,10 +116,11 @@
     async def follow(
         self, request: OperationRequest
     ) -> AsyncIterator[TextDelta | FinalOutcome]:
-        """Yields an accepted call's text as it comes, then its outcome.
+        """Streams an accepted call's text, then its outcome.
 
         Args:
-            request: The accepted call; submitted again where its owner died.
+            request: The accepted call. It is submitted again if its owner
+                fails over.
         """
         operation = request.operation
         assert isinstance(operation, SendTurn | CallService)
@@ -140,8 +143,8 @@
             if not reply.done:
                 continue
             if _is_retryable(reply):
-                # The owner was deposed while the call ran: the next one has
-                # no outcome of it and runs it again.
+                # The owner lost the shard while the call ran. The new owner
+                # has no outcome of the call and runs it again.
                 outcome = await self.submit(request)
                 if isinstance(outcome, Failed):
                     yield FinalOutcome(Failed(outcome.failure()))
@@ -199,12 +202,12 @@
 
 
 def _next_delta(reply: ReadReply, state: _ReadState) -> TextDelta:
-    """Returns what the caller lacks and notes that it has it."""
+    """Returns the text that the caller lacks and records it as received."""
     if reply.attempt == state.attempt and reply.offset == len(state.text):
         state.text += reply.text
         return TextDelta(False, reply.text)
-    # Another attempt, or the committed answer, whole: where it goes on from
-    # what the caller has, nothing is void.
+    # The reply holds another attempt or the committed answer, from its start.
+    # If it begins with the received text, only the remainder is sent.
     received = state.text
     state.attempt = reply.attempt
     state.text = reply.text
@@ -224,10 +227,10 @@
 
 
 def _owner_unavailable(failure: Failure) -> Failure:
-    """Returns what a caller is told who waited in vain for the owner.
+    """Returns the failure for a caller whose deadline passed during retries.
 
-    An owner that died may have accepted the call, so nothing may say that it
-    was not run.
+    A failed owner may have accepted the call, so the failure must not say
+    that the call did not run.
     """
     detail = f"{failure.kind.value} {failure.detail}"
     return Failure(ErrorKind.PEER_UNAVAILABLE, detail)
--- a/apps/masticdaled/src/masticdaled/callers/limits.py
+++ b/apps/masticdaled/src/masticdaled/callers/limits.py
@@ -1,4 +1,4 @@
-"""Workspace limits at one entry host: its share of what holds over all."""
+"""Enforces this host's share of the workspaces' cluster-wide limits."""
 
 import time
 
@@ -13,7 +13,7 @@
 
 
 class WorkspaceLimiter:
-    """One gate for each workspace that callers use at this host."""
+    """Holds a limiter for each workspace that sends calls to this host."""
 
     def __init__(self, cluster: Cluster, in_force: ConfigInForce) -> None:
         self._cluster = cluster
@@ -21,10 +21,10 @@
         self._limiter_by_workspace: dict[str, HostShareLimiter] = {}
 
     def begin(self, workspace_name: str, turn_id: str) -> Result[None, Failure]:
-        """Begins a call within this host's share of the limits.
+        """Admits a call if this host's share of the limits allows it.
 
         Returns:
-            LIMIT_REACHED with a time to come back.
+            None, or LIMIT_REACHED with the time after which to retry.
         """
         workspace = self._in_force.current.workspace_by_name.get(workspace_name)
         if workspace is None:
@@ -33,7 +33,7 @@
         return self._current_limiter(workspace, now).begin(turn_id, now)
 
     def end(self, workspace_name: str, turn_id: str) -> None:
-        """Ends a call; one that never began is ignored."""
+        """Ends a call; ignores calls that were not admitted."""
         limiter = self._limiter_by_workspace.get(workspace_name)
         if limiter is not None:
             limiter.end(turn_id)
--- a/apps/masticdaled/src/masticdaled/callers/listener.py
+++ b/apps/masticdaled/src/masticdaled/callers/listener.py
@@ -1,4 +1,4 @@
-"""The callers' interface over HTTP."""
+"""The callers' HTTP API."""
 
 import dataclasses
 import functools
@@ -68,16 +68,16 @@
 
 
 class ReadinessCheck(Protocol):
-    """Whether the balancer should send callers here."""
+    """Tells whether the load balancer should send callers to this host."""
 
     def is_ready(self) -> bool:
-        """True while this host serves and is not about to stop."""
+        """Returns True while this host serves and is not stopping."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallersContext:
-    """What the callers' listener stands on."""
+    """The dependencies of the callers' listener."""
 
     forwarder: OperationForwarder
     in_force: ConfigInForce
@@ -88,7 +88,7 @@
 
 
 class _RequestFailedError(Exception):
-    """Carries a failure out of a route."""
+    """Carries a failure from a route to its exception handler."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(failure.kind.value)
@@ -102,7 +102,7 @@
 
 
 class CallersController(litestar.Controller):
-    """Programs of the caller's workspace."""
+    """Routes for the programs of the caller's workspace."""
 
     path = "/v1/programs"
 
@@ -110,7 +110,7 @@
     async def create(
         self, request: AnyRequest, data: JSONBody[CreateProgramBody]
     ) -> ProgramBody:
-        """Begins a program; the same request id names the same program."""
+        """Begins a program; a repeated request id returns the same program."""
         context = _context(request)
         workspace = _authenticate(request)
         config = context.in_force.current
@@ -131,7 +131,7 @@
         program_id: FromPath[str],
         history: FromQuery[str] = "",
     ) -> ProgramBody:
-        """Reads status and, with ``history=BRANCH``, a branch's history."""
+        """Reads the status and, with ``history=BRANCH``, a branch's history."""
         workspace = _authenticate(request)
         operation = GetProgram(program_id, history)
         return await _submit_operation(request, workspace, operation, None)
@@ -173,7 +173,7 @@
         program_id: FromPath[str],
         data: JSONBody[SendTurnBody],
     ) -> Any:
-        """Sends a message; answers whole or as server-sent events."""
+        """Sends a message; answers as JSON or as server-sent events."""
         operation = SendTurn(
             program_id,
             data.branch,
@@ -196,7 +196,7 @@
         program_id: FromPath[str],
         data: JSONBody[CallServiceBody],
     ) -> Any:
-        """Calls an operation; at most once where it may not be repeated."""
+        """Calls an operation, at most once if it is not idempotent."""
         operation = CallService(
             program_id,
             data.branch,
@@ -210,25 +210,24 @@
 
 
 def derive_program_id(workspace: str, request_id: str) -> str:
-    """Returns the id of the program that a request id begins.
+    """Derives a program's id from the request that creates it.
 
-    Derived rather than drawn, so that a create sent again, at any host, names
-    the same program and shard.
+    A retried create names the same program and shard at every host.
     """
     return hashing.digest("program", workspace, request_id)
 
 
 def create_callers_app(context: CallersContext) -> litestar.Litestar:
-    """Returns the application of the callers' listener."""
+    """Returns the ASGI application of the callers' listener."""
 
     @litestar.get("/healthz", summary="Whether the process runs")
     async def healthz() -> str:
-        """Answers while the process runs."""
+        """Answers 200 while the process runs."""
         return "ok"
 
     @litestar.get("/readyz", summary="Whether to send callers here")
     async def readyz() -> Any:
-        """Answers 503 before the host serves and once it stops."""
+        """Answers 503 until the host serves and again once it is stopping."""
         if context.readiness.is_ready():
             return litestar.Response("ready")
         return error_response(Failure(ErrorKind.STOPPING))
@@ -299,7 +298,7 @@
 async def _follow_call(
     request: AnyRequest, call: OperationRequest
 ) -> AsyncIterator[TextDelta | FinalOutcome]:
-    """Submits a call within its workspace's limits and follows its answer."""
+    """Submits a call within its workspace's limits and streams its answer."""
     context = _context(request)
     operation = call.operation
     assert isinstance(operation, SendTurn | CallService)
@@ -375,8 +374,8 @@
 
 @functools.singledispatch
 def outcome_body(outcome: Outcome) -> TurnAnswerBody | CallAnswerBody:
-    """Returns the body that tells a call's outcome."""
-    raise TypeError(f"no body for {type(outcome).__name__}")
+    """Returns the response body of a call's outcome."""
+    raise TypeError(f"no response body for {type(outcome).__name__}")
 
 
 @outcome_body.register
--- a/apps/masticdaled/src/masticdaled/callers/models.py
+++ b/apps/masticdaled/src/masticdaled/callers/models.py
@@ -1,4 +1,4 @@
-"""Bodies of the callers' interface."""
+"""Request and response bodies of the callers' API."""
 
 import pydantic
 
@@ -9,11 +9,11 @@
 
 
 class _Deadline(StrictModel):
-    """Fields of every request that runs something.
+    """Base of the requests that have a deadline.
 
     Attributes:
-        deadline_ms: Milliseconds after which the answer is worthless; the
-            host's default where absent.
+        deadline_ms: Milliseconds after which the caller stops waiting; the
+            host's default if absent.
     """
 
     deadline_ms: int | None = pydantic.Field(default=None, ge=1)
@@ -23,7 +23,7 @@
     """Begins a program.
 
     Attributes:
-        request_id: Makes the request safe to send again.
+        request_id: Makes the request safe to retry.
         program: Name of a program kind of the workspace.
     """
 
@@ -35,8 +35,9 @@
     """Opens a sub-agent's branch.
 
     Attributes:
-        branch: Its id, chosen by the caller; safe to send again.
-        parent: Branch whose history it begins with.
+        branch: Id of the new branch, chosen by the caller; makes the request
+            safe to retry.
+        parent: Branch whose history the new branch starts with.
     """
 
     branch: str = _NAME
@@ -47,11 +48,12 @@
     """Sends a message and asks for the model's answer.
 
     Attributes:
-        request_id: Makes the request safe to send again.
-        message: New text; the branch's history is added by the service.
-        branch: The branch.
-        sequence: Place in the branch, from 0; absent for the next.
-        max_tokens: Most tokens to generate; absent for the program kind's.
+        request_id: Makes the request safe to retry.
+        message: The new text, without the branch's history.
+        branch: Id of the branch.
+        sequence: Position in the branch, from 0; the next one if absent.
+        max_tokens: Maximum number of tokens to generate; the program kind's
+            limit if absent.
         stream: True for server-sent events, false for one JSON answer.
     """
 
@@ -64,14 +66,14 @@
 
 
 class CallServiceBody(_Deadline):
-    """Calls an operation of a plain service.
+    """Calls an operation of a service that is not a model engine.
 
     Attributes:
-        request_id: Makes the request safe to send again.
+        request_id: Makes the request safe to retry.
         operation: Name of the operation.
         payload: Any JSON value for the service.
-        branch: The branch.
-        sequence: Place in the branch, from 0; absent for the next.
+        branch: Id of the branch.
+        sequence: Position in the branch, from 0; the next one if absent.
     """
 
     request_id: str = _NAME
@@ -82,11 +84,11 @@
 
 
 class EndProgramBody(_Deadline):
-    """Ends a program; ending it again changes nothing."""
+    """Ends a program; idempotent."""
 
 
 class HistoryItemBody(StrictModel):
-    """One finished call of a branch."""
+    """A finished call of a branch."""
 
     request_id: str
     kind: str
@@ -99,15 +101,15 @@
     """A program's status.
 
     Attributes:
-        program_id: Names the program in later requests.
-        program: Its kind.
-        state: ``running``, or why it ended.
-        branches: Its branches.
+        program_id: Id of the program in later requests.
+        program: Name of its kind.
+        state: ``running``, or the reason for its end.
+        branches: Ids of its branches.
         tokens_spent: Tokens charged to its budget.
         calls_spent: Model turns and service calls charged.
         turns_spent: Model turns charged.
         waiting_for: Calls in flight and what each waits for.
-        history: Finished calls of the branch asked for.
+        history: Finished calls of the requested branch.
     """
 
     program_id: str
@@ -122,7 +124,7 @@
 
 
 class TurnAnswerBody(StrictModel):
-    """A turn's whole answer."""
+    """A turn's complete answer."""
 
     request_id: str
     text: str
