--- a/apps/masticdaled/src/masticdaled/__init__.py
+++ b/apps/masticdaled/src/masticdaled/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon of an entry host."""
+"""The daemon that runs on each entry host."""
--- a/apps/masticdaled/src/masticdaled/answers.py
+++ b/apps/masticdaled/src/masticdaled/answers.py
@@ -1,4 +1,4 @@
-"""Turning failures into HTTP answers, by the one table of error kinds."""
+"""Converts failures to HTTP responses by the table of error kinds."""
 
 import http
 import math
@@ -24,7 +24,7 @@
 
 
 def error_body(failure: Failure) -> ErrorBody:
-    """Returns what is said of a failure."""
+    """Returns the response body of a failure."""
     answer = failure.answer
     return ErrorBody(
         kind=failure.kind.value,
@@ -36,14 +36,11 @@
 
 
 def error_response(failure: Failure) -> litestar.Response[ErrorBody]:
-    """Returns the answer to a failed request.
-
-    Args:
-        failure: What failed.
+    """Returns the response to a failed request.
 
     Returns:
-        The table's status and body, with ``Retry-After`` in whole seconds,
-        rounded up: a client that came back earlier would be refused again.
+        The status and body of the failure's kind. ``Retry-After`` is in whole
+        seconds, rounded up, since an earlier retry would be rejected again.
     """
     headers = {}
     if failure.come_back_ms is not None:
@@ -58,11 +55,11 @@
 
 
 def failure_of(error: Exception) -> Failure:
-    """Returns the failure behind an exception of a request."""
+    """Converts an exception raised while handling a request to a failure."""
     if isinstance(error, MasticdaleError):
         return error.failure
     if not isinstance(error, http_errors.HTTPException):
-        # The text of an unforeseen exception may hold a caller's prompt.
+        # The text of an unexpected exception may contain a caller's prompt.
         return Failure(ErrorKind.INTERNAL)
     status = error.status_code
     kind = _KIND_BY_STATUS.get(status)
@@ -74,7 +71,7 @@
 
 
 def exception_handlers() -> ExceptionHandlersMap:
-    """Returns the handlers that every listener of the daemon installs."""
+    """Returns the exception handlers of the daemon's listeners."""
     return {Exception: _handle}
 
 
@@ -96,5 +93,5 @@
         if not isinstance(item, dict):
             continue
         field = item.get("key", "(whole)")
-        lines.append(f"{field}: {item.get('message', 'is wrong')}")
+        lines.append(f"{field}: {item.get('message', 'is invalid')}")
     return "\n".join(lines)
--- a/apps/masticdaled/src/masticdaled/background.py
+++ b/apps/masticdaled/src/masticdaled/background.py
@@ -1,4 +1,4 @@
-"""Work that nobody waits for, kept from being collected while it runs."""
+"""Background tasks, referenced so that they are not garbage-collected."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -8,19 +8,19 @@
 
 
 class BackgroundTasks:
-    """Tasks of one part."""
+    """The background tasks of one component."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Starts work; an exception of it is logged."""
+        """Runs a coroutine as a task and logs its exception, if any."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
 
     async def close(self) -> None:
-        """Cancels what runs and waits for it."""
+        """Cancels the running tasks and waits until they end."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
--- a/apps/masticdaled/src/masticdaled/cluster.py
+++ b/apps/masticdaled/src/masticdaled/cluster.py
@@ -1,4 +1,4 @@
-"""Calls to hosts by role, this host included."""
+"""Assigns roles to hosts and returns the clients of their calls."""
 
 from returns.result import Failure as Failed
 from returns.result import Result, Success
@@ -11,12 +11,12 @@
 _HOME_ROLE = "home"
 _DIGEST_ROLE = "digest"
 
-# What the calls of a role answer while it moves to another host.
+# The errors that calls return while a role moves to another host.
 FAILOVER_KINDS = frozenset({ErrorKind.NOT_OWNER, ErrorKind.PEER_UNAVAILABLE})
 
 
 class LocalCalls(PeerCalls):
-    """Calls of this host to itself, without a connection."""
+    """Calls the local handler directly, without a connection."""
 
     def __init__(self, handler: PeerHandler) -> None:
         self._handler = handler
@@ -33,7 +33,7 @@
 
 
 class UnknownHostCalls(PeerCalls):
-    """Calls to a host that the settings do not name."""
+    """Fails every call to a host that is not in the settings."""
 
     def __init__(self, host: str) -> None:
         self._host = host
@@ -50,11 +50,11 @@
 
 
 class Cluster:
-    """Finds the host of each role by rendezvous over the live hosts.
+    """Assigns each role to a live host by rendezvous hashing.
 
-    Membership is soft: two hosts may name different holders for a while.
-    Owners are fenced by their journals; homes and digest homes may double
-    for a moment.
+    Hosts may disagree on membership for a while and assign a role to
+    different hosts. Shard owners are fenced by their journals; a replica or a
+    digest may briefly have two homes.
     """
 
     def __init__(self, host: str, membership: Membership, peers: Peers) -> None:
@@ -65,12 +65,17 @@
         self._local: PeerCalls | None = None
 
     def attach(self, handler: PeerHandler, known_hosts: frozenset[str]) -> None:
-        """Sets what answers calls to this host and which others exist."""
+        """Sets the handler of calls to this host and the names of the others.
+
+        Args:
+            handler: Handles the calls to this host.
+            known_hosts: Names of the other hosts in the settings.
+        """
         self._local = LocalCalls(handler)
         self._known_hosts = known_hosts
 
     def calls(self, host: str) -> PeerCalls:
-        """Returns the calls to a host."""
+        """Returns the client of a host's calls."""
         if host == self.host and self._local is not None:
             return self._local
         if host not in self._known_hosts:
@@ -78,14 +83,14 @@
         return self._peers.client(host)
 
     def owner_of_shard(self, shard: int) -> str:
-        """Returns the host that should own a shard."""
+        """Returns the host to which a shard is assigned."""
         return self.membership.owner_of(f"{_SHARD_ROLE}/{shard}")
 
     def home_of(self, replica: str) -> str:
-        """Returns the host that holds a replica's queue."""
+        """Returns the host to which a replica's queue is assigned."""
         return self.membership.owner_of(f"{_HOME_ROLE}/{replica}")
 
     def digest_homes(self, digest: str) -> tuple[str, ...]:
-        """Returns the home of a content digest and its stand-by."""
+        """Returns the home of a content digest, then its standby."""
         names = self.membership.owner_names()
         return tuple(hashing.rank(f"{_DIGEST_ROLE}/{digest}", names)[:2])
--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: its parts, how they start and how they stop."""
+"""Assembles, starts and stops the components of the daemon."""
 
 import asyncio
 import contextlib
@@ -66,7 +66,7 @@
 
 
 class Daemon:
-    """Every part of one host, made by ``create_daemon``."""
+    """The components of one host; use ``create_daemon`` to create it."""
 
     def __init__(self, settings: DaemonSettings) -> None:
         self.settings = settings
@@ -139,11 +139,11 @@
         self._http_tasks: list[asyncio.Task[None]] = []
 
     def is_ready(self) -> bool:
-        """True while callers should be sent here."""
+        """Returns whether the load balancer should send callers here."""
         return self._started and self.follower.is_loaded and not self._leaving
 
     async def start(self) -> None:
-        """Joins the other hosts, learns the configuration, then serves."""
+        """Joins the cluster, loads the configuration, then serves."""
         settings = self.settings
         known = frozenset(peer.name for peer in settings.other_peers)
         self.cluster.attach(self.handler, known)
@@ -155,9 +155,8 @@
         self.membership.start()
         await self._exchange_heartbeats()
         await self.follower.start()
-        # A full collection walks every declaration and stalls the loop for
-        # hundreds of milliseconds at 4,600 workspaces; what is loaded at the
-        # start stays, so the collector need not look at it again.
+        # A full collection traverses every declaration and stalls the event
+        # loop. Freezing exempts the objects loaded so far, which are permanent.
         gc.collect()
         gc.freeze()
         await self._refresh_host_list()
@@ -169,11 +168,12 @@
         logs.write("started", incarnation=self.incarnation)
 
     async def stop(self) -> None:
-        """Stops without cutting off a request.
+        """Stops gracefully, without aborting requests.
 
-        Unready first, so that the balancer sends no one; then shards are
-        handed over as their calls finish, and callers' connections are
-        answered to the end, also those of programs owned elsewhere.
+        The host first reports unready, so that the load balancer stops sending
+        callers. Then its shards are handed off as their calls finish, and the
+        HTTP servers finish their requests, including those of programs owned
+        by other hosts.
         """
         logs.write("stopping")
         stop = self.settings.stop
@@ -199,9 +199,10 @@
         await self.store.close()
 
     async def _exchange_heartbeats(self) -> None:
-        """Waits for one round of heartbeats.
+        """Exchanges one round of heartbeats.
 
-        Alone in its own eyes, a starting host would own every shard.
+        Without it, a starting host would see no other host and assign every
+        shard to itself.
         """
         names = [peer.name for peer in self.settings.other_peers]
         await asyncio.gather(*(self.membership.beat(name) for name in names))
@@ -224,7 +225,7 @@
         )
 
     def _is_leaving(self) -> bool:
-        # Asked while the parts are still being made, too.
+        # The membership may call this before __init__ has set _leaving.
         return getattr(self, "_leaving", False)
 
     def _members_changed(self, change: MembershipChange) -> None:
@@ -298,7 +299,7 @@
         if self._leaving:
             return Readiness(False, "stopping")
         if not self.follower.is_loaded:
-            return Readiness(False, "the configuration is not known yet")
+            return Readiness(False, "the configuration is not loaded yet")
         return Readiness(self._started, "" if self._started else "starting")
 
     async def _host_paused(self, seconds: float) -> None:
@@ -317,8 +318,8 @@
             access_log=False,
             lifespan="off",
             proxy_headers=False,
-            # Longer than balancers and clients keep idle connections: closed
-            # here first, a connection breaks under the request being sent.
+            # Longer than load balancers and clients keep idle connections. If
+            # the server closed one first, a request being sent would fail.
             timeout_keep_alive=_KEEP_ALIVE_S,
             timeout_graceful_shutdown=int(self.settings.stop.finish_s),
         )
@@ -330,24 +331,24 @@
 
 
 class _HttpServer(uvicorn.Server):
-    """A server that leaves the process's signals to the daemon.
+    """An HTTP server that installs no signal handlers.
 
-    uvicorn would take SIGTERM itself and stop at once, before the balancer
-    had noticed that this host is not ready.
+    uvicorn's handler of SIGTERM would stop the server before the load balancer
+    sees that this host is not ready.
     """
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Takes no signals."""
+        """Installs no signal handlers."""
         yield
 
 
 def create_daemon(settings: DaemonSettings) -> Daemon:
-    """Returns a daemon that has not started.
+    """Creates a daemon without starting it.
 
     Raises:
-        MasticdaleError: INVALID_SETTINGS, where TLS files or addresses are
-            not usable.
+        MasticdaleError: INVALID_SETTINGS, if TLS files or addresses are not
+            usable.
     """
     return Daemon(settings)
 
--- a/apps/masticdaled/src/masticdaled/directory.py
+++ b/apps/masticdaled/src/masticdaled/directory.py
@@ -1,4 +1,4 @@
-"""Which declared upstreams may get work now."""
+"""Looks up the declared upstreams."""
 
 from masticdale_config import (
     ConfigInForce,
@@ -9,14 +9,14 @@
 
 
 class UpstreamDirectory:
-    """The declared upstreams and the platform's list of leaving ones."""
+    """The declared upstreams and whether they accept work."""
 
     def __init__(self, in_force: ConfigInForce, homes: ReplicaHomes) -> None:
         self._in_force = in_force
         self._homes = homes
 
     def accepts_work(self, upstream: RenderedUpstream) -> bool:
-        """Returns False for an upstream that is drained or leaves."""
+        """Returns False for an upstream that is draining or leaving."""
         is_leaving = self._homes.is_listed_leaving(upstream.replica)
         return not upstream.draining and not is_leaving
 
--- a/apps/masticdaled/src/masticdaled/following.py
+++ b/apps/masticdaled/src/masticdaled/following.py
@@ -1,4 +1,4 @@
-"""Following the configuration: a few hosts watch, the others ask peers."""
+"""Follows the configuration: a few hosts watch it, others ask peers."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 class ConfigFollower:
-    """Keeps this host's configuration in force up to date."""
+    """Keeps the configuration in force on this host up to date."""
 
     def __init__(
         self,
@@ -39,14 +39,14 @@
 
     @property
     def is_loaded(self) -> bool:
-        """True once this host knows what is in force."""
+        """Whether this host has loaded the configuration."""
         return self._loaded
 
     async def start(self) -> None:
-        """Learns the newest revision before this host serves.
+        """Loads the newest revision before this host serves.
 
-        A host that served from nothing, or from an old read during an
-        outage, would take the configuration back for its callers. So it asks
+        A host that served no revision, or a stale one read during an outage,
+        would revert the configuration for its callers. So it asks
         live peers and the platform, and waits until one of them answers.
         """
         members = self._cluster.membership.members()
@@ -57,7 +57,10 @@
         )
 
     async def tick(self) -> None:
-        """Watches or asks a peer that has more; run a few times a second."""
+        """Updates the watch and fetches newer revisions; called periodically.
+
+        Loads the configuration if ``start`` could not.
+        """
         if not self._loaded:
             await self.start()
             return
@@ -99,7 +102,7 @@
 
 
 class _PeerSource:
-    """A peer as a ``RevisionSource``."""
+    """A ``RevisionSource`` that asks a peer."""
 
     def __init__(self, cluster: Cluster, host: str) -> None:
         self._cluster = cluster
--- a/apps/masticdaled/src/masticdaled/handler.py
+++ b/apps/masticdaled/src/masticdaled/handler.py
@@ -1,4 +1,4 @@
-"""What this host does for its peers: each call goes to the part it is for."""
+"""Dispatches peers' calls to the services of this host."""
 
 import dataclasses
 import time
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerServices:
-    """The parts of the daemon that serve peers."""
+    """The services that handle peers' calls."""
 
     membership: Membership
     owned_shards: OwnedShards
@@ -65,7 +65,7 @@
 
 
 class DaemonPeerHandler:
-    """The daemon's ``PeerHandler``."""
+    """The daemon's ``PeerHandler``; each method has the name of its RPC."""
 
     def __init__(self, services: Callable[[], PeerServices]) -> None:
         self._services = services
