--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -1,4 +1,4 @@
-"""A host in memory, for tests of what stands on its parts."""
+"""An in-memory host for tests."""
 
 import dataclasses
 
@@ -27,25 +27,25 @@
 
 
 class AlwaysReady:
-    """A host that always serves."""
+    """A ``ReadinessCheck`` that always reports ready."""
 
     def is_ready(self) -> bool:
-        """See ``Readiness.is_ready``."""
+        """See ``ReadinessCheck.is_ready``."""
         return True
 
 
 @dataclasses.dataclass(slots=True)
 class MemoryHost:
-    """One host whose peers are on a ``MemoryNetwork``.
+    """The components of a host whose peers are on a ``MemoryNetwork``.
 
     Attributes:
-        name: Its name.
-        membership: The hosts it sees.
-        cluster: Calls by role.
-        owned_shards: The shards it owns.
-        homes: Its replicas' queues.
-        entry: Its entry role.
-        callers: What a callers' listener needs.
+        name: Name of the host.
+        membership: The hosts that it sees.
+        cluster: Assigns roles to hosts.
+        owned_shards: The shards that it owns.
+        homes: Its homes of replicas.
+        forwarder: Forwards callers' operations to their owners.
+        callers_context: The dependencies of a callers' listener.
         timers: Its timers.
     """
 
@@ -59,7 +59,7 @@
     timers: TimerService
 
     async def close(self) -> None:
-        """Stops its parts."""
+        """Stops the host's components."""
         await self.timers.close()
         await self.membership.close()
         for shard in self.owned_shards.owned_shards():
@@ -79,13 +79,13 @@
     """Returns a host attached to a network.
 
     Args:
-        name: Its name.
-        names: All hosts, this one included.
+        name: Name of the host.
+        names: Names of all hosts, including this one.
         network: Carries the calls between hosts.
-        store: The platform's objects.
-        in_force: The configuration.
+        store: The platform's object store.
+        in_force: The configuration in force.
         executor: Runs calls at upstreams.
-        settings: Times of its shards.
+        settings: Settings of its shards; the defaults if absent.
     """
     metrics = Metrics()
     timers = TimerService(seed=1)
--- a/apps/masticdaled/src/masticdaled/upstream_clients.py
+++ b/apps/masticdaled/src/masticdaled/upstream_clients.py
@@ -1,4 +1,4 @@
-"""Clients of engines and services by upstream, made when first needed."""
+"""Creates and caches the clients of engines and services."""
 
 import asyncio
 import dataclasses
@@ -26,7 +26,7 @@
 
 
 class UpstreamClients:
-    """One client for each upstream that this host talks to."""
+    """Caches a client for each upstream; replaces it if the address changes."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -34,7 +34,7 @@
         self._closing: set[asyncio.Task[None]] = set()
 
     def engine(self, upstream: RenderedEngine) -> EngineClient:
-        """Returns the client of an engine at its present address."""
+        """Returns the client of an engine at its current address."""
         cached = self._find_cached(upstream)
         if cached is not None and isinstance(cached.client, EngineClient):
             return cached.client
@@ -46,7 +46,7 @@
         return client
 
     def service(self, upstream: RenderedService) -> ServiceClient:
-        """Returns the client of a service at its present address."""
+        """Returns the client of a service at its current address."""
         cached = self._find_cached(upstream)
         if cached is not None and isinstance(cached.client, ServiceClient):
             return cached.client
@@ -58,7 +58,7 @@
         return client
 
     async def close(self) -> None:
-        """Closes every client."""
+        """Closes the clients and waits for replaced ones to close."""
         for cached in self._cached_by_name.values():
             await cached.client.close()
         await asyncio.gather(*self._closing, return_exceptions=True)
