--- a/apps/masticdaled/src/masticdaled/settings.py
+++ b/apps/masticdaled/src/masticdaled/settings.py
@@ -13,9 +13,9 @@
     """Timing of a graceful stop, in seconds.
 
     Attributes:
-        unready_s: Time between reporting unready and refusing connections, in
-            which the load balancer stops sending callers.
-        finish_s: Maximum wait for requests in flight.
+        unready_s: Time between being unready and refusing new connections,
+            so that the balancer notices first.
+        finish_s: Longest wait for what is in flight.
     """
 
     unready_s: float = pydantic.Field(default=2.0, ge=0)
@@ -26,13 +26,11 @@
     """Timeouts of programs, in seconds.
 
     Attributes:
-        unread_cancel_s: Time after which a model turn without a reader is
-            cancelled.
-        idle_end_s: Time after which a program without calls is ended as
-            abandoned.
-        retention_s: Time for which an ended program can be read.
-        commit_wait_s: Maximum wait for an intent's commit before the call is
-            rejected as not run.
+        unread_cancel_s: A model turn that nobody reads is cancelled then.
+        idle_end_s: A program without calls is ended as abandoned then.
+        retention_s: An ended program can be read that long.
+        commit_wait_s: Longest wait for an intent's commit before the call is
+            refused as not run.
     """
 
     unread_cancel_s: float = pydantic.Field(default=15.0, gt=0)
@@ -45,9 +43,9 @@
     """Limits of callers' requests.
 
     Attributes:
-        max_bytes: Maximum size of a request body.
-        default_deadline_ms: Deadline of a request that sets none.
-        max_deadline_ms: Maximum deadline that a request may set.
+        max_bytes: Largest request body.
+        default_deadline_ms: Deadline of a request that names none.
+        max_deadline_ms: Longest deadline a request may name.
     """
 
     max_bytes: int = pydantic.Field(default=262_144, ge=1024)
@@ -60,20 +58,19 @@
 
     Attributes:
         host: Name of this host.
-        domain: Failure domain of this host.
-        callers: Listening address for callers.
-        operators: Listening address for operators.
-        peer_listener: Listening address for the other hosts.
-        peers: The hosts of the cluster; may include this one.
+        domain: Its failure domain.
+        callers: Where callers are served.
+        operators: Where operators are served.
+        peer_listener: Where other hosts are served.
+        peers: All hosts; this one may be among them.
         platform_url: Base URL of the platform's object API.
-        platform_timeout_s: Timeout of a request to the platform, in seconds.
-        tls: Certificates for connections between hosts; if absent, these are
-            plaintext on loopback.
-        operator_tokens: Tokens of the operators.
-        data_folder: Folder on a local disk, if the host has one.
-        stop: Timing of a graceful stop.
-        programs: Timeouts of programs.
-        requests: Limits of callers' requests.
+        platform_timeout_s: Longest wait for one of its answers.
+        tls: Certificates between hosts; plaintext on loopback where absent.
+        operator_tokens: Who may operate.
+        data_folder: Folder on a disk, where the host has one.
+        stop: How a planned stop goes.
+        programs: Times of programs.
+        requests: Bounds of callers' requests.
     """
 
     host: str = pydantic.Field(min_length=1)
