--- a/apps/masticdaled/src/masticdaled/operators/__init__.py
+++ b/apps/masticdaled/src/masticdaled/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' side of a host."""
+"""The operators' API of an entry host."""
--- a/apps/masticdaled/src/masticdaled/operators/access.py
+++ b/apps/masticdaled/src/masticdaled/operators/access.py
@@ -1,4 +1,4 @@
-"""Who may use the operators' listener, and the audit log of what they did."""
+"""Authenticates operators by token and writes the audit log."""
 
 import dataclasses
 import enum
@@ -25,14 +25,14 @@
 
 
 class Role(enum.StrEnum):
-    """What an operator may do; ``operate`` includes ``read``."""
+    """The permissions of an operator; ``operate`` includes ``read``."""
 
     READ = "read"
     OPERATE = "operate"
 
 
 class TokenSettings(StrictModel):
-    """One operator's token in the daemon's settings.
+    """An operator's token in the daemon's settings.
 
     Attributes:
         name: Stands in the audit log in place of the token.
@@ -49,31 +49,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Operator:
-    """An operator who showed a known token.
+    """An operator authenticated by a token.
 
     Attributes:
         name: Name of the token.
-        role: What the token allows.
+        role: Role that the token grants.
     """
 
     name: str
     role: Role
 
     def has_role(self, role: Role) -> bool:
-        """Returns whether the operator may do what a role allows."""
+        """Returns whether the operator's role includes the given role."""
         return self.role is Role.OPERATE or role is Role.READ
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AuditEntry:
-    """One accepted change or refused attempt.
+    """An accepted change or a rejected request.
 
     Attributes:
-        operator: Name of the token; ``unknown`` without a known one.
+        operator: Name of the token; ``unknown`` if the request had no valid
+            one.
         action: Method and path of the request.
-        outcome: ``accepted``, or the error kind of the refusal.
-        detail: The target and what came of it; never a token.
-        client: Address of the operator's connection.
+        outcome: ``accepted``, or the error kind of the rejection.
+        detail: The target and the result; never a token.
+        client: Client address of the connection.
     """
 
     operator: str
@@ -84,16 +85,16 @@
 
 
 class Access:
-    """The tokens known to a daemon."""
+    """The operators' tokens of a daemon."""
 
     def __init__(self, operator_by_digest: Mapping[str, Operator]) -> None:
         self._operator_by_digest = dict(operator_by_digest)
 
     def identify(self, authorization: str) -> Result[Operator, Failure]:
-        """Finds the operator who sent a request.
+        """Returns the operator who sent a request.
 
         Args:
-            authorization: The ``Authorization`` header, or empty.
+            authorization: The ``Authorization`` header, or an empty string.
 
         Returns:
             The operator, or UNAUTHENTICATED.
@@ -102,30 +103,27 @@
             detail = "send the header 'Authorization: Bearer TOKEN'"
             return Failed(Failure(ErrorKind.UNAUTHENTICATED, detail))
         presented = token_digest(authorization[len(_SCHEME) :].strip())
-        # The digest is compared, not the token, so the time this takes tells
-        # nothing that helps to guess one.
+        # Digests are compared, so that the timing reveals nothing about a
+        # token.
         for digest, operator in self._operator_by_digest.items():
             if hmac.compare_digest(digest, presented):
                 return Success(operator)
-        detail = "the token is not among this host's settings"
+        detail = "the token is not in this host's settings"
         return Failed(Failure(ErrorKind.UNAUTHENTICATED, detail))
 
 
 def create_access(tokens: Iterable[TokenSettings]) -> Access:
-    """Returns the access that settings grant.
-
-    Args:
-        tokens: The tokens of the settings.
+    """Creates the access control from the tokens of the settings.
 
     Raises:
-        MasticdaleError: INVALID_SETTINGS, where two have the same name or
-            digest: the audit log could not tell who did something.
+        MasticdaleError: INVALID_SETTINGS, if two tokens have the same name or
+            digest, since the audit log could not tell them apart.
     """
     operator_by_digest: dict[str, Operator] = {}
     names: set[str] = set()
     for token in tokens:
         if token.sha256 in operator_by_digest or token.name in names:
-            detail = f"operator_tokens: {token.name!r} stands twice"
+            detail = f"operator_tokens: {token.name!r}: duplicate name or token"
             raise MasticdaleError(Failure(ErrorKind.INVALID_SETTINGS, detail))
         operator_by_digest[token.sha256] = Operator(token.name, token.role)
         names.add(token.name)
@@ -133,13 +131,13 @@
 
 
 def token_digest(token: str) -> str:
-    """Returns the digest under which a token stands in the settings.
+    """Returns the digest of a token, as the settings hold it.
 
-    Tokens are long random strings, so a plain hash cannot be searched.
+    Tokens are long random strings, so an unsalted hash resists a search.
     """
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def write_audit_entry(entry: AuditEntry) -> None:
-    """Writes one line of the audit log."""
+    """Writes an entry to the audit log."""
     logs.write(AUDIT, **dataclasses.asdict(entry))
--- a/apps/masticdaled/src/masticdaled/operators/change_schema.py
+++ b/apps/masticdaled/src/masticdaled/operators/change_schema.py
@@ -1,7 +1,7 @@
-"""How the operators' OpenAPI page describes the body of a change.
+"""OpenAPI schema of the body of a change.
 
-The body is read by its own strict model and not by litestar, so litestar
-cannot derive this.
+The routes validate the raw body themselves, so litestar cannot derive the
+schema.
 """
 
 import dataclasses
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass
 class ChangeOperation(Operation):
-    """An operation whose body is a ``ChangeRequest``."""
+    """An OpenAPI operation whose request body is a ``ChangeRequest``."""
 
     def __post_init__(self) -> None:
         self.request_body = RequestBody(
--- a/apps/masticdaled/src/masticdaled/operators/context.py
+++ b/apps/masticdaled/src/masticdaled/operators/context.py
@@ -1,4 +1,4 @@
-"""What the daemon gives to the operators' listener."""
+"""Implements the operators' actions on a running daemon."""
 
 import asyncio
 import dataclasses
@@ -40,15 +40,15 @@
 
     Attributes:
         host: Name of this host.
-        config_store: Accepts changes.
-        in_force: The configuration in force here.
+        config_store: Accepts changes of the configuration.
+        in_force: The configuration in force on this host.
         metrics: The process's metrics.
         state_dump: The process's state dump.
-        cluster: Finds hosts by role.
+        cluster: Assigns roles to hosts.
         owned_shards: The shards owned by this host.
-        clients: Talks to upstreams.
-        digest_home: The quarantine.
-        find_readiness: Returns whether callers may be sent here.
+        clients: The clients of upstreams.
+        digest_home: Holds the quarantined requests.
+        find_readiness: Returns whether this host may receive callers.
     """
 
     host: str
@@ -149,7 +149,7 @@
     ) -> Result[TakeoverReport, Failure]:
         """See ``OperatorContext.force_takeover``."""
         if not 0 <= shard < hashing.SHARD_COUNT:
-            detail = f"shard {shard}; there are {hashing.SHARD_COUNT}"
+            detail = f"shard {shard}; the shard count is {hashing.SHARD_COUNT}"
             return Failed(Failure(ErrorKind.NOT_FOUND, detail))
         forced = await self.owned_shards.force_takeover(shard)
         if isinstance(forced, Failed):
--- a/apps/masticdaled/src/masticdaled/operators/guarding.py
+++ b/apps/masticdaled/src/masticdaled/operators/guarding.py
@@ -1,4 +1,4 @@
-"""Letting operators in, and recording what they changed or were refused."""
+"""Authorizes operators' requests and audits changes and rejections."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -39,13 +39,13 @@
 def create_guard(
     access: Access,
 ) -> Callable[[Connection, BaseRouteHandler], None]:
-    """Returns the guard of every route.
+    """Creates the guard of all routes.
 
-    A route's ``opt`` says whether it is open to all (``PUBLIC``), needs the
-    role ``operate`` (``OPERATE``), or ``read`` without either.
+    A route's ``opt`` is ``PUBLIC`` if it needs no token, ``OPERATE`` if it
+    needs the role ``operate``; any other route needs the role ``read``.
 
     Args:
-        access: The tokens that are known.
+        access: Authenticates operators.
     """
 
     def guard(connection: Connection, handler: BaseRouteHandler) -> None:
@@ -60,24 +60,24 @@
         connection.state[_OPERATOR_KEY] = operator
         required = handler.opt.get("role", Role.READ)
         if not operator.has_role(required):
-            detail = f"it has the role {operator.role}; this needs {required}"
+            detail = f"its role is {operator.role}; this needs {required}"
             raise MasticdaleError(Failure(ErrorKind.FORBIDDEN, detail))
 
     return guard
 
 
 def operator_of(request: OperatorRequest) -> Operator:
-    """Returns the operator whom the guard let in."""
+    """Returns the operator whom the guard authenticated."""
     operator: Operator = request.state[_OPERATOR_KEY]
     return operator
 
 
 def audit_accepted(request: OperatorRequest, detail: str) -> None:
-    """Records an accepted change.
+    """Writes an accepted change to the audit log.
 
     Args:
-        request: The request that asked for it.
-        detail: What it changed.
+        request: The request for the change.
+        detail: What the request changed.
     """
     access_lib.write_audit_entry(
         AuditEntry(
@@ -93,10 +93,10 @@
 def create_rejection_audit(
     metrics: Metrics,
 ) -> Callable[[Exception, Scope], Awaitable[None]]:
-    """Returns what records refused changes and refused access.
+    """Creates the hook that audits rejected changes and denied access.
 
     Args:
-        metrics: Counts the refusals by their kind.
+        metrics: Counts the rejections by error kind.
     """
 
     async def audit_rejection(error: Exception, scope: Scope) -> None:
