--- a/apps/masticdaled/src/masticdaled/operators/listener.py
+++ b/apps/masticdaled/src/masticdaled/operators/listener.py
@@ -1,7 +1,7 @@
-"""The operators' listener: status, configuration, programs, quarantine.
+"""The operators' HTTP API: status, configuration, programs, repairs.
 
-It is separate from the callers' listener, so that a flood of calls cannot
-keep operators out and no caller's key opens it.
+It has a listener of its own, so that a flood of calls cannot block operators
+and callers' keys give no access to it.
 """
 
 import dataclasses
@@ -64,8 +64,8 @@
 )
 from masticdaled.operators.models import OperatorContext
 
-# A stored revision has at most a megabyte; a body over twice that could
-# not become one.
+# A stored revision has at most 1 MB, so a change of over twice that size
+# cannot be stored.
 MAX_BODY_BYTES = 2_000_000
 MAX_PAGE = 1000
 DEFAULT_PAGE = 100
@@ -77,11 +77,11 @@
 def create_operator_app(
     context: OperatorContext, access: Access
 ) -> litestar.Litestar:
-    """Returns the application of the operators' listener.
+    """Returns the ASGI application of the operators' listener.
 
     Args:
-        context: What the daemon gives.
-        access: The tokens it knows.
+        context: The daemon's data and actions.
+        access: Authenticates operators.
     """
     return litestar.Litestar(
         route_handlers=[
@@ -308,8 +308,9 @@
 
 
 def _parse(body: bytes, model: type[ChangeRequest]) -> ChangeRequest:
-    # Not by litestar: its decoder hands the model Python values, for which
-    # the strict models take no enum, and it names no paths in unions.
+    # Litestar's decoder passes Python values to the model, and strict models
+    # reject plain values for enums. It also omits the paths within unions from
+    # its errors.
     try:
         return model.model_validate_json(body)
     except pydantic.ValidationError as error:
--- a/apps/masticdaled/src/masticdaled/operators/models.py
+++ b/apps/masticdaled/src/masticdaled/operators/models.py
@@ -1,4 +1,4 @@
-"""What the operators' listener needs of the daemon."""
+"""The interface between the operators' listener and the daemon."""
 
 from typing import Protocol
 
@@ -31,9 +31,10 @@
 
 
 class OperatorContext(Protocol):
-    """The daemon as the operators' listener sees it.
+    """The daemon's data and actions that the operators' listener uses.
 
-    Expected errors come back as failures and are answered by the table.
+    Expected errors are returned as failures, which the listener converts to
+    HTTP responses.
     """
 
     @property
@@ -43,7 +44,7 @@
 
     @property
     def config_store(self) -> ConfigStore | None:
-        """Accepts changes; None where no platform is connected."""
+        """Accepts changes; None if no platform is connected."""
         ...
 
     @property
@@ -62,45 +63,45 @@
         ...
 
     def hosts(self) -> tuple[HostStatus, ...]:
-        """Returns every host this one knows, itself among them."""
+        """Returns all known hosts, including this one."""
         ...
 
     def readiness(self) -> Readiness:
-        """Returns whether the balancer may send callers here."""
+        """Returns whether the load balancer may send callers here."""
         ...
 
     async def list_programs(
         self, selection: ProgramFilter
     ) -> Result[ProgramPage, Failure]:
-        """Lists programs of all hosts."""
+        """Lists the programs of all hosts."""
         ...
 
     async def inspect_program(
         self, program_id: str
     ) -> Result[ProgramDetail, Failure]:
-        """Returns one program, asking its owner; NOT_FOUND without one."""
+        """Asks a program's owner for its details; NOT_FOUND if unknown."""
         ...
 
     async def stop_program(
         self, program_id: str
     ) -> Result[ProgramDetail, Failure]:
-        """Ends a program; ending it again changes nothing."""
+        """Ends a program; idempotent."""
         ...
 
     async def quarantined(
         self,
     ) -> Result[tuple[QuarantinedRequest, ...], Failure]:
-        """Lists the requests refused for crashing their replicas."""
+        """Lists the requests quarantined for crashing replicas."""
         ...
 
     async def release_quarantined(self, digest: str) -> Result[None, Failure]:
-        """Lets a quarantined request be tried again; NOT_FOUND without."""
+        """Releases a request from quarantine; NOT_FOUND if not in it."""
         ...
 
     async def force_takeover(
         self, shard: int
     ) -> Result[TakeoverReport, Failure]:
-        """Takes a shard over without its copy holders' consent."""
+        """Takes over a shard without the consent of its copy holders."""
         ...
 
     async def drain_upstream(self, name: str) -> Result[DrainReport, Failure]:
--- a/apps/masticdaled/src/masticdaled/operators/programs.py
+++ b/apps/masticdaled/src/masticdaled/operators/programs.py
@@ -1,4 +1,4 @@
-"""What operators ask of programs, answered by the host that owns them."""
+"""Handles operators' requests for the programs that this host owns."""
 
 import time
 
@@ -17,14 +17,14 @@
 
 
 class ProgramAdmin:
-    """Lists, shows and ends the programs owned here."""
+    """Lists, shows and ends the programs owned by this host."""
 
     def __init__(self, host: str, owned_shards: OwnedShards) -> None:
         self._host = host
         self._owned_shards = owned_shards
 
     async def handle(self, request: ProgramsRequest) -> ProgramsReply:
-        """Answers one question; see ``ProgramsRequest``."""
+        """Handles a request; see ``ProgramsRequest``."""
         if request.program_id:
             return await self._handle_one(request)
         selected = [
@@ -54,12 +54,12 @@
 
 
 def encode_detail(detail: ProgramDetail) -> str:
-    """Returns a program as it is sent between hosts."""
+    """Encodes a program's details for transfer between hosts."""
     return _DETAIL.dump_json(detail).decode()
 
 
 def decode_detail(text: str) -> ProgramDetail:
-    """Returns a program sent by another host."""
+    """Decodes a program's details received from another host."""
     return _DETAIL.validate_json(text)
 
 
--- a/apps/masticdaled/src/masticdaled/operators/testing.py
+++ b/apps/masticdaled/src/masticdaled/operators/testing.py
@@ -1,4 +1,4 @@
-"""A daemon in memory behind the operators' listener, for tests."""
+"""An in-memory ``OperatorContext`` for tests."""
 
 import dataclasses
 
@@ -52,10 +52,10 @@
 
 @dataclasses.dataclass(slots=True)
 class MemoryContext:
-    """An ``OperatorContext`` over a store in memory.
+    """An ``OperatorContext`` backed by an in-memory store.
 
     Attributes:
-        store: The platform's stand-in; it fails on request.
+        store: The platform's object store; can inject faults.
         lagging: Hosts besides this one, with the revision each reports.
     """
 
@@ -73,7 +73,7 @@
     quarantined_digests: set[str] = dataclasses.field(default_factory=set)
 
     def hosts(self) -> tuple[HostStatus, ...]:
-        """Returns this host and those of ``revision_by_host``."""
+        """Returns this host and the hosts in ``revision_by_host``."""
         own = HostStatus(self.host, "domain-1", False, self.in_force.number, 0)
         others = [
             HostStatus(name, "domain-2", False, revision, 0.4)
@@ -88,7 +88,7 @@
     async def list_programs(
         self, selection: ProgramFilter
     ) -> Result[ProgramPage, Failure]:
-        """Lists the programs of a workspace."""
+        """Lists the programs of a workspace, or all."""
         shown = [
             detail.summary
             for program_id, detail in sorted(self.program_by_id.items())
@@ -130,7 +130,7 @@
         )
 
     async def release_quarantined(self, digest: str) -> Result[None, Failure]:
-        """Takes a digest out."""
+        """Removes a digest from ``quarantined_digests``."""
         if digest not in self.quarantined_digests:
             return _not_found(digest)
         self.quarantined_digests.discard(digest)
@@ -152,7 +152,7 @@
 
 
 def create_context() -> MemoryContext:
-    """Returns a context whose platform answers and which holds nothing."""
+    """Returns an empty context whose platform is available."""
     context = MemoryContext()
     context.config_store = ConfigStore(
         context.store, context.in_force, backoff_s=0.0
