--- a/apps/masticdaled/tests/test_answers.py
+++ b/apps/masticdaled/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Tests of turning failures into HTTP answers."""
+"""Tests of the conversion of failures to HTTP responses."""
 
 import io
 import unittest
@@ -15,7 +15,7 @@
 
 
 class AnswersTest(unittest.IsolatedAsyncioTestCase):
-    def test_each_kind_is_answered_by_the_table(self):
+    def test_response_has_the_status_of_its_kind(self):
         for kind, answer in ANSWER_BY_KIND.items():
             response = answers.error_response(Failure(kind, "why"))
             self.assertEqual(response.status_code, answer.status)
@@ -25,13 +25,13 @@
                 answer.retry_after_ms is not None,
             )
 
-    def test_the_time_to_come_back_is_rounded_up(self):
+    def test_retry_after_is_rounded_up(self):
         for milliseconds, seconds in ((1, "1"), (1000, "1"), (1001, "2")):
             failure = Failure(ErrorKind.OVERLOADED, "", milliseconds)
             response = answers.error_response(failure)
             self.assertEqual(response.headers["Retry-After"], seconds)
 
-    def test_errors_of_the_library_become_kinds(self):
+    def test_litestar_exceptions_map_to_kinds(self):
         for error, kind in (
             (http_errors.NotAuthorizedException(), "unauthenticated"),
             (http_errors.PermissionDeniedException(), "forbidden"),
@@ -40,11 +40,10 @@
         ):
             self.assertEqual(answers.failure_of(error).kind.value, kind)
 
-    async def test_an_unforeseen_error_tells_nothing_of_its_text(self):
-        """Code fails in a way nobody foresaw, with a prompt in the error.
+    async def test_unexpected_error_does_not_leak_its_text(self):
+        """Guards against a caller's prompt in an error response or the log.
 
-        Neither the client nor the log may see the prompt; the client learns
-        that it is unknown whether the request ran.
+        The response says that it is unknown whether the request ran.
         """
         log = io.StringIO()
         destination = eliot.FileDestination(file=log)
--- a/apps/masticdaled/tests/test_callers.py
+++ b/apps/masticdaled/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' interface: answers, refusals, streams."""
+"""Tests of the callers' HTTP API: answers, rejections, streams."""
 
 import json
 import unittest
@@ -50,11 +50,11 @@
 
 
 class AnswersTest(CallersTestCase):
-    async def test_program_sent_again_is_the_same_program(self):
+    async def test_retried_create_returns_the_same_program(self):
         first, second = await self.begin(), await self.begin()
         self.assertEqual(first, second)
 
-    async def test_turn_is_answered_whole_and_stands_in_the_history(self):
+    async def test_turn_answer_is_in_the_history(self):
         path = await self.begin()
         turn = {"request_id": "t", "message": "hello"}
         answer = await self.post(f"{path}/turns", turn)
@@ -85,8 +85,8 @@
         self.assertIn("/v1/programs", json.dumps(answer.json()))
 
 
-class RefusalsTest(CallersTestCase):
-    async def test_each_bad_request_gets_a_clear_answer(self):
+class RejectionsTest(CallersTestCase):
+    async def test_invalid_requests_are_rejected_with_their_kind(self):
         path = await self.begin()
         turn = {"request_id": "t", "message": "hello"}
         rows = [
@@ -119,14 +119,14 @@
         answer = await self.client.post(PROGRAMS, content=b"{", headers=KEY)
         self.assertEqual(answer.status_code, 400)
 
-    async def test_refusal_with_a_time_to_come_back_has_the_header(self):
+    async def test_out_of_order_turn_has_a_retry_after_header(self):
         path = await self.begin()
         turn = {"request_id": "t", "message": "m", "sequence": 5}
         answer = await self.post(f"{path}/turns", turn)
         self.assertEqual(answer.json()["kind"], "out_of_order")
         self.assertEqual(answer.headers["retry-after"], "1")
 
-    async def test_request_id_reused_for_another_kind_is_refused(self):
+    async def test_request_id_reused_for_another_kind_is_rejected(self):
         await self.begin()
         other = BEGIN | {"program": "route-check"}
         answer = await self.post("", other)
--- a/apps/masticdaled/tests/test_operators.py
+++ b/apps/masticdaled/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' listener over HTTP."""
+"""Tests of the operators' HTTP API."""
 
 import io
 import json
@@ -62,7 +62,7 @@
         lines = [json.loads(x) for x in self.log.getvalue().splitlines()]
         return [x for x in lines if x.get("message_type") == "audit"]
 
-    async def test_health_needs_no_token_and_readiness_says_why(self):
+    async def test_health_needs_no_token_and_readiness_has_a_reason(self):
         self.assertEqual((await self.client.get("/healthz")).text, "ok\n")
         self.context.is_ready = False
         answer = await self.client.get("/readyz")
@@ -91,19 +91,19 @@
         self.assertEqual(status["digest"], answer.json()["digest"])
         self.assertEqual(status["hosts"][0]["revision"], 1)
 
-    async def test_a_change_sent_again_is_recognised(self):
+    async def test_retried_change_is_idempotent(self):
         body = change("c1", testing.engine("e", "m"))
         first, second = await self.apply(body), await self.apply(body)
         self.assertEqual(first.json(), second.json())
 
-    async def test_the_loser_of_a_race_is_told_field_and_change(self):
+    async def test_conflict_names_the_field_and_the_change(self):
         await self.apply(change("c1", testing.engine("e", "m")))
         answer = await self.apply(change("c2", testing.engine("e", "m", 2)))
         self.assertEqual(answer.status_code, 409)
         self.assertIn("Upstream/e: spec: changed by", answer.json()["detail"])
         self.assertIn("change c1, ayana", answer.json()["detail"])
 
-    async def test_wrong_bodies_are_refused_with_their_paths(self):
+    async def test_invalid_bodies_are_rejected_with_their_paths(self):
         good = json.loads(change("c1", testing.engine("e", "m")))
         good["edits"][0]["after"]["spec"]["slotz"] = 3
         answer = await self.apply(json.dumps(good))
@@ -124,7 +124,7 @@
         self.assertEqual(answer.status_code, 413)
         self.assertEqual(answer.json()["kind"], "too_large")
 
-    async def test_unknown_paths_and_methods_are_answered_by_the_table(self):
+    async def test_unknown_paths_and_methods_have_error_kinds(self):
         answer = await self.get("/v1/nothing")
         self.assertEqual(answer.status_code, 404)
         self.assertEqual(answer.json()["kind"], "not_found")
@@ -133,11 +133,11 @@
         answer = await self.get("/v1/config?limit=0")
         self.assertEqual(answer.json()["kind"], "bad_request")
 
-    async def test_an_outage_is_refused_as_surely_not_written(self):
-        """The platform answers nothing while an operator applies.
+    async def test_apply_during_an_outage_reports_not_run(self):
+        """Guards against an outage being reported as an unknown outcome.
 
-        The read before the write fails first, so nothing was sent: the answer
-        says 503, ran "no" and when to come back.
+        The read before the write fails, so nothing was sent: the response is
+        503 with ``ran`` "no" and a ``Retry-After`` header.
         """
         self.context.store.faults.down = True
         answer = await self.apply(change("c1", testing.engine("e", "m")))
@@ -145,7 +145,7 @@
         self.assertEqual(answer.headers["retry-after"], "2")
         self.assertEqual(answer.json()["ran"], "no")
 
-    async def test_no_token_and_a_reading_token_change_nothing(self):
+    async def test_changes_need_a_token_with_the_operate_role(self):
         body = change("c1", testing.engine("e", "m"))
         for headers, status in (
             ({}, 401),
@@ -163,7 +163,7 @@
         self.assertNotIn("wrong-token", self.log.getvalue())
         self.assertNotIn(READ_TOKEN, self.log.getvalue())
 
-    def test_two_tokens_that_cannot_be_told_apart_are_refused(self):
+    def test_duplicate_tokens_are_rejected(self):
         for twin in (
             TOKENS[0].model_copy(update={"name": "other"}),
             TOKENS[0].model_copy(update={"sha256": "0" * 64}),
@@ -173,7 +173,7 @@
             kind = caught.exception.failure.kind
             self.assertIs(kind, ErrorKind.INVALID_SETTINGS)
 
-    async def test_changes_and_refusals_are_in_the_audit_log(self):
+    async def test_changes_and_rejections_are_audited(self):
         await self.apply(change("c1", testing.engine("e", "m")))
         await self.apply(change("c2", testing.engine("e", "m", 2)))
         accepted, refused = self.audit_lines()
@@ -217,7 +217,7 @@
         missing = await self.post("/v1/programs/p-2/stop")
         self.assertEqual(missing.status_code, 404)
 
-    async def test_repairs_report_what_they_did(self):
+    async def test_quarantine_release_and_takeover_are_reported(self):
         self.context.quarantined_digests.add(QUARANTINED_DIGEST)
         listed = (await self.get("/v1/quarantine")).json()
         self.assertEqual(listed["requests"][0]["digest"], QUARANTINED_DIGEST)
