--- a/apps/masticdaled/src/masticdaled/callers/entry.py
+++ b/apps/masticdaled/src/masticdaled/callers/entry.py
@@ -113,7 +113,7 @@
             await asyncio.sleep(delay_s)
             delay_s = min(delay_s * 2, _MAX_RETRY_DELAY_S)
 
-    async def follow(
+    async def stream_answer(
         self, request: OperationRequest
     ) -> AsyncIterator[TextDelta | FinalOutcome]:
         """Streams an accepted call's text, then its outcome.
--- a/apps/masticdaled/src/masticdaled/callers/listener.py
+++ b/apps/masticdaled/src/masticdaled/callers/listener.py
@@ -295,7 +295,7 @@
     return _program_body(outcome.unwrap())
 
 
-async def _follow_call(
+async def _stream_call(
     request: AnyRequest, call: OperationRequest
 ) -> AsyncIterator[TextDelta | FinalOutcome]:
     """Submits a call within its workspace's limits and streams its answer."""
@@ -315,7 +315,7 @@
             kind = accepted.failure().kind.value
             yield FinalOutcome(Failed(accepted.failure()))
             return
-        async for part in context.forwarder.follow(call):
+        async for part in context.forwarder.stream_answer(call):
             if isinstance(part, FinalOutcome) and isinstance(
                 part.outcome, Failed
             ):
@@ -341,7 +341,7 @@
 async def _run_call(
     request: AnyRequest, call: OperationRequest
 ) -> Result[Outcome, Failure]:
-    async for part in _follow_call(request, call):
+    async for part in _stream_call(request, call):
         if isinstance(part, FinalOutcome):
             return part.outcome
     return Failed(Failure(ErrorKind.INTERNAL))
@@ -350,7 +350,7 @@
 async def _event_stream(
     request: AnyRequest, call: OperationRequest
 ) -> AsyncIterator[ServerSentEventMessage]:
-    async for part in _follow_call(request, call):
+    async for part in _stream_call(request, call):
         if isinstance(part, TextDelta):
             name = "restart" if part.restart else "text"
             data = json.dumps({"text": part.text})
--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -127,7 +127,7 @@
         self.follower = ConfigFollower(
             self.cluster, self.store, self.in_force, self.metrics
         )
-        self.orphans = OrphanSweeper(
+        self.orphan_sweeper = OrphanSweeper(
             self.cluster, self.homes, self.clients, self.metrics
         )
         self.forwarder = OperationForwarder(self.cluster, self.metrics)
@@ -150,8 +150,8 @@
         self._peer_server = await serve(
             self.handler, settings.peer_listener, settings.tls
         )
-        self.membership.subscribe(self._members_changed)
-        self.membership.subscribe_pause(self._host_paused)
+        self.membership.subscribe(self._on_members_changed)
+        self.membership.subscribe_pause(self._on_host_paused)
         self.membership.start()
         await self._exchange_heartbeats()
         await self.follower.start()
@@ -228,7 +228,7 @@
         # The membership may call this before __init__ has set _leaving.
         return getattr(self, "_leaving", False)
 
-    def _members_changed(self, change: MembershipChange) -> None:
+    def _on_members_changed(self, change: MembershipChange) -> None:
         self.homes.members_changed(change)
         self.digest_home.members_changed(change)
         self.metrics.gauge("hosts_live", len(change.members))
@@ -262,7 +262,7 @@
             ("config", _CONFIG_PERIOD_S, self.follower.tick),
             ("list", _HOST_LIST_PERIOD_S, self._refresh_host_list),
             ("suspects", _QUARANTINE_PERIOD_S, self.digest_home.tick),
-            ("orphans", _ORPHANS_PERIOD_S, self.orphans.sweep),
+            ("orphans", _ORPHANS_PERIOD_S, self.orphan_sweeper.sweep),
         )
         for name, period_s, callback in rows:
             self.timers.subscribe(Subscription(name, period_s, callback))
@@ -302,7 +302,7 @@
             return Readiness(False, "the configuration is not loaded yet")
         return Readiness(self._started, "" if self._started else "starting")
 
-    async def _host_paused(self, seconds: float) -> None:
+    async def _on_host_paused(self, seconds: float) -> None:
         self.metrics.count("host_pauses_total")
         logs.write("checking_shards_after_pause", seconds=round(seconds, 3))
         await self.owned_shards.check_ownership()
--- a/apps/masticdaled/src/masticdaled/operators/access.py
+++ b/apps/masticdaled/src/masticdaled/operators/access.py
@@ -90,7 +90,7 @@
     def __init__(self, operator_by_digest: Mapping[str, Operator]) -> None:
         self._operator_by_digest = dict(operator_by_digest)
 
-    def identify(self, authorization: str) -> Result[Operator, Failure]:
+    def authenticate(self, authorization: str) -> Result[Operator, Failure]:
         """Returns the operator who sent a request.
 
         Args:
--- a/apps/masticdaled/src/masticdaled/operators/guarding.py
+++ b/apps/masticdaled/src/masticdaled/operators/guarding.py
@@ -51,12 +51,12 @@
     def guard(connection: Connection, handler: BaseRouteHandler) -> None:
         if handler.opt.get("public"):
             return
-        identified = access.identify(
+        authenticated = access.authenticate(
             connection.headers.get("authorization", "")
         )
-        if isinstance(identified, Failed):
-            raise MasticdaleError(identified.failure())
-        operator = identified.unwrap()
+        if isinstance(authenticated, Failed):
+            raise MasticdaleError(authenticated.failure())
+        operator = authenticated.unwrap()
         connection.state[_OPERATOR_KEY] = operator
         required = handler.opt.get("role", Role.READ)
         if not operator.has_role(required):
