--- a/apps/masticdaled/src/masticdaled/callers/listener.py
+++ b/apps/masticdaled/src/masticdaled/callers/listener.py
@@ -40,7 +40,7 @@
     error_response,
     exception_handlers,
 )
-from masticdaled.callers.entry import (
+from masticdaled.callers.forwarding import (
     FinalOutcome,
     OperationForwarder,
     OperationRequest,
--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -32,7 +32,7 @@
 from masticdale_platform.client import PlatformClient
 from masticdale_programs import CopyStore, ShardSettings
 from masticdale_rpc import RpcServer
-from masticdaled.callers.entry import OperationForwarder
+from masticdaled.callers.forwarding import OperationForwarder
 from masticdaled.callers.limits import WorkspaceLimiter
 from masticdaled.callers.listener import CallersContext, create_callers_app
 from masticdaled.cluster import Cluster
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -8,7 +8,7 @@
 from masticdale_peers.testing import MemoryNetwork
 from masticdale_platform import ObjectStore
 from masticdale_programs import CopyStore, Executor, ShardSettings
-from masticdaled.callers.entry import OperationForwarder
+from masticdaled.callers.forwarding import OperationForwarder
 from masticdaled.callers.limits import WorkspaceLimiter
 from masticdaled.callers.listener import CallersContext
 from masticdaled.cluster import Cluster
