--- a/apps/masticdaled/src/masticdaled/callers/forwarding.py
+++ b/apps/masticdaled/src/masticdaled/callers/forwarding.py
@@ -91,8 +91,8 @@
     ) -> Result[OperationResult, Failure]:
         """Submits an operation to its program's owner.
 
-        Retries with exponential backoff until the deadline while the shard
-        fails over. Retries are safe: every operation is idempotent by its ids.
+        Retries transient failures with exponential backoff until the deadline.
+        Retries are safe, as every operation is idempotent by its ids.
         """
         shard = hashing.shard_of(request.operation.program_id)
         delay_s = _INITIAL_RETRY_DELAY_S
@@ -119,8 +119,8 @@
         """Streams an accepted call's text, then its outcome.
 
         Args:
-            request: The accepted call. It is submitted again if its owner
-                fails over.
+            request: The accepted call; submitted again after a failover of
+                its owner.
         """
         operation = request.operation
         assert isinstance(operation, SendTurn | CallService)
@@ -150,7 +150,7 @@
                     yield FinalOutcome(Failed(outcome.failure()))
                     return
                 continue
-            yield FinalOutcome(_decode_outcome(reply))
+            yield FinalOutcome(_final_outcome(reply))
             return
 
     async def _submit_once(
@@ -220,7 +220,7 @@
     return reply.failure is not None and reply.failure.kind in _RETRYABLE_KINDS
 
 
-def _decode_outcome(reply: ReadReply) -> Result[Outcome, Failure]:
+def _final_outcome(reply: ReadReply) -> Result[Outcome, Failure]:
     if reply.failure is not None:
         return Failed(reply.failure)
     return Success(decode_outcome(reply.result))
