--- a/apps/masticdaled/src/masticdaled/daemon.py
+++ b/apps/masticdaled/src/masticdaled/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: its parts, how they start and how they stop."""
+"""Assembles, starts and stops the components of the daemon."""
 
 import asyncio
 import contextlib
@@ -32,7 +32,7 @@
 from masticdale_platform.client import PlatformClient
 from masticdale_programs import CopyStore, ShardSettings
 from masticdale_rpc import RpcServer
-from masticdaled.callers.entry import Entry
+from masticdaled.callers.forwarding import OperationForwarder
 from masticdaled.callers.limits import WorkspaceLimiter
 from masticdaled.callers.listener import CallersContext, create_callers_app
 from masticdaled.cluster import Cluster
@@ -40,11 +40,11 @@
 from masticdaled.execution.tickets import TicketClient
 from masticdaled.execution.tool_pauses import PrefixOffloader
 from masticdaled.following import ConfigFollower
-from masticdaled.handler import Handler, Parts
+from masticdaled.handler import DaemonPeerHandler, PeerServices
 from masticdaled.operators.access import create_access
-from masticdaled.operators.desk import OperatorDesk
+from masticdaled.operators.context import DaemonOperatorContext
 from masticdaled.operators.listener import create_operator_app
-from masticdaled.operators.programs import ProgramsDesk
+from masticdaled.operators.programs import ProgramAdmin
 from masticdaled.replicas.crash_suspects import DigestHome
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.replicas.orders import OrderDispatcher
@@ -55,18 +55,18 @@
 from masticdaled.upstream_clients import UpstreamClients
 
 _PEER_CONNECTIONS = 256
-_OWNERS_PERIOD_S = 0.5
+_SHARDS_PERIOD_S = 0.5
 _HOMES_PERIOD_S = 1.0
 _CONFIG_PERIOD_S = 0.25
-_LIST_PERIOD_S = 1.0
-_SUSPECTS_PERIOD_S = 1.0
+_HOST_LIST_PERIOD_S = 1.0
+_QUARANTINE_PERIOD_S = 1.0
 _ORPHANS_PERIOD_S = 5.0
-_POLL_S = 0.05
+_STARTUP_POLL_S = 0.05
 _KEEP_ALIVE_S = 120
 
 
 class Daemon:
-    """Every part of one host, made by ``create_daemon``."""
+    """The components of one host; use ``create_daemon`` to create it."""
 
     def __init__(self, settings: DaemonSettings) -> None:
         self.settings = settings
@@ -87,14 +87,14 @@
             PoolLimits(connections=_PEER_CONNECTIONS),
         )
         self.membership = join(
-            self._own_beat,
+            self._own_heartbeat,
             [peer.name for peer in settings.other_peers],
             self.peers,
             self.timers,
         )
         self.cluster = Cluster(settings.host, self.membership, self.peers)
         self.clients = UpstreamClients(self.metrics)
-        self.desk = TicketClient(self.cluster)
+        self.ticket_client = TicketClient(self.cluster)
         self.homes = ReplicaHomes(
             self.cluster,
             self.in_force,
@@ -106,12 +106,12 @@
             self.cluster,
             self.in_force,
             self.clients,
-            self.desk,
+            self.ticket_client,
             self.homes,
             PrefixOffloader(self.metrics),
             self.metrics,
         )
-        self.owners = OwnedShards(
+        self.owned_shards = OwnedShards(
             self.cluster,
             self.store,
             self.executor,
@@ -121,17 +121,17 @@
             self.metrics,
             PeerCopyHolders(self.cluster),
         )
-        self.suspects = DigestHome(self.store)
-        self.copy_desk = CopyService(CopyStore())
-        self.programs_desk = ProgramsDesk(settings.host, self.owners)
+        self.digest_home = DigestHome(self.store)
+        self.copy_service = CopyService(CopyStore())
+        self.program_admin = ProgramAdmin(settings.host, self.owned_shards)
         self.follower = ConfigFollower(
             self.cluster, self.store, self.in_force, self.metrics
         )
-        self.orphans = OrphanSweeper(
+        self.orphan_sweeper = OrphanSweeper(
             self.cluster, self.homes, self.clients, self.metrics
         )
-        self.entry = Entry(self.cluster, self.metrics)
-        self.handler = Handler(self._parts)
+        self.forwarder = OperationForwarder(self.cluster, self.metrics)
+        self.handler = DaemonPeerHandler(self._peer_services)
         self._leaving = False
         self._started = False
         self._peer_server: RpcServer | None = None
@@ -139,28 +139,27 @@
         self._http_tasks: list[asyncio.Task[None]] = []
 
     def is_ready(self) -> bool:
-        """True while callers should be sent here."""
+        """Returns whether the load balancer should send callers here."""
         return self._started and self.follower.is_loaded and not self._leaving
 
     async def start(self) -> None:
-        """Joins the other hosts, learns the configuration, then serves."""
+        """Joins the cluster, loads the configuration, then serves."""
         settings = self.settings
         known = frozenset(peer.name for peer in settings.other_peers)
         self.cluster.attach(self.handler, known)
         self._peer_server = await serve(
             self.handler, settings.peer_listener, settings.tls
         )
-        self.membership.subscribe(self._members_changed)
-        self.membership.subscribe_pause(self._host_paused)
+        self.membership.subscribe(self._on_members_changed)
+        self.membership.subscribe_pause(self._on_host_paused)
         self.membership.start()
-        await self._hear_peers()
+        await self._exchange_heartbeats()
         await self.follower.start()
-        # A full collection walks every declaration and stalls the loop for
-        # hundreds of milliseconds at 4,600 workspaces; what is loaded at the
-        # start stays, so the collector need not look at it again.
+        # A full collection traverses every declaration and stalls the event
+        # loop. Freezing exempts the objects loaded so far, which are permanent.
         gc.collect()
         gc.freeze()
-        await self._read_list()
+        await self._refresh_host_list()
         self._register_dumps()
         self._subscribe_timers()
         await self._serve_http(settings.operators, self._operators_app())
@@ -169,17 +168,18 @@
         logs.write("started", incarnation=self.incarnation)
 
     async def stop(self) -> None:
-        """Stops without cutting off a request.
+        """Stops gracefully, without aborting requests.
 
-        Unready first, so that the balancer sends no one; then shards are
-        handed over as their calls finish, and callers' connections are
-        answered to the end, also those of programs owned elsewhere.
+        The host first reports unready, so that the load balancer stops sending
+        callers. Then its shards are handed off as their calls finish, and the
+        HTTP servers finish their requests, including those of programs owned
+        by other hosts.
         """
         logs.write("stopping")
         stop = self.settings.stop
         self._leaving = True
         await asyncio.sleep(stop.unready_s)
-        await self.owners.stop(stop.finish_s)
+        await self.owned_shards.stop(stop.finish_s)
         for server in self._http_servers:
             server.should_exit = True
         await asyncio.gather(*self._http_tasks)
@@ -198,17 +198,18 @@
         await self.clients.close()
         await self.store.close()
 
-    async def _hear_peers(self) -> None:
-        """Waits for one round of heartbeats.
+    async def _exchange_heartbeats(self) -> None:
+        """Exchanges one round of heartbeats.
 
-        Alone in its own eyes, a starting host would own every shard.
+        Without it, a starting host would see no other host and assign every
+        shard to itself.
         """
         names = [peer.name for peer in self.settings.other_peers]
         await asyncio.gather(
             *(self.membership.send_heartbeat(name) for name in names)
         )
 
-    async def _read_list(self) -> None:
+    async def _refresh_host_list(self) -> None:
         outcome = await self.store.hosts()
         if not isinstance(outcome, Success):
             return
@@ -216,7 +217,7 @@
         self.membership.set_listed(listed)
         self.homes.set_leaving(item.name for item in listed if item.leaving)
 
-    def _own_beat(self) -> Heartbeat:
+    def _own_heartbeat(self) -> Heartbeat:
         return Heartbeat(
             host=self.settings.host,
             domain=self.settings.domain,
@@ -226,44 +227,44 @@
         )
 
     def _is_leaving(self) -> bool:
-        # Asked while the parts are still being made, too.
+        # The membership may call this before __init__ has set _leaving.
         return getattr(self, "_leaving", False)
 
-    def _members_changed(self, change: MembershipChange) -> None:
+    def _on_members_changed(self, change: MembershipChange) -> None:
         self.homes.members_changed(change)
-        self.suspects.members_changed(change)
+        self.digest_home.members_changed(change)
         self.metrics.gauge("hosts_live", len(change.members))
 
-    def _parts(self) -> Parts:
-        return Parts(
+    def _peer_services(self) -> PeerServices:
+        return PeerServices(
             self.membership,
-            self.owners,
+            self.owned_shards,
             self.homes,
-            self.desk,
-            self.suspects,
-            self.programs_desk,
-            self.copy_desk,
+            self.ticket_client,
+            self.digest_home,
+            self.program_admin,
+            self.copy_service,
             self.in_force,
         )
 
     def _register_dumps(self) -> None:
         self.state_dump.register("membership", self.membership.state)
         self.state_dump.register("config", self.in_force.dump)
-        self.state_dump.register("shards", self.owners.dump)
+        self.state_dump.register("shards", self.owned_shards.dump)
         self.state_dump.register("homes", self.homes.dump)
-        self.state_dump.register("quarantine", self.suspects.dump)
+        self.state_dump.register("quarantine", self.digest_home.dump)
         self.state_dump.register("peers", self.peers.state)
         self.state_dump.register("timers", lambda: list(self.timers.names()))
 
     def _subscribe_timers(self) -> None:
         rows = (
-            ("owners", _OWNERS_PERIOD_S, self.owners.tick),
-            ("takeovers", _OWNERS_PERIOD_S, self.owners.open_assigned),
+            ("owners", _SHARDS_PERIOD_S, self.owned_shards.tick),
+            ("takeovers", _SHARDS_PERIOD_S, self.owned_shards.open_assigned),
             ("homes", _HOMES_PERIOD_S, self.homes.tick),
             ("config", _CONFIG_PERIOD_S, self.follower.tick),
-            ("list", _LIST_PERIOD_S, self._read_list),
-            ("suspects", _SUSPECTS_PERIOD_S, self.suspects.tick),
-            ("orphans", _ORPHANS_PERIOD_S, self.orphans.sweep),
+            ("list", _HOST_LIST_PERIOD_S, self._refresh_host_list),
+            ("suspects", _QUARANTINE_PERIOD_S, self.digest_home.tick),
+            ("orphans", _ORPHANS_PERIOD_S, self.orphan_sweeper.sweep),
         )
         for name, period_s, callback in rows:
             self.timers.subscribe(Subscription(name, period_s, callback))
@@ -271,7 +272,7 @@
     def _callers_app(self) -> litestar.Litestar:
         return create_callers_app(
             CallersContext(
-                self.entry,
+                self.forwarder,
                 self.in_force,
                 WorkspaceLimiter(self.cluster, self.in_force),
                 self,
@@ -281,32 +282,32 @@
         )
 
     def _operators_app(self) -> litestar.Litestar:
-        desk = OperatorDesk(
+        context = DaemonOperatorContext(
             self.settings.host,
             self.config_store,
             self.in_force,
             self.metrics,
             self.state_dump,
             self.cluster,
-            self.owners,
+            self.owned_shards,
             self.clients,
-            self.suspects,
+            self.digest_home,
             self._readiness,
         )
         access = create_access(self.settings.operator_tokens)
-        return create_operator_app(desk, access)
+        return create_operator_app(context, access)
 
     def _readiness(self) -> Readiness:
         if self._leaving:
             return Readiness(False, "stopping")
         if not self.follower.is_loaded:
-            return Readiness(False, "the configuration is not known yet")
+            return Readiness(False, "the configuration is not loaded yet")
         return Readiness(self._started, "" if self._started else "starting")
 
-    async def _host_paused(self, seconds: float) -> None:
+    async def _on_host_paused(self, seconds: float) -> None:
         self.metrics.count("host_pauses_total")
         logs.write("checking_shards_after_pause", seconds=round(seconds, 3))
-        await self.owners.check_ownership()
+        await self.owned_shards.check_ownership()
 
     async def _serve_http(
         self, address: Address, app: litestar.Litestar
@@ -319,8 +320,8 @@
             access_log=False,
             lifespan="off",
             proxy_headers=False,
-            # Longer than balancers and clients keep idle connections: closed
-            # here first, a connection breaks under the request being sent.
+            # Longer than load balancers and clients keep idle connections. If
+            # the server closed one first, a request being sent would fail.
             timeout_keep_alive=_KEEP_ALIVE_S,
             timeout_graceful_shutdown=int(self.settings.stop.finish_s),
         )
@@ -328,28 +329,28 @@
         self._http_servers.append(server)
         self._http_tasks.append(asyncio.create_task(server.serve()))
         while not server.started:
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_STARTUP_POLL_S)
 
 
 class _HttpServer(uvicorn.Server):
-    """A server that leaves the process's signals to the daemon.
+    """An HTTP server that installs no signal handlers.
 
-    uvicorn would take SIGTERM itself and stop at once, before the balancer
-    had noticed that this host is not ready.
+    uvicorn's handler of SIGTERM would stop the server before the load balancer
+    sees that this host is not ready.
     """
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Takes no signals."""
+        """Installs no signal handlers."""
         yield
 
 
 def create_daemon(settings: DaemonSettings) -> Daemon:
-    """Returns a daemon that has not started.
+    """Creates a daemon without starting it.
 
     Raises:
-        MasticdaleError: INVALID_SETTINGS, where TLS files or addresses are
-            not usable.
+        MasticdaleError: INVALID_SETTINGS, if TLS files or addresses are not
+            usable.
     """
     return Daemon(settings)
 
--- a/apps/masticdaled/src/masticdaled/execution/executor.py
+++ b/apps/masticdaled/src/masticdaled/execution/executor.py
@@ -28,8 +28,8 @@
     decide_retry,
 )
 from masticdale_upstreams import Chunk, Completion, GenerateRequest
-from masticdaled.background import Background
-from masticdaled.cluster import MOVING_KINDS, Cluster
+from masticdaled.background import BackgroundTasks
+from masticdaled.cluster import FAILOVER_KINDS, Cluster
 from masticdaled.directory import UpstreamDirectory
 from masticdaled.execution.crash_checks import DigestHomeClient
 from masticdaled.execution.placement import Placer
@@ -64,7 +64,7 @@
         self._homes = homes
         self._metrics = metrics
         self._retry_budget_by_model: dict[str, RetryBudget] = {}
-        self._background = Background()
+        self._background = BackgroundTasks()
         directory = UpstreamDirectory(in_force, homes)
         self._placer = Placer(cluster, in_force, directory, offloader)
         self._digest_homes = DigestHomeClient(cluster, self._background)
@@ -87,7 +87,7 @@
                 return outcome
             failure = outcome.failure()
             now = time.monotonic()
-            if failure.kind in MOVING_KINDS and now < call.deadline:
+            if failure.kind in FAILOVER_KINDS and now < call.deadline:
                 # A home is moving to another host. This wait does not count
                 # as a retry: a planned stop would otherwise exhaust the retry
                 # budget and fail calls.
--- a/apps/masticdaled/src/masticdaled/operators/desk.py
+++ b/apps/masticdaled/src/masticdaled/operators/context.py
@@ -1,4 +1,4 @@
-"""What the daemon gives to the operators' listener."""
+"""Implements the operators' actions on a running daemon."""
 
 import asyncio
 import dataclasses
@@ -35,20 +35,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OperatorDesk:
+class DaemonOperatorContext:
     """The daemon's ``OperatorContext``.
 
     Attributes:
         host: Name of this host.
-        config_store: Accepts changes.
-        in_force: The configuration in force here.
+        config_store: Accepts changes of the configuration.
+        in_force: The configuration in force on this host.
         metrics: The process's metrics.
         state_dump: The process's state dump.
-        cluster: Finds hosts by role.
-        owners: The shards owned here.
-        clients: Talks to upstreams.
-        suspects: The quarantine.
-        find_readiness: Returns whether callers may be sent here.
+        cluster: Assigns roles to hosts.
+        owned_shards: The shards owned by this host.
+        clients: The clients of upstreams.
+        digest_home: Holds the quarantined requests.
+        find_readiness: Returns whether this host may receive callers.
     """
 
     host: str
@@ -57,9 +57,9 @@
     metrics: Metrics
     state_dump: StateDump
     cluster: Cluster
-    owners: OwnedShards
+    owned_shards: OwnedShards
     clients: UpstreamClients
-    suspects: DigestHome
+    digest_home: DigestHome
     find_readiness: Callable[[], Readiness]
 
     def hosts(self) -> tuple[HostStatus, ...]:
@@ -80,35 +80,35 @@
         return self.find_readiness()
 
     async def list_programs(
-        self, wanted: ProgramFilter
+        self, selection: ProgramFilter
     ) -> Result[ProgramPage, Failure]:
         """See ``OperatorContext.list_programs``."""
         request = ProgramsRequest(
-            workspace=wanted.workspace,
-            state=wanted.state,
-            after=wanted.after,
-            limit=wanted.limit + 1,
+            workspace=selection.workspace,
+            state=selection.state,
+            after=selection.after,
+            limit=selection.limit + 1,
         )
         hosts = self.cluster.membership.live_names()
         outcomes = await asyncio.gather(
             *(self.cluster.calls(host).programs(request) for host in hosts)
         )
         summaries: list[ProgramSummary] = []
-        unanswered: list[str] = []
+        unreachable_hosts: list[str] = []
         for host, outcome in zip(hosts, outcomes, strict=True):
             if isinstance(outcome, Failed):
-                unanswered.append(host)
+                unreachable_hosts.append(host)
                 continue
             details = map(decode_detail, outcome.unwrap().details)
             summaries.extend(detail.summary for detail in details)
         summaries.sort(key=lambda summary: summary.program_id)
-        page = tuple(summaries[: wanted.limit])
+        page = tuple(summaries[: selection.limit])
         has_more = len(summaries) > len(page)
         return Success(
             ProgramPage(
                 page,
                 page[-1].program_id if has_more and page else "",
-                tuple(unanswered),
+                tuple(unreachable_hosts),
             )
         )
 
@@ -130,17 +130,17 @@
         self,
     ) -> Result[tuple[QuarantinedRequest, ...], Failure]:
         """See ``OperatorContext.quarantined``."""
-        await self.suspects.refresh()
+        await self.digest_home.refresh()
         return Success(
             tuple(
                 QuarantinedRequest(record.digest, "", record.crashes, 0.0)
-                for record in self.suspects.quarantined()
+                for record in self.digest_home.quarantined()
             )
         )
 
     async def release_quarantined(self, digest: str) -> Result[None, Failure]:
         """See ``OperatorContext.release_quarantined``."""
-        if await self.suspects.release(digest):
+        if await self.digest_home.release(digest):
             return Success(None)
         return Failed(Failure(ErrorKind.NOT_FOUND, digest))
 
@@ -149,9 +149,9 @@
     ) -> Result[TakeoverReport, Failure]:
         """See ``OperatorContext.force_takeover``."""
         if not 0 <= shard < hashing.SHARD_COUNT:
-            detail = f"shard {shard}; there are {hashing.SHARD_COUNT}"
+            detail = f"shard {shard}; the shard count is {hashing.SHARD_COUNT}"
             return Failed(Failure(ErrorKind.NOT_FOUND, detail))
-        forced = await self.owners.force_takeover(shard)
+        forced = await self.owned_shards.force_takeover(shard)
         if isinstance(forced, Failed):
             return Failed(forced.failure())
         epoch = forced.unwrap().epoch
--- a/apps/masticdaled/src/masticdaled/operators/guarding.py
+++ b/apps/masticdaled/src/masticdaled/operators/guarding.py
@@ -1,4 +1,4 @@
-"""Letting operators in, and recording what they changed or were refused."""
+"""Authorizes operators' requests and audits changes and rejections."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -39,47 +39,47 @@
 def create_guard(
     access: Access,
 ) -> Callable[[Connection, BaseRouteHandler], None]:
-    """Returns the guard of every route.
+    """Creates the guard of all routes.
 
-    A route's ``opt`` says whether it is open to all (``PUBLIC``), needs the
-    role ``operate`` (``OPERATE``), or ``read`` without either.
+    A route's ``opt`` is ``PUBLIC`` if it needs no token, ``OPERATE`` if it
+    needs the role ``operate``; any other route needs the role ``read``.
 
     Args:
-        access: The tokens that are known.
+        access: Authenticates operators.
     """
 
     def guard(connection: Connection, handler: BaseRouteHandler) -> None:
         if handler.opt.get("public"):
             return
-        identified = access.identify(
+        authenticated = access.authenticate(
             connection.headers.get("authorization", "")
         )
-        if isinstance(identified, Failed):
-            raise MasticdaleError(identified.failure())
-        operator = identified.unwrap()
+        if isinstance(authenticated, Failed):
+            raise MasticdaleError(authenticated.failure())
+        operator = authenticated.unwrap()
         connection.state[_OPERATOR_KEY] = operator
-        wanted = handler.opt.get("role", Role.READ)
-        if not operator.may(wanted):
-            detail = f"it has the role {operator.role}; this needs {wanted}"
+        required = handler.opt.get("role", Role.READ)
+        if not operator.has_role(required):
+            detail = f"its role is {operator.role}; this needs {required}"
             raise MasticdaleError(Failure(ErrorKind.FORBIDDEN, detail))
 
     return guard
 
 
 def operator_of(request: OperatorRequest) -> Operator:
-    """Returns the operator whom the guard let in."""
+    """Returns the operator whom the guard authenticated."""
     operator: Operator = request.state[_OPERATOR_KEY]
     return operator
 
 
 def audit_accepted(request: OperatorRequest, detail: str) -> None:
-    """Records an accepted change.
+    """Writes an accepted change to the audit log.
 
     Args:
-        request: The request that asked for it.
-        detail: What it changed.
+        request: The request for the change.
+        detail: What the request changed.
     """
-    access_lib.record(
+    access_lib.write_audit_entry(
         AuditEntry(
             operator=operator_of(request).name,
             action=f"{request.method} {request.url.path}",
@@ -90,25 +90,25 @@
     )
 
 
-def create_refusal_audit(
+def create_rejection_audit(
     metrics: Metrics,
 ) -> Callable[[Exception, Scope], Awaitable[None]]:
-    """Returns what records refused changes and refused access.
+    """Creates the hook that audits rejected changes and denied access.
 
     Args:
-        metrics: Counts the refusals by their kind.
+        metrics: Counts the rejections by error kind.
     """
 
-    async def audit_refusal(error: Exception, scope: Scope) -> None:
+    async def audit_rejection(error: Exception, scope: Scope) -> None:
         handler = scope.get("route_handler")
-        changes = handler is not None and "role" in handler.opt
+        is_change = handler is not None and "role" in handler.opt
         failure = answers.failure_of(error)
-        if not changes and failure.kind not in _ACCESS_KINDS:
+        if not is_change and failure.kind not in _ACCESS_KINDS:
             return
         metrics.count("operator_refusals_total", kind=failure.kind.value)
         operator: Operator | None = scope.get("state", {}).get(_OPERATOR_KEY)
         client = scope.get("client")
-        access_lib.record(
+        access_lib.write_audit_entry(
             AuditEntry(
                 operator=operator.name if operator else UNKNOWN_OPERATOR,
                 action=f"{scope.get('method', '')} {scope['path']}",
@@ -118,4 +118,4 @@
             )
         )
 
-    return audit_refusal
+    return audit_rejection
--- a/apps/masticdaled/src/masticdaled/operators/programs.py
+++ b/apps/masticdaled/src/masticdaled/operators/programs.py
@@ -1,4 +1,4 @@
-"""What operators ask of programs, answered by the host that owns them."""
+"""Handles operators' requests for the programs that this host owns."""
 
 import time
 
@@ -16,28 +16,28 @@
 _RUNNING = "running"
 
 
-class ProgramsDesk:
-    """Lists, shows and ends the programs owned here."""
+class ProgramAdmin:
+    """Lists, shows and ends the programs owned by this host."""
 
-    def __init__(self, host: str, owners: OwnedShards) -> None:
+    def __init__(self, host: str, owned_shards: OwnedShards) -> None:
         self._host = host
-        self._owners = owners
+        self._owned_shards = owned_shards
 
     async def handle(self, request: ProgramsRequest) -> ProgramsReply:
-        """Answers one question; see ``ProgramsRequest``."""
+        """Handles a request; see ``ProgramsRequest``."""
         if request.program_id:
-            return await self._one(request)
-        wanted = [
+            return await self._handle_one(request)
+        selected = [
             owned
-            for owned in self._owners.programs()
-            if _is_wanted(owned, request)
+            for owned in self._owned_shards.programs()
+            if _is_selected(owned, request)
         ]
-        wanted.sort(key=lambda owned: owned.program.program_id)
-        page = wanted[: request.limit]
+        selected.sort(key=lambda owned: owned.program.program_id)
+        page = selected[: request.limit]
         return ProgramsReply(tuple(self._encode(owned) for owned in page))
 
-    async def _one(self, request: ProgramsRequest) -> ProgramsReply:
-        found = await self._owners.find_program(request.program_id)
+    async def _handle_one(self, request: ProgramsRequest) -> ProgramsReply:
+        found = await self._owned_shards.find_program(request.program_id)
         if isinstance(found, Failed):
             return ProgramsReply(failure=found.failure())
         owned = found.unwrap()
@@ -54,12 +54,12 @@
 
 
 def encode_detail(detail: ProgramDetail) -> str:
-    """Returns a program as it is sent between hosts."""
+    """Encodes a program's details for transfer between hosts."""
     return _DETAIL.dump_json(detail).decode()
 
 
 def decode_detail(text: str) -> ProgramDetail:
-    """Returns a program sent by another host."""
+    """Decodes a program's details received from another host."""
     return _DETAIL.validate_json(text)
 
 
@@ -68,7 +68,7 @@
     return reason.value if reason is not None else _RUNNING
 
 
-def _is_wanted(owned: OwnedProgram, request: ProgramsRequest) -> bool:
+def _is_selected(owned: OwnedProgram, request: ProgramsRequest) -> bool:
     program = owned.program
     if request.workspace and program.workspace != request.workspace:
         return False
--- a/apps/masticdaled/src/masticdaled/settings.py
+++ b/apps/masticdaled/src/masticdaled/settings.py
@@ -10,7 +10,7 @@
 
 
 class StopSettings(StrictModel):
-    """How a planned stop goes.
+    """Timing of a graceful stop, in seconds.
 
     Attributes:
         unready_s: Time between being unready and refusing new connections,
@@ -23,7 +23,7 @@
 
 
 class ProgramSettings(StrictModel):
-    """Times of programs.
+    """Timeouts of programs, in seconds.
 
     Attributes:
         unread_cancel_s: A model turn that nobody reads is cancelled then.
@@ -40,7 +40,7 @@
 
 
 class RequestSettings(StrictModel):
-    """Bounds of callers' requests.
+    """Limits of callers' requests.
 
     Attributes:
         max_bytes: Largest request body.
@@ -54,7 +54,7 @@
 
 
 class DaemonSettings(StrictModel):
-    """Everything one daemon is told.
+    """The settings of a daemon.
 
     Attributes:
         host: Name of this host.
@@ -90,5 +90,5 @@
 
     @property
     def other_peers(self) -> tuple[PeerSettings, ...]:
-        """Every host but this one."""
+        """The hosts of the cluster except this one."""
         return tuple(peer for peer in self.peers if peer.name != self.host)
