--- a/apps/masticdaled/src/masticdaled/operators/listener.py
+++ b/apps/masticdaled/src/masticdaled/operators/listener.py
@@ -197,7 +197,9 @@
 
     @get("/v1/revisions/{number:int}/rollback")
     async def rollback(number: FromPath[int]) -> RollbackEdits:
-        found = _unwrap(await compute_rollback_edits(_require_store(context), number))
+        found = _unwrap(
+            await compute_rollback_edits(_require_store(context), number)
+        )
         edits = tuple(EditRequest.from_edit(edit) for edit in found)
         return RollbackEdits(number, edits)
 
