--- a/apps/masticdale_entry/tests/case.py
+++ b/apps/masticdale_entry/tests/case.py
@@ -8,7 +8,7 @@
 from masticdale_entry.entry import EntryHost
 from masticdale_entry.settings import Settings
 from masticdale_standins.objects import ObjectsStandIn
-from masticdale_standins.replicas import ReplicaStandIn
+from masticdale_standins.replicas import FakeReplica
 from masticdale_standins.testing import free_port
 
 HOST = "a.example"
@@ -152,8 +152,8 @@
         self.store = ObjectsStandIn()
         await self.store.start()
         self.hosts = []
-        self.engines = [ReplicaStandIn("engine", True) for _ in range(2)]
-        self.unary_replicas = [ReplicaStandIn("desk", False) for _ in range(2)]
+        self.engines = [FakeReplica("engine", True) for _ in range(2)]
+        self.unary_replicas = [FakeReplica("desk", False) for _ in range(2)]
         for replica in (*self.engines, *self.unary_replicas):
             await replica.start()
             self.store.put("servers", replica.id, replica.entry())
--- a/apps/masticdale_entry/tests/test_relaying.py
+++ b/apps/masticdale_entry/tests/test_relaying.py
@@ -58,7 +58,7 @@
 
 class FaultTest(EntryCase):
     async def test_a_full_replica_passes_the_request_on(self):
-        self.unary_replicas[0].behaviour.fault = ReplicaFault.FULL
+        self.unary_replicas[0].behaviour.fault = ReplicaFault.OVERLOADED
         for n in range(8):
             response = await self.send(NON_IDEMPOTENT, f"r{n}")
             self.assertEqual(response.status_code, 200)
@@ -69,13 +69,15 @@
         The head of the response states the rejection; the connection closes
         inside the body.
         """
-        self.unary_replicas[0].behaviour.fault = ReplicaFault.FULL_CUT
+        self.unary_replicas[
+            0
+        ].behaviour.fault = ReplicaFault.OVERLOADED_TRUNCATED
         for n in range(8):
             response = await self.send(NON_IDEMPOTENT, f"r{n}")
             self.assertEqual(response.status_code, 200)
 
     async def test_all_full_is_said_at_once_with_a_time(self):
-        self.set_unary_replicas(fault=ReplicaFault.FULL)
+        self.set_unary_replicas(fault=ReplicaFault.OVERLOADED)
         began = asyncio.get_running_loop().time()
         response = await self.send(NON_IDEMPOTENT, "r1")
         self.assertEqual(response.status_code, 503)
@@ -90,11 +92,11 @@
         """
         for fault in (
             ReplicaFault.RESET,
-            ReplicaFault.GARBAGE,
+            ReplicaFault.MALFORMED,
             ReplicaFault.UNSIGNED,
             ReplicaFault.ENCODED,
-            ReplicaFault.CUT_INSIDE,
-            ReplicaFault.UNFRAMED_RESET,
+            ReplicaFault.TRUNCATED,
+            ReplicaFault.CLOSE_DELIMITED_RESET,
         ):
             with self.subTest(fault=fault):
                 self.set_unary_replicas(fault=fault, times=1_000)
@@ -108,10 +110,10 @@
     async def test_a_retriable_request_is_sent_again(self):
         for fault in (
             ReplicaFault.RESET,
-            ReplicaFault.GARBAGE,
+            ReplicaFault.MALFORMED,
             ReplicaFault.UNSIGNED,
-            ReplicaFault.CUT_INSIDE,
-            ReplicaFault.SILENT,
+            ReplicaFault.TRUNCATED,
+            ReplicaFault.UNRESPONSIVE,
         ):
             with self.subTest(fault=fault):
                 self.unary_replicas[0].behaviour.fault = fault
@@ -125,23 +127,23 @@
 
         The replica first sends a response with another request's id.
         """
-        self.set_unary_replicas(fault=ReplicaFault.CROSSED)
+        self.set_unary_replicas(fault=ReplicaFault.WRONG_REQUEST)
         response = await self.send(NON_IDEMPOTENT, "r1")
         self.assertEqual(response.content, b"body of r1")
 
     async def test_bytes_after_an_answer_reach_nobody(self):
-        self.set_unary_replicas(fault=ReplicaFault.EXTRA)
+        self.set_unary_replicas(fault=ReplicaFault.EXTRA_RESPONSE)
         for n in range(6):
             response = await self.send(IDEMPOTENT, f"r{n}")
             self.assertEqual(response.content, f"body of r{n}".encode())
 
     async def test_an_answer_without_length_ends_with_its_connection(self):
-        self.set_unary_replicas(fault=ReplicaFault.UNFRAMED)
+        self.set_unary_replicas(fault=ReplicaFault.CLOSE_DELIMITED)
         response = await self.send(NON_IDEMPOTENT, "r1")
         self.assertEqual(response.content, b"body of r1")
 
     async def test_a_replicas_own_error_is_forwarded(self):
-        self.set_unary_replicas(fault=ReplicaFault.FAILURE)
+        self.set_unary_replicas(fault=ReplicaFault.SERVER_ERROR)
         response = await self.send(IDEMPOTENT, "r1")
         self.assertEqual(response.status_code, 500)
         self.assertIn("response-seal", response.headers)
@@ -178,24 +180,24 @@
         The replica resets the connection inside an event. It still accepts
         connections, so the stream resumes there.
         """
-        self.set_engines(fault=ReplicaFault.CUT_INSIDE, times=1)
+        self.set_engines(fault=ReplicaFault.TRUNCATED, times=1)
         response = await self.send_turn("r1", program="p")
         self.assertEqual(event_ids(response.text), [1, 2, 3, 4])
         self.assertNotIn("ha", response.text.replace("shard", ""))
-        served = [e for e in self.engines if e.seen]
+        served = [e for e in self.engines if e.received_requests]
         self.assertEqual(len(served), 1)
 
     async def test_a_stream_of_a_crashed_replica_resumes_elsewhere(self):
         self.set_engines(event_s=0.1, events=8)
         task = asyncio.create_task(self.send_turn("r1", program="p"))
         await asyncio.sleep(0.35)
-        (first,) = (e for e in self.engines if e.seen)
+        (first,) = (e for e in self.engines if e.received_requests)
         await first.stop()
         response = await task
         self.assertEqual(event_ids(response.text), list(range(1, 9)))
 
     async def test_a_stream_that_cannot_resume_does_not_look_complete(self):
-        self.set_engines(fault=ReplicaFault.CUT_INSIDE, cut_after=1, events=20)
+        self.set_engines(fault=ReplicaFault.TRUNCATED, cut_after=1, events=20)
         head = "\r\n".join(
             f"{k}: {v}" for k, v in turn_headers("r1", "p").items()
         )
--- a/apps/masticdale_entry/tests/test_watched_state.py
+++ b/apps/masticdale_entry/tests/test_watched_state.py
@@ -161,7 +161,7 @@
         await asyncio.sleep(PROPAGATION_S)
         for n in range(6):
             await self.send(IDEMPOTENT, f"r{n}")
-        self.assertEqual(leaving.seen, [])
+        self.assertEqual(leaving.received_requests, [])
 
     async def test_a_removed_replica_gets_no_new_work(self):
         leaving = self.unary_replicas[0]
@@ -169,7 +169,7 @@
         await asyncio.sleep(PROPAGATION_S)
         for n in range(6):
             await self.send(IDEMPOTENT, f"r{n}")
-        self.assertEqual(leaving.seen, [])
+        self.assertEqual(leaving.received_requests, [])
 
     async def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while(self):
         """Guards against losing the whole fleet in an outage of the store.
--- a/tools/soak/src/masticdale_soak/faults.py
+++ b/tools/soak/src/masticdale_soak/faults.py
@@ -28,13 +28,13 @@
     Fault.STORE_RESET: StoreFault.RESET,
 }
 _REPLICA_FAULTS = {
-    Fault.REPLICA_SILENT: ReplicaFault.SILENT,
+    Fault.REPLICA_SILENT: ReplicaFault.UNRESPONSIVE,
     Fault.REPLICA_RESETS: ReplicaFault.RESET,
-    Fault.REPLICA_FULL: ReplicaFault.FULL,
-    Fault.REPLICA_FAILS: ReplicaFault.FAILURE,
-    Fault.REPLICA_CUTS: ReplicaFault.CUT_INSIDE,
-    Fault.REPLICA_GARBLES: ReplicaFault.GARBAGE,
-    Fault.REPLICA_CROSSES: ReplicaFault.CROSSED,
+    Fault.REPLICA_FULL: ReplicaFault.OVERLOADED,
+    Fault.REPLICA_FAILS: ReplicaFault.SERVER_ERROR,
+    Fault.REPLICA_CUTS: ReplicaFault.TRUNCATED,
+    Fault.REPLICA_GARBLES: ReplicaFault.MALFORMED,
+    Fault.REPLICA_CROSSES: ReplicaFault.WRONG_REQUEST,
 }
 _LINK_FAULTS = {
     Fault.STORE_LINK_SILENT: LinkFault.SILENT,
--- a/tools/soak/src/masticdale_soak/runs.py
+++ b/tools/soak/src/masticdale_soak/runs.py
@@ -124,7 +124,7 @@
             request.arrived_at,
         )
         for replica in world.replicas
-        for request in replica.stand_in.ran
+        for request in replica.stand_in.executed_requests
     ]
     return Evidence(
         attempts=callers.attempts,
--- a/tools/soak/src/masticdale_soak/worlds.py
+++ b/tools/soak/src/masticdale_soak/worlds.py
@@ -11,7 +11,7 @@
 from masticdale_soak.processes import HostProcess
 from masticdale_soak.proxies import Link, Proxy
 from masticdale_standins.objects import ObjectsStandIn, StoreFault
-from masticdale_standins.replicas import Behaviour, ReplicaFault, ReplicaStandIn
+from masticdale_standins.replicas import Behaviour, FakeReplica, ReplicaFault
 
 CALLERS_HOST = "soak.example"
 STREAM_PATH = "/turns/"
@@ -56,7 +56,7 @@
     def __init__(
         self, service: str, is_stream: bool, store: ObjectsStandIn
     ) -> None:
-        self.stand_in = ReplicaStandIn(service, is_stream)
+        self.stand_in = FakeReplica(service, is_stream)
         self.stand_in.behaviour = Behaviour(
             events=EVENTS, event_s=_EVENT_S, work_s=_WORK_S
         )
--- a/tools/standins/src/masticdale_standins/replicas.py
+++ b/tools/standins/src/masticdale_standins/replicas.py
@@ -19,19 +19,19 @@
     """What a replica does to a request."""
 
     NONE = enum.auto()
-    FULL = enum.auto()
-    FULL_CUT = enum.auto()
-    SILENT = enum.auto()
+    OVERLOADED = enum.auto()
+    OVERLOADED_TRUNCATED = enum.auto()
+    UNRESPONSIVE = enum.auto()
     RESET = enum.auto()
     UNSIGNED = enum.auto()
     ENCODED = enum.auto()
-    CROSSED = enum.auto()
-    EXTRA = enum.auto()
-    UNFRAMED = enum.auto()
-    UNFRAMED_RESET = enum.auto()
-    CUT_INSIDE = enum.auto()
-    GARBAGE = enum.auto()
-    FAILURE = enum.auto()
+    WRONG_REQUEST = enum.auto()
+    EXTRA_RESPONSE = enum.auto()
+    CLOSE_DELIMITED = enum.auto()
+    CLOSE_DELIMITED_RESET = enum.auto()
+    TRUNCATED = enum.auto()
+    MALFORMED = enum.auto()
+    SERVER_ERROR = enum.auto()
 
 
 @dataclasses.dataclass(slots=True)
@@ -55,7 +55,7 @@
     cut_after: int = 2
 
 
-class ReplicaStandIn:
+class FakeReplica:
     """One replica.
 
     Attributes:
@@ -71,8 +71,8 @@
         self.id = f"i-{next(_NUMBERS):08x}"
         self.service = service
         self.behaviour = Behaviour()
-        self.seen: list[RawRequest] = []
-        self.ran: list[RawRequest] = []
+        self.received_requests: list[RawRequest] = []
+        self.executed_requests: list[RawRequest] = []
         self.abandoned = 0
         self._is_stream = is_stream
         self._server = RawServer(self._handle)
@@ -112,7 +112,7 @@
     async def _handle(
         self, request: RawRequest, connection: RawConnection
     ) -> None:
-        self.seen.append(request)
+        self.received_requests.append(request)
         expected = request.header_by_name.get("expect-instance", self.id)
         if expected != self.id:
             headers = {"Instance-Id": self.id}
@@ -133,22 +133,25 @@
             fault = behaviour.fault
             behaviour.times -= fault is not ReplicaFault.NONE
         headers = self._headers(request)
-        if fault in (ReplicaFault.FULL, ReplicaFault.FULL_CUT):
+        if fault in (
+            ReplicaFault.OVERLOADED,
+            ReplicaFault.OVERLOADED_TRUNCATED,
+        ):
             refusal = answer(503, {"Not-Executed": "1"}, b"full")
-            if fault is ReplicaFault.FULL:
+            if fault is ReplicaFault.OVERLOADED:
                 await connection.write(refusal)
                 return
             await connection.write(refusal[:-1])
             connection.close()
             return
-        self.ran.append(request)
-        if fault is ReplicaFault.SILENT:
+        self.executed_requests.append(request)
+        if fault is ReplicaFault.UNRESPONSIVE:
             await asyncio.sleep(3600)
         elif fault is ReplicaFault.RESET:
             connection.reset()
-        elif fault is ReplicaFault.GARBAGE:
+        elif fault is ReplicaFault.MALFORMED:
             await connection.write(b"\x00\x01 not a response\r\n\r\n")
-        elif fault is ReplicaFault.FAILURE:
+        elif fault is ReplicaFault.SERVER_ERROR:
             await connection.write(answer(500, headers, b"failed"))
         elif self._is_stream:
             await self._stream(request, connection, headers, fault)
@@ -175,18 +178,21 @@
             del headers["Response-Seal"]
         elif fault is ReplicaFault.ENCODED:
             headers["Content-Encoding"] = "gzip"
-        elif fault is ReplicaFault.CROSSED:
+        elif fault is ReplicaFault.WRONG_REQUEST:
             other = headers | {"Request-Id": "another"}
             await connection.write(answer(200, other, b"of another"))
-        elif fault is ReplicaFault.CUT_INSIDE:
+        elif fault is ReplicaFault.TRUNCATED:
             await connection.write(answer(200, headers, body)[:-3])
             connection.close()
             return
-        elif fault in (ReplicaFault.UNFRAMED, ReplicaFault.UNFRAMED_RESET):
+        elif fault in (
+            ReplicaFault.CLOSE_DELIMITED,
+            ReplicaFault.CLOSE_DELIMITED_RESET,
+        ):
             await self._unframed(connection, headers, body, fault)
             return
         data = answer(200, headers, body)
-        if fault is ReplicaFault.EXTRA:
+        if fault is ReplicaFault.EXTRA_RESPONSE:
             data += answer(200, headers | {"Request-Id": "another"}, b"more")
         await connection.write(data)
 
@@ -200,7 +206,7 @@
         lines = "".join(f"{k}: {v}\r\n" for k, v in headers.items())
         head = f"HTTP/1.1 200 OK\r\n{lines}Connection: close\r\n\r\n"
         await connection.write(head.encode() + body)
-        if fault is ReplicaFault.UNFRAMED:
+        if fault is ReplicaFault.CLOSE_DELIMITED:
             connection.close()
             return
         await asyncio.sleep(0.05)
@@ -224,7 +230,7 @@
         )
         begin = int(request.header_by_name.get("last-event-id", "0"))
         for number in range(begin + 1, behaviour.events + 1):
-            if fault is ReplicaFault.CUT_INSIDE and (
+            if fault is ReplicaFault.TRUNCATED and (
                 number > begin + behaviour.cut_after
             ):
                 await connection.write(_chunk(b"id: 99\ndata: ha"))
