--- a/apps/masticdale_entry/tests/case.py
+++ b/apps/masticdale_entry/tests/case.py
@@ -7,7 +7,7 @@
 
 from masticdale_entry.entry import EntryHost
 from masticdale_entry.settings import Settings
-from masticdale_standins.objects import ObjectsStandIn
+from masticdale_standins.objects import FakeObjectStore
 from masticdale_standins.replicas import FakeReplica
 from masticdale_standins.testing import free_port
 
@@ -149,7 +149,7 @@
         self.host = await self.add_host("host-1")
 
     async def start_stand_ins(self):
-        self.store = ObjectsStandIn()
+        self.store = FakeObjectStore()
         await self.store.start()
         self.hosts = []
         self.engines = [FakeReplica("engine", True) for _ in range(2)]
--- a/apps/masticdale_entry/tests/test_budgets.py
+++ b/apps/masticdale_entry/tests/test_budgets.py
@@ -151,7 +151,7 @@
         self.assertGreater(float(response.headers["retry-after"]), 0)
 
     async def test_lost_answers_of_the_store_write_nothing_twice(self):
-        self.store.faults.lose_answers = 1
+        self.store.faults.responses_to_lose = 1
         statuses, tokens = await self.run_turns("p", 30)
         self.assertEqual(statuses[-1], 402)
         self.assertLessEqual(tokens, 500)
--- a/apps/masticdale_entry/tests/test_watched_state.py
+++ b/apps/masticdale_entry/tests/test_watched_state.py
@@ -40,7 +40,7 @@
         self.assertEqual(await self.status("/new/"), 200)
 
     async def test_a_compacted_history_triggers_a_full_read(self):
-        self.store.forget_history()
+        self.store.compact_history()
         self.add_route(3)
         await self.wait_status("/new/", 200, 2.0)
 
@@ -63,15 +63,15 @@
         watches are cut. A watch that resumes from the old position misses the
         change.
         """
-        self.store.faults.deaf = True
+        self.store.faults.omits_watch_events = True
         await asyncio.sleep(0.2)
         self.add_route(3)
         await asyncio.sleep(0.3)
-        await self.store.cut_watches()
+        await self.store.reset_connections()
         await self.wait_status("/new/", 200, 1.5)
 
     async def test_requests_are_served_while_the_store_is_silent(self):
-        self.store.faults.fault = StoreFault.SILENT
+        self.store.faults.fault = StoreFault.UNRESPONSIVE
         await asyncio.sleep(0.2)
         self.assertEqual(await self.status(IDEMPOTENT), 200)
 
--- a/tools/soak/src/masticdale_soak/faults.py
+++ b/tools/soak/src/masticdale_soak/faults.py
@@ -24,7 +24,7 @@
 
 _STORE_FAULTS = {
     Fault.STORE_BUSY: StoreFault.BUSY,
-    Fault.STORE_SILENT: StoreFault.SILENT,
+    Fault.STORE_SILENT: StoreFault.UNRESPONSIVE,
     Fault.STORE_RESET: StoreFault.RESET,
 }
 _REPLICA_FAULTS = {
@@ -157,11 +157,11 @@
     async def _strike_store(self, step: Step) -> None:
         world = self._world
         if step.fault is Fault.STORE_LOSES_ANSWERS:
-            world.store.faults.lose_answers = _LOST_ANSWERS
+            world.store.faults.responses_to_lose = _LOST_ANSWERS
             await asyncio.sleep(step.for_s)
-            world.store.faults.lose_answers = 0
+            world.store.faults.responses_to_lose = 0
         elif step.fault is Fault.STORE_FORGETS:
-            world.store.forget_history()
+            world.store.compact_history()
         elif step.fault is Fault.STORE_SLOW:
             await _last(world.store_delays, _SLOW_S, step.for_s)
         else:
--- a/tools/soak/src/masticdale_soak/worlds.py
+++ b/tools/soak/src/masticdale_soak/worlds.py
@@ -10,7 +10,7 @@
 from masticdale_soak.plans import Plan
 from masticdale_soak.processes import HostProcess
 from masticdale_soak.proxies import Link, Proxy
-from masticdale_standins.objects import ObjectsStandIn, StoreFault
+from masticdale_standins.objects import FakeObjectStore, StoreFault
 from masticdale_standins.replicas import Behaviour, FakeReplica, ReplicaFault
 
 CALLERS_HOST = "soak.example"
@@ -54,7 +54,7 @@
     """
 
     def __init__(
-        self, service: str, is_stream: bool, store: ObjectsStandIn
+        self, service: str, is_stream: bool, store: FakeObjectStore
     ) -> None:
         self.stand_in = FakeReplica(service, is_stream)
         self.stand_in.behaviour = Behaviour(
@@ -123,7 +123,7 @@
     def __init__(
         self, plan: Plan, folder: pathlib.Path, command: tuple[str, ...] = ()
     ) -> None:
-        self.store = ObjectsStandIn()
+        self.store = FakeObjectStore()
         self.store_faults = Layers(StoreFault.NONE, self._set_store_fault)
         self.store_delays = Layers(0.0, self._set_store_delay)
         self.replicas = [
--- a/tools/standins/src/masticdale_standins/objects.py
+++ b/tools/standins/src/masticdale_standins/objects.py
@@ -24,7 +24,7 @@
 
     NONE = enum.auto()
     BUSY = enum.auto()
-    SILENT = enum.auto()
+    UNRESPONSIVE = enum.auto()
     RESET = enum.auto()
 
 
@@ -40,12 +40,12 @@
     """
 
     fault: StoreFault = StoreFault.NONE
-    lose_answers: int = 0
+    responses_to_lose: int = 0
     delay_s: float = 0.0
-    deaf: bool = False
+    omits_watch_events: bool = False
 
 
-class ObjectsStandIn:
+class FakeObjectStore:
     """Objects by kind and name, with revisions and watches.
 
     Attributes:
@@ -100,11 +100,11 @@
             self._revision += 1
             self._note(kind, item, deleted=True)
 
-    async def cut_watches(self) -> None:
+    async def reset_connections(self) -> None:
         """Resets every connection."""
         await self._server.reset_all()
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drops the history: watches from now or before answer 410."""
         self._forgotten = self._revision + 1
         self._revision += 1
@@ -125,8 +125,8 @@
             status, body = await self._read(names, parameters)
         else:
             status, body = self._write(request, names, parameters)
-            if self.faults.lose_answers > 0:
-                self.faults.lose_answers -= 1
+            if self.faults.responses_to_lose > 0:
+                self.faults.responses_to_lose -= 1
                 connection.reset()
                 return
         await connection.write(answer(status, _JSON, json.dumps(body).encode()))
@@ -136,7 +136,7 @@
     ) -> bool:
         if self.faults.fault is StoreFault.BUSY:
             await connection.write(answer(503, _JSON))
-        elif self.faults.fault is StoreFault.SILENT:
+        elif self.faults.fault is StoreFault.UNRESPONSIVE:
             await asyncio.sleep(3600)
         elif self.faults.fault is StoreFault.RESET:
             connection.reset()
@@ -178,7 +178,9 @@
             events = [
                 {"object": item, "deleted": deleted}
                 for revision, k, item, deleted in self._events
-                if k == kind and revision > since and not self.faults.deaf
+                if k == kind
+                and revision > since
+                and not self.faults.omits_watch_events
             ]
             left_s = end - asyncio.get_running_loop().time()
             if events or left_s <= 0:
