--- a/apps/masticdale_entry/tests/test_silent_store.py
+++ b/apps/masticdale_entry/tests/test_silent_store.py
@@ -5,7 +5,7 @@
 
 from case import EntryCase, RunningHost, configuration, route
 
-from masticdale_soak.proxies import Link, LinkFault, Proxy
+from masticdale_soak.proxies import LinkFault, LinkState, Proxy
 from masticdale_standins.testing import free_port
 
 # Time in which an acknowledged change must take effect.
@@ -49,7 +49,7 @@
         watches look like watches without changes, and it makes no other call
         that would fail.
         """
-        self.store_proxy.set_link(Link(LinkFault.SILENT))
+        self.store_proxy.set_link_state(LinkState(LinkFault.PARTITION))
         await asyncio.sleep(0.1)
         routes = [route("/new/", "idempotent", "desk")]
         self.store.put("config", "main", configuration(3, routes))
@@ -58,7 +58,7 @@
 
     async def test_the_seed_reads_through_another_host(self):
         """Guards against the same failure at the seed itself."""
-        self.store_proxy.set_link(Link(LinkFault.SILENT))
+        self.store_proxy.set_link_state(LinkState(LinkFault.PARTITION))
         await asyncio.sleep(0.1)
         routes = [route("/new/", "idempotent", "desk")]
         self.store.put("config", "main", configuration(3, routes))
--- a/tools/soak/src/masticdale_soak/faults.py
+++ b/tools/soak/src/masticdale_soak/faults.py
@@ -9,7 +9,7 @@
 from masticdale_soak.layers import Layers, ValueT
 from masticdale_soak.plans import Fault, Plan, Step, Target, target_of
 from masticdale_soak.processes import HostProcess
-from masticdale_soak.proxies import Link, LinkFault
+from masticdale_soak.proxies import LinkFault, LinkState
 from masticdale_soak.worlds import Drain, Replica, World
 from masticdale_standins.objects import StoreFault
 from masticdale_standins.replicas import ReplicaFault
@@ -37,10 +37,10 @@
     Fault.REPLICA_CROSSES: ReplicaFault.WRONG_REQUEST,
 }
 _LINK_FAULTS = {
-    Fault.STORE_LINK_SILENT: LinkFault.SILENT,
-    Fault.STORE_LINK_ONE_WAY: LinkFault.ANSWERS_LOST,
-    Fault.PEERS_LINK_SILENT: LinkFault.SILENT,
-    Fault.PEERS_LINK_ONE_WAY: LinkFault.REQUESTS_LOST,
+    Fault.STORE_LINK_SILENT: LinkFault.PARTITION,
+    Fault.STORE_LINK_ONE_WAY: LinkFault.RESPONSES_BLOCKED,
+    Fault.PEERS_LINK_SILENT: LinkFault.PARTITION,
+    Fault.PEERS_LINK_ONE_WAY: LinkFault.REQUESTS_BLOCKED,
     Fault.PEERS_LINK_SLOW: LinkFault.DELAY,
     Fault.REPLICA_LINK_SLOW: LinkFault.DELAY,
 }
@@ -118,7 +118,7 @@
         else:
             is_store = fault.value.startswith("store_link")
             faults = host.store_faults if is_store else host.peers_faults
-            link = Link(_LINK_FAULTS[fault], _SLOW_S)
+            link = LinkState(_LINK_FAULTS[fault], _SLOW_S)
             await _last(faults, link, step.for_s)
 
     async def _strike_process(self, step: Step, host: HostProcess) -> None:
@@ -183,7 +183,7 @@
             self._world.drains.append(drain)
             replica.write_entry("ready")
         elif step.fault is Fault.REPLICA_LINK_SLOW:
-            link = Link(LinkFault.DELAY, _SLOW_S)
+            link = LinkState(LinkFault.DELAY, _SLOW_S)
             await _last(replica.link_faults, link, step.for_s)
         else:
             fault = _REPLICA_FAULTS[step.fault]
--- a/tools/soak/src/masticdale_soak/processes.py
+++ b/tools/soak/src/masticdale_soak/processes.py
@@ -17,7 +17,7 @@
 
 from masticdale_adapter import READINESS_PATH
 from masticdale_soak.layers import Layers
-from masticdale_soak.proxies import Link, Proxy
+from masticdale_soak.proxies import LinkState, Proxy
 
 # What the platform grants a process between SIGTERM and SIGKILL, in seconds.
 GRACE_S = 6.0
@@ -83,9 +83,9 @@
     ) -> None:
         self.name = name
         self.store_link = Proxy()
-        self.store_faults = Layers(Link(), self.store_link.set_link)
+        self.store_faults = Layers(LinkState(), self.store_link.set_link_state)
         self.peers_link = Proxy()
-        self.peers_faults = Layers(Link(), self.peers_link.set_link)
+        self.peers_faults = Layers(LinkState(), self.peers_link.set_link_state)
         self.lives: list[Life] = []
         self._folder = folder
         self._command = command or _deployed_command()
--- a/tools/soak/src/masticdale_soak/proxies.py
+++ b/tools/soak/src/masticdale_soak/proxies.py
@@ -16,19 +16,19 @@
 
     NONE = enum.auto()
     DELAY = enum.auto()
-    SILENT = enum.auto()
-    REQUESTS_LOST = enum.auto()
-    ANSWERS_LOST = enum.auto()
+    PARTITION = enum.auto()
+    REQUESTS_BLOCKED = enum.auto()
+    RESPONSES_BLOCKED = enum.auto()
 
 
 # Directions in which nothing passes. Bytes are held back rather than dropped:
 # TCP sends them again, so a cut that heals delivers them late.
-_HELD_TO_SERVER = frozenset({LinkFault.SILENT, LinkFault.REQUESTS_LOST})
-_HELD_TO_CLIENT = frozenset({LinkFault.SILENT, LinkFault.ANSWERS_LOST})
+_HELD_TO_SERVER = frozenset({LinkFault.PARTITION, LinkFault.REQUESTS_BLOCKED})
+_HELD_TO_CLIENT = frozenset({LinkFault.PARTITION, LinkFault.RESPONSES_BLOCKED})
 
 
 @dataclasses.dataclass(slots=True)
-class Link:
+class LinkState:
     """How a proxy treats its connections.
 
     Attributes:
@@ -49,7 +49,7 @@
     """
 
     def __init__(self) -> None:
-        self.link = Link()
+        self.link_state = LinkState()
         self.port = 0
         self._target = ("", 0)
         self._server: asyncio.Server | None = None
@@ -64,9 +64,9 @@
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def set_link(self, link: Link) -> None:
+    def set_link_state(self, link: LinkState) -> None:
         """Changes how it treats its connections, open ones too."""
-        self.link = link
+        self.link_state = link
 
     async def stop(self) -> None:
         """Stops and drops every connection."""
@@ -91,7 +91,7 @@
         self._writers.add(writer)
         other: asyncio.StreamWriter | None = None
         try:
-            while self.link.fault in _HELD_TO_SERVER:
+            while self.link_state.fault in _HELD_TO_SERVER:
                 await asyncio.sleep(_POLL_S)
             answers, other = await asyncio.open_connection(*self._target)
             self._writers.add(other)
@@ -115,9 +115,9 @@
         held_faults: frozenset[LinkFault],
     ) -> None:
         while data := await reader.read(_CHUNK_BYTES):
-            if self.link.fault is LinkFault.DELAY:
-                await asyncio.sleep(self.link.delay_s)
-            while self.link.fault in held_faults:
+            if self.link_state.fault is LinkFault.DELAY:
+                await asyncio.sleep(self.link_state.delay_s)
+            while self.link_state.fault in held_faults:
                 await asyncio.sleep(_POLL_S)
             writer.write(data)
             await writer.drain()
--- a/tools/soak/src/masticdale_soak/worlds.py
+++ b/tools/soak/src/masticdale_soak/worlds.py
@@ -9,7 +9,7 @@
 from masticdale_soak.layers import Layers
 from masticdale_soak.plans import Plan
 from masticdale_soak.processes import HostProcess
-from masticdale_soak.proxies import Link, Proxy
+from masticdale_soak.proxies import LinkState, Proxy
 from masticdale_standins.objects import FakeObjectStore, StoreFault
 from masticdale_standins.replicas import Behaviour, FakeReplica, ReplicaFault
 
@@ -62,7 +62,7 @@
         )
         self.link = Proxy()
         self.faults = Layers(ReplicaFault.NONE, self._set_fault)
-        self.link_faults = Layers(Link(), self.link.set_link)
+        self.link_faults = Layers(LinkState(), self.link.set_link_state)
         self._store = store
         self._sequence = 0
         self._born_ms = 0
