--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -189,7 +189,7 @@
     start_daemons(cluster, plan)
     urls = [handle.callers_url for handle in cluster.daemon_by_name.values()]
     print(f"{HOSTS} daemons serve callers at {', '.join(urls)}")
-    apply(cluster, [cluster.place(d) for d in declarations])
+    apply(cluster, [cluster.with_local_address(d) for d in declarations])
     run_permit(itertools.cycle(urls))
     run_renewal(itertools.cycle(reversed(urls)))
     for service in cluster.service_by_name:
--- a/scripts/measure_in_force.py
+++ b/scripts/measure_in_force.py
@@ -170,11 +170,11 @@
 
 async def freeze_watches(cluster: LocalCluster) -> None:
     """Lets every watch go silent; other calls work."""
-    cluster.faults(cluster.platform, freeze_watches=True)
+    cluster.set_faults(cluster.platform, freeze_watches=True)
     try:
         await asyncio.Event().wait()
     finally:
-        cluster.faults(cluster.platform)
+        cluster.set_faults(cluster.platform)
 
 
 SCENARIOS = (
--- a/tools/load/src/masticdale_load/system_faults.py
+++ b/tools/load/src/masticdale_load/system_faults.py
@@ -294,7 +294,7 @@
         response.raise_for_status()
 
     async def _set(self, process: RunningProcess, **faults: object) -> None:
-        await asyncio.to_thread(self._cluster.faults, process, **faults)
+        await asyncio.to_thread(self._cluster.set_faults, process, **faults)
 
 
 def _http() -> httpx.AsyncClient:
--- a/tools/standins/src/masticdale_standins/clusters.py
+++ b/tools/standins/src/masticdale_standins/clusters.py
@@ -124,7 +124,7 @@
         with log_if_not_ready(handle.process):
             wait_until_ready(handle.callers_url, _READY_PATH)
 
-    def faults(self, process: RunningProcess, **faults: object) -> None:
+    def set_faults(self, process: RunningProcess, **faults: object) -> None:
         """Replaces a stand-in's faults."""
         response = httpx.post(
             f"{process.base_url}/admin/faults", json=faults, trust_env=False
@@ -145,7 +145,9 @@
         Returns:
             The accepted revision.
         """
-        placed = [self.place(declaration) for declaration in declarations]
+        placed = [
+            self.with_local_address(declaration) for declaration in declarations
+        ]
         return asyncio.run(_apply(self.platform.base_url, placed))
 
     def stop(self) -> None:
@@ -162,7 +164,7 @@
         for process in [*daemons, *others]:
             process.stop()
 
-    def place(self, declaration: Declaration) -> Declaration:
+    def with_local_address(self, declaration: Declaration) -> Declaration:
         """Returns a declaration with the address its upstream has here."""
         known = {**self.engine_by_name, **self.service_by_name}
         if declaration.name not in known:
