--- a/apps/masticdale_entry/tests/case.py
+++ b/apps/masticdale_entry/tests/case.py
@@ -210,7 +210,7 @@
                 setattr(replica.behaviour, name, value)
 
     def requests_seen(self, replicas):
-        return [r for replica in replicas for r in replica.seen]
+        return [r for replica in replicas for r in replica.received_requests]
 
 
 async def send_raw(port, data, seconds=2.0):
--- a/tests/system_case.py
+++ b/tests/system_case.py
@@ -185,8 +185,8 @@
     def slow_down_engines(self):
         """Lets turns last long enough to be found in flight, all of them."""
         for process in self.cluster.engine_by_name.values():
-            self.cluster.faults(process, slow_factor=SLOW_FACTOR)
-            self.addCleanup(self.cluster.faults, process)
+            self.cluster.set_faults(process, slow_factor=SLOW_FACTOR)
+            self.addCleanup(self.cluster.set_faults, process)
 
     def restart(self, host):
         self.cluster.restart_daemon(host)
--- a/tests/test_system_copies.py
+++ b/tests/test_system_copies.py
@@ -8,7 +8,7 @@
 class CopiesTest(SystemCase):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.addCleanup(self.cluster.faults, self.cluster.platform)
+        self.addCleanup(self.cluster.set_faults, self.cluster.platform)
 
     async def begin_with_holders(self):
         program = await self.begin()
@@ -25,10 +25,10 @@
         # hosts in other failure domains hold them; when the platform is back
         # all stand in the history, once and in order.
         program = await self.begin_with_holders()
-        self.cluster.faults(self.cluster.platform, down=True)
+        self.cluster.set_faults(self.cluster.platform, down=True)
         for number in range(3):
             await self.turn(program, f"during-{number}")
-        self.cluster.faults(self.cluster.platform)
+        self.cluster.set_faults(self.cluster.platform)
         view = await self.check_kept(program)
         self.assertEqual(len(view.history), 4)
 
@@ -39,10 +39,10 @@
         program = await self.begin_with_holders()
         owner = await self.owner_of(program)
         elsewhere = self.client_of(*self.others(owner))
-        self.cluster.faults(self.cluster.platform, down=True)
+        self.cluster.set_faults(self.cluster.platform, down=True)
         await self.turn(program, "during", elsewhere)
         self.process(owner).kill()
-        self.cluster.faults(self.cluster.platform)
+        self.cluster.set_faults(self.cluster.platform)
         try:
             await self.turn(program, "after", elsewhere)
         finally:
--- a/tests/test_system_engines.py
+++ b/tests/test_system_engines.py
@@ -26,7 +26,7 @@
 
     def engines(self, **faults):
         for process in self.cluster.engine_by_name.values():
-            self.cluster.faults(process, **faults)
+            self.cluster.set_faults(process, **faults)
 
     async def turn_under(self, **faults):
         """Runs a turn while a fault strikes its stream; returns its program."""
@@ -103,7 +103,7 @@
         load = asyncio.gather(*(self.turns(p, stop) for p in programs))
         try:
             await asyncio.sleep(1)
-            self.cluster.faults(process, leaving=True)
+            self.cluster.set_faults(process, leaving=True)
             await asyncio.sleep(LEAVING_S)
             before = (await self.engine_stats())[name]["calls"]
             await asyncio.sleep(WATCH_S)
--- a/tests/test_system_platform.py
+++ b/tests/test_system_platform.py
@@ -17,7 +17,7 @@
 
 class PlatformTest(SystemCase):
     def platform(self, **faults):
-        self.cluster.faults(self.cluster.platform, **faults)
+        self.cluster.set_faults(self.cluster.platform, **faults)
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
--- a/tests/test_system_services.py
+++ b/tests/test_system_services.py
@@ -15,11 +15,11 @@
     def services(self, **faults):
         self.addCleanup(self.reset)
         for process in self.cluster.service_by_name.values():
-            self.cluster.faults(process, **faults)
+            self.cluster.set_faults(process, **faults)
 
     def reset(self):
         for process in self.cluster.service_by_name.values():
-            self.cluster.faults(process)
+            self.cluster.set_faults(process)
 
     async def look_up_zone(self, program, request_id):
         self.ledger_by_id[program].sent_ids.add(request_id)
@@ -79,7 +79,7 @@
         program = await self.begin()
         first = sorted(self.cluster.service_by_name)[0]
         self.addCleanup(self.reset)
-        self.cluster.faults(
+        self.cluster.set_faults(
             self.cluster.service_by_name[first], refuse_before_running=1000
         )
         for number in range(2):
