--- a/tools/soak/src/masticdale_soak/checks.py
+++ b/tools/soak/src/masticdale_soak/checks.py
@@ -6,17 +6,17 @@
 
 import httpx
 
-from masticdale_soak.callers import (
+from masticdale_soak.environment import EVENTS, TOKENS_PER_EVENT, Drain
+from masticdale_soak.faults import Applied
+from masticdale_soak.load_generator import (
     BUDGET_TOKENS,
     DEADLINE_S,
     TURN_TOKENS,
     Attempt,
     Kind,
 )
-from masticdale_soak.faults import Applied
 from masticdale_soak.plans import Fault, Target
 from masticdale_soak.processes import GRACE_S, Life
-from masticdale_soak.worlds import EVENTS, TOKENS_PER_EVENT, Drain
 
 # Answers that say that the request has not run and will not.
 _NOT_RUN_STATUSES = frozenset({402, 408, 421, 429, 503})
--- a/tools/soak/src/masticdale_soak/worlds.py
+++ b/tools/soak/src/masticdale_soak/environment.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import AsyncIterator
 
-from masticdale_soak.layers import Layers
+from masticdale_soak.fault_stack import Layers
 from masticdale_soak.plans import Plan
 from masticdale_soak.processes import HostProcess
 from masticdale_soak.proxies import LinkState, Proxy
--- a/tools/soak/src/masticdale_soak/faults.py
+++ b/tools/soak/src/masticdale_soak/faults.py
@@ -6,11 +6,11 @@
 import time
 from collections.abc import Awaitable
 
-from masticdale_soak.layers import Layers, ValueT
+from masticdale_soak.environment import Drain, Replica, World
+from masticdale_soak.fault_stack import Layers, ValueT
 from masticdale_soak.plans import Fault, Plan, Step, Target, target_of
 from masticdale_soak.processes import HostProcess
 from masticdale_soak.proxies import LinkFault, LinkState
-from masticdale_soak.worlds import Drain, Replica, World
 from masticdale_standins.objects import StoreFault
 from masticdale_standins.replicas import ReplicaFault
 
--- a/tools/soak/src/masticdale_soak/callers.py
+++ b/tools/soak/src/masticdale_soak/load_generator.py
@@ -8,8 +8,7 @@
 
 import httpx
 
-from masticdale_soak.processes import HostProcess
-from masticdale_soak.worlds import (
+from masticdale_soak.environment import (
     CALLERS_HOST,
     LOOKUP_PATH,
     ORDER_PATH,
@@ -17,6 +16,7 @@
     World,
     version_path,
 )
+from masticdale_soak.processes import HostProcess
 
 BUDGET_TOKENS = 400
 # The most that one turn may use, as its headers say, in tokens.
--- a/tools/soak/src/masticdale_soak/processes.py
+++ b/tools/soak/src/masticdale_soak/processes.py
@@ -16,7 +16,7 @@
 import httpx
 
 from masticdale_adapter import READINESS_PATH
-from masticdale_soak.layers import Layers
+from masticdale_soak.fault_stack import Layers
 from masticdale_soak.proxies import LinkState, Proxy
 
 # What the platform grants a process between SIGTERM and SIGKILL, in seconds.
--- a/tools/soak/src/masticdale_soak/runs.py
+++ b/tools/soak/src/masticdale_soak/runs.py
@@ -9,11 +9,11 @@
 
 import pydantic
 
-from masticdale_soak.callers import Attempt, Callers, Kind
 from masticdale_soak.checks import Evidence, Run, Violation, check
+from masticdale_soak.environment import World
 from masticdale_soak.faults import FaultDriver
+from masticdale_soak.load_generator import Attempt, Callers, Kind
 from masticdale_soak.plans import Plan, make_plan
-from masticdale_soak.worlds import World
 
 # From the end of the last fault until everything has to be sound, in seconds:
 # entries, lists and shards are back some two seconds after the store's return,
