--- a/tools/soak/src/masticdale_soak/__init__.py
+++ b/tools/soak/src/masticdale_soak/__init__.py
@@ -2,7 +2,7 @@
 
 from masticdale_soak.checks import (
     CHECK_BY_NAME,
-    Evidence,
+    Observations,
     Run,
     Violation,
     check,
@@ -12,8 +12,8 @@
 
 __all__ = [
     "CHECK_BY_NAME",
-    "Evidence",
     "Fault",
+    "Observations",
     "Plan",
     "Report",
     "Run",
--- a/tools/soak/src/masticdale_soak/checks.py
+++ b/tools/soak/src/masticdale_soak/checks.py
@@ -7,36 +7,36 @@
 import httpx
 
 from masticdale_soak.environment import EVENTS, TOKENS_PER_EVENT, Drain
-from masticdale_soak.faults import Applied
+from masticdale_soak.faults import ExecutedStep
 from masticdale_soak.load_generator import (
     BUDGET_TOKENS,
     DEADLINE_S,
     TURN_TOKENS,
     Attempt,
-    Kind,
+    RequestKind,
 )
 from masticdale_soak.plans import Fault, Target
-from masticdale_soak.processes import GRACE_S, Life
+from masticdale_soak.processes import GRACE_S, Incarnation
 
 # Answers that say that the request has not run and will not.
 _NOT_RUN_STATUSES = frozenset({402, 408, 421, 429, 503})
 # A replica that leaves gets no new work after this long, in seconds: two as
 # promised, and half of one for this machine's load.
-_DRAIN_S = 2.5
+_DRAIN_LIMIT_S = 2.5
 # A change of the configuration is in force after this long, in seconds: two as
 # promised, and half of one for this machine's load.
-_IN_FORCE_S = 2.5
+_CONFIGURATION_LIMIT_S = 2.5
 _FIRST_VERSION = 1
 # Promises with a time hold for hosts that were in order for this long, in
 # seconds, and while the store was.
-_CONTACT_S = 3.0
+_UNDISTURBED_S = 3.0
 # An answer may be this much later than its request's deadline, in seconds.
-_LATE_S = 2.0
+_DEADLINE_SLACK_S = 2.0
 # What strikes a host that stops also breaks its connections, for this long
 # before and after, in seconds.
-_APART_S = 1.0
+_FAULT_MARGIN_S = 1.0
 # After this the processes of a stop are surely gone, in seconds.
-_END_S = GRACE_S + 0.5
+_EXIT_LIMIT_S = GRACE_S + 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -51,11 +51,11 @@
 
     request_id: str
     replica_id: str
-    at: float
+    started_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Evidence:
+class Observations:
     """What was seen in a run.
 
     Attributes:
@@ -69,33 +69,37 @@
 
     attempts: list[Attempt]
     runs: list[Run]
-    lives_by_host: dict[str, list[Life]]
-    applied: list[Applied]
+    incarnations_by_host: dict[str, list[Incarnation]]
+    executed_steps: list[ExecutedStep]
     drains: list[Drain]
-    last_attempts: list[Attempt]
+    recovery_attempts: list[Attempt]
 
-    def applied_between(
-        self, began: float, ended: float, prefixes: tuple[str, ...]
-    ) -> list[Applied]:
+    def steps_between(
+        self, started_at: float, ended_at: float, prefixes: tuple[str, ...]
+    ) -> list[ExecutedStep]:
         """Returns the faults of some kinds that touch a time."""
         return [
             a
-            for a in self.applied
+            for a in self.executed_steps
             if a.fault.value.startswith(prefixes)
-            and a.began < ended
-            and a.ended > began
+            and a.started_at < ended_at
+            and a.ended_at > started_at
         ]
 
-    def is_in_touch(self, host: str, began: float, ended: float) -> bool:
+    def is_undisturbed(
+        self, host: str, started_at: float, ended_at: float
+    ) -> bool:
         """Whether a host and the store were in order all the while.
 
         What strikes other hosts doesn't count: whoever depends on them has to
         notice, and to find another way.
         """
-        places = {host, Target.ALL_HOSTS.value, Target.STORE.value}
+        targets = {host, Target.ALL_HOSTS.value, Target.STORE.value}
         return not any(
-            a.place in places and a.fault is not Fault.HANG_UP
-            for a in self.applied_between(began - _CONTACT_S, ended, ("",))
+            a.target_name in targets and a.fault is not Fault.HANG_UP
+            for a in self.steps_between(
+                started_at - _UNDISTURBED_S, ended_at, ("",)
+            )
         )
 
     def runs_by_request(self) -> dict[str, list[Run]]:
@@ -121,79 +125,85 @@
     detail: str
 
 
-Found = Iterator[tuple[str, str]]
+Findings = Iterator[tuple[str, str]]
 
 
-def _at_most_once(evidence: Evidence) -> Found:
+def _at_most_once(observations: Observations) -> Findings:
     """What must not run twice ran at one replica at most."""
-    runs = evidence.runs_by_request()
-    for attempt in evidence.attempts:
+    runs = observations.runs_by_request()
+    for attempt in observations.attempts:
         count = len(runs.get(attempt.request_id, ()))
-        if attempt.kind is Kind.ORDER and count > 1:
+        if attempt.kind is RequestKind.ORDER and count > 1:
             yield attempt.request_id, f"ran {count} times"
 
 
-def _true_refusals(evidence: Evidence) -> Found:
+def _true_refusals(observations: Observations) -> Findings:
     """A request that was refused has not run, neither before nor after."""
-    runs = evidence.runs_by_request()
-    for attempt in evidence.attempts:
+    runs = observations.runs_by_request()
+    for attempt in observations.attempts:
         if attempt.status not in _NOT_RUN_STATUSES:
             continue
         for run in runs.get(attempt.request_id, ()):
             yield attempt.request_id, f"{attempt.status}, ran: {run}"
 
 
-def _whole_own_answers(evidence: Evidence) -> Found:
+def _whole_own_answers(observations: Observations) -> Findings:
     """A whole success is the replica's whole answer to this request."""
-    for attempt in evidence.attempts:
+    for attempt in observations.attempts:
         if not attempt.is_served:
             continue
         if not attempt.seal.endswith(f"-{attempt.request_id}"):
             yield attempt.request_id, f"seal {attempt.seal!r}"
-        if attempt.kind is Kind.TURN:
-            numbers = attempt.event_numbers()
+        if attempt.kind is RequestKind.TURN:
+            numbers = attempt.event_ids()
             if numbers != list(range(1, EVENTS + 1)):
                 yield attempt.request_id, f"events {numbers}"
         elif attempt.body != b"body of " + attempt.request_id.encode():
             yield attempt.request_id, f"body {attempt.body!r}"
 
 
-def _ordered_events(evidence: Evidence) -> Found:
+def _ordered_events(observations: Observations) -> Findings:
     """Events come in order, none missing, none twice, also in a cut stream."""
-    for attempt in evidence.attempts:
-        if attempt.kind is not Kind.TURN or attempt.status != httpx.codes.OK:
+    for attempt in observations.attempts:
+        if (
+            attempt.kind is not RequestKind.TURN
+            or attempt.status != httpx.codes.OK
+        ):
             continue
-        numbers = attempt.event_numbers()
+        numbers = attempt.event_ids()
         if numbers != list(range(1, len(numbers) + 1)):
             yield attempt.request_id, f"events {numbers}"
 
 
-def _budgets(evidence: Evidence) -> Found:
+def _budgets(observations: Observations) -> Findings:
     """No program gets more than its budget and one turn, over all hosts."""
     tokens_by_program: collections.Counter[str] = collections.Counter()
-    for attempt in evidence.attempts:
-        if attempt.kind is Kind.TURN and attempt.status == httpx.codes.OK:
-            events = len(attempt.event_numbers())
+    for attempt in observations.attempts:
+        if (
+            attempt.kind is RequestKind.TURN
+            and attempt.status == httpx.codes.OK
+        ):
+            events = len(attempt.event_ids())
             tokens_by_program[attempt.program_id] += events * TOKENS_PER_EVENT
     for program_id, tokens in tokens_by_program.items():
         if tokens > BUDGET_TOKENS + TURN_TOKENS:
             yield program_id, f"{tokens} of {BUDGET_TOKENS} tokens"
 
 
-def _early_spent(evidence: Evidence) -> Found:
+def _early_spent(observations: Observations) -> Findings:
     """No program is told that its budget is spent with half of it unused.
 
     Turns that broke off may count at their most: nobody knows what they used.
     """
     attempts_by_program: dict[str, list[Attempt]] = {}
-    for attempt in evidence.attempts:
-        if attempt.kind is Kind.TURN:
+    for attempt in observations.attempts:
+        if attempt.kind is RequestKind.TURN:
             attempts_by_program.setdefault(attempt.program_id, []).append(
                 attempt
             )
     for program_id, attempts in attempts_by_program.items():
         used = 0
-        for attempt in sorted(attempts, key=lambda a: a.began):
+        for attempt in sorted(attempts, key=lambda a: a.started_at):
             if attempt.status == httpx.codes.PAYMENT_REQUIRED:
                 if used + TURN_TOKENS < BUDGET_TOKENS / 2:
                     yield program_id, f"402 after {used} tokens"
@@ -204,33 +214,38 @@
                 used += TURN_TOKENS
 
 
-def _configuration_order(evidence: Evidence) -> Found:
+def _configuration_order(observations: Observations) -> Findings:
     """A process never goes back to an earlier configuration."""
     newest: dict[tuple[str, int], Attempt] = {}
     served = (
         a
-        for a in evidence.attempts
-        if a.kind is Kind.VERSION and a.status == httpx.codes.OK
+        for a in observations.attempts
+        if a.kind is RequestKind.VERSION and a.status == httpx.codes.OK
     )
-    for attempt in sorted(served, key=lambda a: a.ended):
-        key = (attempt.host, attempt.life)
+    for attempt in sorted(served, key=lambda a: a.ended_at):
+        key = (attempt.host, attempt.incarnation)
         known = newest.get(key)
         if known is None or attempt.version > known.version:
             newest[key] = attempt
-        elif attempt.version < known.version and attempt.began > known.ended:
+        elif (
+            attempt.version < known.version
+            and attempt.started_at > known.ended_at
+        ):
             yield (
                 attempt.request_id,
                 f"version {attempt.version} after {known.version}",
             )
 
 
-def _configuration_in_time(evidence: Evidence) -> Found:
+def _configuration_in_time(observations: Observations) -> Findings:
     """A host has a change of the configuration two seconds after it."""
-    changes = [a for a in evidence.applied if a.fault is Fault.CONFIGURATION]
-    changed_at = sorted(a.began for a in changes)
-    for attempt in evidence.attempts:
+    changes = [
+        a for a in observations.executed_steps if a.fault is Fault.CONFIGURATION
+    ]
+    changed_at = sorted(a.started_at for a in changes)
+    for attempt in observations.attempts:
         is_unknown = attempt.status == httpx.codes.NOT_FOUND
-        if attempt.kind is not Kind.VERSION or not is_unknown:
+        if attempt.kind is not RequestKind.VERSION or not is_unknown:
             continue
         # The first version is there from the start.
         number = attempt.version - _FIRST_VERSION
@@ -238,66 +253,97 @@
             continue
         written_at = changed_at[number - 1]
         is_newest = not any(
-            written_at < at < attempt.ended for at in changed_at
+            written_at < at < attempt.ended_at for at in changed_at
         )
-        if not is_newest or attempt.began < written_at + _IN_FORCE_S:
+        if (
+            not is_newest
+            or attempt.started_at < written_at + _CONFIGURATION_LIMIT_S
+        ):
             continue
-        if evidence.is_in_touch(attempt.host, written_at, attempt.ended):
-            age_s = attempt.began - written_at
+        if observations.is_undisturbed(
+            attempt.host, written_at, attempt.ended_at
+        ):
+            age_s = attempt.started_at - written_at
             yield (
                 f"{attempt.host} {attempt.request_id}",
                 f"version {attempt.version} unknown after {age_s:.1f} s",
             )
 
 
-def _drained_replicas(evidence: Evidence) -> Found:
+def _drained_replicas(observations: Observations) -> Findings:
     """A replica that leaves gets no new work two seconds later."""
-    host_by_request = {a.request_id: a.host for a in evidence.attempts}
-    for drain in evidence.drains:
-        from_at = drain.began + _DRAIN_S
-        for run in evidence.runs:
-            is_late = from_at < run.at < drain.ended
-            if run.replica_id != drain.replica_id or not is_late:
+    host_by_request = {a.request_id: a.host for a in observations.attempts}
+    for drain in observations.drains:
+        limit_at = drain.started_at + _DRAIN_LIMIT_S
+        for run in observations.runs:
+            is_after_limit = limit_at < run.started_at < drain.ended_at
+            if run.replica_id != drain.replica_id or not is_after_limit:
                 continue
             host = host_by_request.get(run.request_id, "")
-            if evidence.is_in_touch(host, drain.began, run.at):
+            if observations.is_undisturbed(
+                host, drain.started_at, run.started_at
+            ):
                 yield drain.replica_id, f"{host}: {run}"
 
 
-def _orderly_stops(evidence: Evidence) -> Found:
+def _orderly_stops(observations: Observations) -> Findings:
     """A process that is told to stop ends by itself, in time."""
-    for host, lives in evidence.lives_by_host.items():
-        for life in lives:
-            if life.stop_at is None:
+    for host, incarnations in observations.incarnations_by_host.items():
+        for incarnation in incarnations:
+            if incarnation.stop_requested_at is None:
                 continue
-            end = life.ended or life.stop_at + _END_S
-            if evidence.applied_between(life.stop_at, end, ("pause",)):
+            end = (
+                incarnation.ended_at
+                or incarnation.stop_requested_at + _EXIT_LIMIT_S
+            )
+            if observations.steps_between(
+                incarnation.stop_requested_at, end, ("pause",)
+            ):
                 continue
-            if life.exit_code != 0:
-                yield host, f"process {life.number}: exit {life.exit_code}"
+            if incarnation.exit_code != 0:
+                yield (
+                    host,
+                    f"process {incarnation.number}:"
+                    f" exit {incarnation.exit_code}",
+                )
 
 
-def _starts(evidence: Evidence) -> Found:
+def _starts(observations: Observations) -> Findings:
     """A process that is started gets ready, whatever happens meanwhile."""
-    for host, lives in evidence.lives_by_host.items():
-        for life in lives:
-            if life.is_late:
-                yield host, f"process {life.number}: exit {life.exit_code}"
+    for host, incarnations in observations.incarnations_by_host.items():
+        for incarnation in incarnations:
+            if incarnation.start_timed_out:
+                yield (
+                    host,
+                    f"process {incarnation.number}:"
+                    f" exit {incarnation.exit_code}",
+                )
 
 
-def _stops_break_nothing(evidence: Evidence) -> Found:
+def _stops_break_nothing(observations: Observations) -> Findings:
     """A stop breaks no request off that a replica runs."""
-    runs = evidence.runs_by_request()
-    for attempt in evidence.attempts:
-        life = evidence.lives_by_host[attempt.host][attempt.life - 1]
-        if not attempt.error or life.stop_at is None or life.ended is None:
+    runs = observations.runs_by_request()
+    for attempt in observations.attempts:
+        incarnation = observations.incarnations_by_host[attempt.host][
+            attempt.incarnation - 1
+        ]
+        if (
+            not attempt.error
+            or incarnation.stop_requested_at is None
+            or incarnation.ended_at is None
+        ):
             continue
-        if attempt.ended < life.stop_at or attempt.request_id not in runs:
+        if (
+            attempt.ended_at < incarnation.stop_requested_at
+            or attempt.request_id not in runs
+        ):
             continue
         others = [
             a
-            for a in evidence.applied_between(
-                attempt.began - _APART_S, attempt.ended + _APART_S, ("",)
+            for a in observations.steps_between(
+                attempt.started_at - _FAULT_MARGIN_S,
+                attempt.ended_at + _FAULT_MARGIN_S,
+                ("",),
             )
             if a.fault not in (Fault.STOP, Fault.STOP_IN_TURN)
         ]
@@ -305,28 +351,30 @@
             yield attempt.request_id, attempt.error
 
 
-def _answers_in_time(evidence: Evidence) -> Found:
+def _answers_in_time(observations: Observations) -> Findings:
     """Each request is answered by its deadline, if its host runs."""
-    for attempt in evidence.attempts:
-        took_s = attempt.ended - attempt.began
-        if took_s <= DEADLINE_S + _LATE_S:
+    for attempt in observations.attempts:
+        took_s = attempt.ended_at - attempt.started_at
+        if took_s <= DEADLINE_S + _DEADLINE_SLACK_S:
             continue
-        if evidence.applied_between(attempt.began, attempt.ended, ("pause",)):
+        if observations.steps_between(
+            attempt.started_at, attempt.ended_at, ("pause",)
+        ):
             continue
         yield attempt.request_id, f"{took_s:.1f} s: {attempt.error}"
 
 
-def _told_when_to_return(evidence: Evidence) -> Found:
+def _told_when_to_return(observations: Observations) -> Findings:
     """A refusal of what was not run says when to come back."""
-    for attempt in evidence.attempts:
+    for attempt in observations.attempts:
         is_refused = attempt.status == httpx.codes.SERVICE_UNAVAILABLE
         if is_refused and not attempt.retry_after_s:
             yield attempt.request_id, "503 without Retry-After"
 
 
-def _recovery(evidence: Evidence) -> Found:
+def _recovery(observations: Observations) -> Findings:
     """Once all is sound, every host serves every kind of request."""
-    for attempt in evidence.last_attempts:
+    for attempt in observations.recovery_attempts:
         if not attempt.is_served:
             yield (
                 f"{attempt.host} {attempt.kind.value}",
@@ -334,7 +382,7 @@
             )
 
 
-CHECK_BY_NAME: dict[str, Callable[[Evidence], Found]] = {
+CHECK_BY_NAME: dict[str, Callable[[Observations], Findings]] = {
     "at-most-once": _at_most_once,
     "true-refusals": _true_refusals,
     "whole-own-answers": _whole_own_answers,
@@ -353,10 +401,10 @@
 }
 
 
-def check(evidence: Evidence) -> list[Violation]:
+def check(observations: Observations) -> list[Violation]:
     """Returns every promise that was broken."""
     return [
         Violation(name, subject, detail)
         for name, find in CHECK_BY_NAME.items()
-        for subject, detail in sorted(find(evidence))
+        for subject, detail in sorted(find(observations))
     ]
--- a/tools/soak/src/masticdale_soak/environment.py
+++ b/tools/soak/src/masticdale_soak/environment.py
@@ -1,4 +1,4 @@
-"""What surrounds the hosts: store, replicas, operator; and the hosts."""
+"""The entry hosts, replicas and store of one run."""
 
 import contextlib
 import dataclasses
@@ -6,132 +6,135 @@
 import time
 from collections.abc import AsyncIterator
 
-from masticdale_soak.fault_stack import Layers
+from masticdale_soak.fault_stack import FaultStack
 from masticdale_soak.plans import Plan
 from masticdale_soak.processes import HostProcess
 from masticdale_soak.proxies import LinkState, Proxy
 from masticdale_standins.objects import FakeObjectStore, StoreFault
 from masticdale_standins.replicas import Behaviour, FakeReplica, ReplicaFault
 
-CALLERS_HOST = "soak.example"
+HOST_HEADER = "soak.example"
 STREAM_PATH = "/turns/"
 LOOKUP_PATH = "/lookups/"
 ORDER_PATH = "/orders/"
 EVENTS = 4
 TOKENS_PER_EVENT = 10
-# As many as the platform names to each host; these watch the store for the
-# others.
+# The platform gives each host this many seeds. Seeds watch the store on behalf
+# of the other hosts.
 _SEEDS = 3
 _ENGINES = 3
-_DESKS = 3
-_EVENT_S = 0.03
-_WORK_S = 0.02
+_UNARY_REPLICAS = 3
+_EVENT_INTERVAL_S = 0.03
+_PROCESSING_S = 0.02
 
 
 @dataclasses.dataclass(slots=True)
 class Drain:
-    """A replica that is to get no new work.
+    """A period in which a replica must get no new requests.
 
     Attributes:
         replica_id: The replica.
-        began: Monotonic seconds when the store said so.
-        ended: When it took work again.
+        started_at: Monotonic time when the store marked it as draining.
+        ended_at: Monotonic time when it became ready again.
     """
 
     replica_id: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 class Replica:
-    """A replica, its entry in the store, and the way to it.
+    """A fake replica, its entry in the store, and the proxy in front of it.
 
     Attributes:
-        stand_in: The replica.
-        link: The way of all hosts to it.
-        faults: What it does wrong.
-        link_faults: What its link does wrong.
+        fake: The replica.
+        proxy: Proxy through which all hosts connect.
+        faults: Faults of the replica.
+        link_faults: Faults of the proxy.
     """
 
     def __init__(
         self, service: str, is_stream: bool, store: FakeObjectStore
     ) -> None:
-        self.stand_in = FakeReplica(service, is_stream)
-        self.stand_in.behaviour = Behaviour(
-            events=EVENTS, event_s=_EVENT_S, work_s=_WORK_S
+        self.fake = FakeReplica(service, is_stream)
+        self.fake.behaviour = Behaviour(
+            events=EVENTS, event_s=_EVENT_INTERVAL_S, work_s=_PROCESSING_S
         )
-        self.link = Proxy()
-        self.faults = Layers(ReplicaFault.NONE, self._set_fault)
-        self.link_faults = Layers(LinkState(), self.link.set_link_state)
+        self.proxy = Proxy()
+        self.faults = FaultStack(ReplicaFault.NONE, self._set_fault)
+        self.link_faults = FaultStack(LinkState(), self.proxy.set_link_state)
         self._store = store
         self._sequence = 0
-        self._born_ms = 0
+        self._started_ms = 0
         self._state = "ready"
 
     async def start(self) -> None:
-        """Starts it and writes its entry."""
-        await self.stand_in.start()
-        if not self.link.port:
-            await self.link.start(self.stand_in.port)
-        self._born_ms = time.time_ns() // 1_000_000
+        """Starts the replica and writes its entry."""
+        await self.fake.start()
+        if not self.proxy.port:
+            await self.proxy.start(self.fake.port)
+        self._started_ms = time.time_ns() // 1_000_000
         self._sequence = 0
         self.write_entry()
 
     async def crash(self) -> None:
-        """Ends it with all of its connections."""
-        await self.stand_in.stop()
-        self.link.reset()
+        """Stops the replica and resets its connections."""
+        await self.fake.stop()
+        self.proxy.reset()
 
     def remove_entry(self) -> None:
-        """Has its entry lapse, as that of a replica that sends nothing."""
-        self._store.remove("servers", self.stand_in.id)
+        """Removes its entry, as the store does without heartbeats."""
+        self._store.remove("servers", self.fake.id)
 
     async def close(self) -> None:
-        """Ends it and its link."""
-        await self.stand_in.stop()
-        await self.link.stop()
+        """Stops the replica and its proxy."""
+        await self.fake.stop()
+        await self.proxy.stop()
 
     def write_entry(self, state: str | None = None) -> None:
-        """Writes what it says of itself into the store."""
+        """Writes its entry into the store."""
         self._state = state or self._state
         self._sequence += 1
-        entry = self.stand_in.entry(
-            address=f"127.0.0.1:{self.link.port}",
+        entry = self.fake.entry(
+            address=f"127.0.0.1:{self.proxy.port}",
             state=self._state,
             sequence=self._sequence,
-            born=self._born_ms,
+            born=self._started_ms,
         )
-        self._store.put("servers", self.stand_in.id, entry)
+        self._store.put("servers", self.fake.id, entry)
 
     def _set_fault(self, fault: ReplicaFault) -> None:
-        self.stand_in.behaviour.fault = fault
+        self.fake.behaviour.fault = fault
 
 
-class World:
-    """Everything of one run.
+class Environment:
+    """All processes and fakes of one run.
 
     Attributes:
-        store: The platform's store.
-        store_faults: What it does wrong.
-        store_delays: How long it takes for an answer, in seconds.
+        store: Fake of the platform's store.
+        store_faults: Faults of the store.
+        store_delays: Response delays of the store, in seconds.
         replicas: All replicas.
         hosts: All entry hosts.
-        version: The newest version of the configuration.
-        drains: Replicas that were to get no new work.
+        version: Newest version of the configuration.
+        drains: Completed drains of replicas.
     """
 
     def __init__(
-        self, plan: Plan, folder: pathlib.Path, command: tuple[str, ...] = ()
+        self, plan: Plan, directory: pathlib.Path, command: tuple[str, ...] = ()
     ) -> None:
         self.store = FakeObjectStore()
-        self.store_faults = Layers(StoreFault.NONE, self._set_store_fault)
-        self.store_delays = Layers(0.0, self._set_store_delay)
+        self.store_faults = FaultStack(StoreFault.NONE, self._set_store_fault)
+        self.store_delays = FaultStack(0.0, self._set_store_delay)
         self.replicas = [
             *(Replica("engine", True, self.store) for _ in range(_ENGINES)),
-            *(Replica("desk", False, self.store) for _ in range(_DESKS)),
+            *(
+                Replica("desk", False, self.store)
+                for _ in range(_UNARY_REPLICAS)
+            ),
         ]
         self.hosts = [
-            HostProcess(f"host-{n}", folder, command)
+            HostProcess(f"host-{n}", directory, command)
             for n in range(1, plan.hosts + 1)
         ]
         self.version = 0
@@ -139,7 +142,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Starts everything; ends all of it at the end."""
+        """Starts everything and stops it on exit."""
         try:
             await self._start()
             yield
@@ -151,10 +154,10 @@
             await self.store.stop()
 
     def change_configuration(self) -> None:
-        """Writes the next version, as the operator would.
+        """Writes the next version, as an operator would.
 
-        Each version has a route of its own, so that callers can tell which
-        one is in force.
+        Each version has a unique route, which shows whether a host has
+        applied that version.
         """
         self.version += 1
         routes = [
@@ -171,7 +174,7 @@
             await replica.start()
         self.change_configuration()
         for host in self.hosts:
-            await host.open_links(self.store.port)
+            await host.start_proxies(self.store.port)
         for host in self.hosts:
             host.write_settings(self.hosts[:_SEEDS])
             host.start()
@@ -186,7 +189,7 @@
 
 
 def version_path(version: int) -> str:
-    """Returns the path that only one version of the configuration has."""
+    """Returns the path of the route that is unique to a version."""
     return f"/version-{version}/"
 
 
@@ -195,7 +198,7 @@
 ) -> dict[str, object]:
     return {
         "name": path.strip("/"),
-        "host": CALLERS_HOST,
+        "host": HOST_HEADER,
         "path_prefix": path,
         "kind": kind,
         "timeout_ms": 4000,
--- a/tools/soak/src/masticdale_soak/fault_stack.py
+++ b/tools/soak/src/masticdale_soak/fault_stack.py
@@ -1,4 +1,4 @@
-"""Faults of one kind at one place that overlap in time."""
+"""Faults of one kind on one target that overlap in time."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
@@ -6,21 +6,21 @@
 ValueT = TypeVar("ValueT")
 
 
-class Layers(Generic[ValueT]):
-    """Faults of one kind that overlap: the newest that lasts is in force."""
+class FaultStack(Generic[ValueT]):
+    """Overlapping faults of one kind; the newest active one applies."""
 
     def __init__(
-        self, sound: ValueT, put_in_force: Callable[[ValueT], None]
+        self, default: ValueT, put_in_force: Callable[[ValueT], None]
     ) -> None:
-        self._values = [sound]
-        self._put_in_force = put_in_force
+        self._values = [default]
+        self._apply = put_in_force
 
     def begin(self, value: ValueT) -> None:
-        """Puts a fault in force."""
+        """Starts a fault."""
         self._values.append(value)
-        self._put_in_force(value)
+        self._apply(value)
 
     def end(self, value: ValueT) -> None:
-        """Ends a fault; one that began before and lasts is in force again."""
+        """Ends a fault; the newest one still active applies again."""
         self._values.remove(value)
-        self._put_in_force(self._values[-1])
+        self._apply(self._values[-1])
--- a/tools/soak/src/masticdale_soak/faults.py
+++ b/tools/soak/src/masticdale_soak/faults.py
@@ -6,8 +6,8 @@
 import time
 from collections.abc import Awaitable
 
-from masticdale_soak.environment import Drain, Replica, World
-from masticdale_soak.fault_stack import Layers, ValueT
+from masticdale_soak.environment import Drain, Environment, Replica
+from masticdale_soak.fault_stack import FaultStack, ValueT
 from masticdale_soak.plans import Fault, Plan, Step, Target, target_of
 from masticdale_soak.processes import HostProcess
 from masticdale_soak.proxies import LinkFault, LinkState
@@ -16,11 +16,11 @@
 
 # Extra time on a slow link, and for each answer of a slow store, in seconds:
 # fifty times the usual round trip of a few milliseconds.
-_SLOW_S = 0.25
-_LOST_ANSWERS = 5
+_ADDED_DELAY_S = 0.25
+_RESPONSES_TO_LOSE = 5
 # The store keeps the entry of a replica that has crashed for this long, in
 # seconds.
-_ENTRY_LAPSES_S = 1.5
+_ENTRY_TTL_S = 1.5
 
 _STORE_FAULTS = {
     Fault.STORE_BUSY: StoreFault.BUSY,
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Applied:
+class ExecutedStep:
     """A step as it was carried out.
 
     Attributes:
@@ -58,70 +58,80 @@
     """
 
     fault: Fault
-    place: str
-    began: float
-    ended: float
+    target_name: str
+    started_at: float
+    ended_at: float
 
 
-class FaultDriver:
+class FaultInjector:
     """Carries out the steps, each at its time.
 
     Attributes:
         applied: What was done so far.
     """
 
-    def __init__(self, world: World) -> None:
-        self.applied: list[Applied] = []
-        self._world = world
+    def __init__(self, environment: Environment) -> None:
+        self.executed_steps: list[ExecutedStep] = []
+        self._environment = environment
         self._processes_in_use: set[str] = set()
 
     async def run(self, plan: Plan) -> None:
         """Carries out a plan; returns once everything is sound again."""
-        began = time.monotonic()
+        started_at = time.monotonic()
         async with asyncio.TaskGroup() as group:
             for step in plan.steps:
-                group.create_task(self._at(began + step.at_s, step))
+                group.create_task(
+                    self._run_step(started_at + step.start_s, step)
+                )
 
-    async def _at(self, at: float, step: Step) -> None:
+    async def _run_step(self, at: float, step: Step) -> None:
         await asyncio.sleep(max(0.0, at - time.monotonic()))
-        place, work = self._work(step)
-        began = time.monotonic()
-        await work
-        self.applied.append(Applied(step.fault, place, began, time.monotonic()))
-
-    def _work(self, step: Step) -> tuple[str, Awaitable[None]]:
+        target_name, injection = self._resolve(step)
+        started_at = time.monotonic()
+        await injection
+        self.executed_steps.append(
+            ExecutedStep(step.fault, target_name, started_at, time.monotonic())
+        )
+
+    def _resolve(self, step: Step) -> tuple[str, Awaitable[None]]:
         """Returns the place that a step strikes, and how."""
         target = target_of(step.fault)
         if target is Target.HOST:
-            host = self._world.hosts[step.place % len(self._world.hosts)]
-            return host.name, self._strike_host(step, host)
+            host = self._environment.hosts[
+                step.target_index % len(self._environment.hosts)
+            ]
+            return host.name, self._inject_host_fault(step, host)
         if target is Target.REPLICA:
-            replicas = self._world.replicas
-            replica = replicas[step.place % len(replicas)]
-            return replica.stand_in.id, self._strike_replica(step, replica)
+            replicas = self._environment.replicas
+            replica = replicas[step.target_index % len(replicas)]
+            return replica.fake.id, self._inject_replica_fault(step, replica)
         if target is Target.ALL_HOSTS:
-            return target.value, self._strike_all_hosts(step)
+            return target.value, self._inject_fault_on_all_hosts(step)
         if target is Target.STORE:
-            return target.value, self._strike_store(step)
+            return target.value, self._inject_store_fault(step)
         return target.value, self._change_configuration()
 
-    async def _strike_host(self, step: Step, host: HostProcess) -> None:
+    async def _inject_host_fault(self, step: Step, host: HostProcess) -> None:
         fault = step.fault
         if fault in (Fault.KILL, Fault.STOP, Fault.PAUSE):
-            await self._strike_process(step, host)
+            await self._inject_process_fault(step, host)
         elif fault is Fault.HANG_UP:
             host.send(signal.SIGHUP)
         elif fault is Fault.STORE_LINK_RESET:
-            host.store_link.reset()
+            host.store_proxy.reset()
         elif fault is Fault.PEERS_LINK_RESET:
-            host.peers_link.reset()
+            host.peer_proxy.reset()
         else:
             is_store = fault.value.startswith("store_link")
-            faults = host.store_faults if is_store else host.peers_faults
-            link = LinkState(_LINK_FAULTS[fault], _SLOW_S)
-            await _last(faults, link, step.for_s)
+            faults = (
+                host.store_link_faults if is_store else host.peer_link_faults
+            )
+            link = LinkState(_LINK_FAULTS[fault], _ADDED_DELAY_S)
+            await _apply_for(faults, link, step.duration_s)
 
-    async def _strike_process(self, step: Step, host: HostProcess) -> None:
+    async def _inject_process_fault(
+        self, step: Step, host: HostProcess
+    ) -> None:
         # Two hands on one process would each wait for an end that the other
         # one has seen, and start it twice.
         if host.name in self._processes_in_use:
@@ -130,12 +140,12 @@
         try:
             if step.fault is Fault.PAUSE:
                 host.send(signal.SIGSTOP)
-                await asyncio.sleep(step.for_s)
+                await asyncio.sleep(step.duration_s)
                 host.send(signal.SIGCONT)
                 return
             if step.fault is Fault.KILL:
                 await host.kill()
-                await asyncio.sleep(step.for_s)
+                await asyncio.sleep(step.duration_s)
             else:
                 await host.stop()
             host.start()
@@ -143,59 +153,66 @@
         finally:
             self._processes_in_use.discard(host.name)
 
-    async def _strike_all_hosts(self, step: Step) -> None:
+    async def _inject_fault_on_all_hosts(self, step: Step) -> None:
         single = Fault.KILL if step.fault is Fault.KILL_ALL else Fault.STOP
-        at_each = dataclasses.replace(step, fault=single)
+        single_step = dataclasses.replace(step, fault=single)
         if step.fault is Fault.KILL_ALL:
             await asyncio.gather(
-                *(self._strike_process(at_each, h) for h in self._world.hosts)
+                *(
+                    self._inject_process_fault(single_step, h)
+                    for h in self._environment.hosts
+                )
             )
             return
-        for host in self._world.hosts:
-            await self._strike_process(at_each, host)
+        for host in self._environment.hosts:
+            await self._inject_process_fault(single_step, host)
 
-    async def _strike_store(self, step: Step) -> None:
-        world = self._world
+    async def _inject_store_fault(self, step: Step) -> None:
+        environment = self._environment
         if step.fault is Fault.STORE_LOSES_ANSWERS:
-            world.store.faults.responses_to_lose = _LOST_ANSWERS
-            await asyncio.sleep(step.for_s)
-            world.store.faults.responses_to_lose = 0
+            environment.store.faults.responses_to_lose = _RESPONSES_TO_LOSE
+            await asyncio.sleep(step.duration_s)
+            environment.store.faults.responses_to_lose = 0
         elif step.fault is Fault.STORE_FORGETS:
-            world.store.compact_history()
+            environment.store.compact_history()
         elif step.fault is Fault.STORE_SLOW:
-            await _last(world.store_delays, _SLOW_S, step.for_s)
+            await _apply_for(
+                environment.store_delays, _ADDED_DELAY_S, step.duration_s
+            )
         else:
             fault = _STORE_FAULTS[step.fault]
-            await _last(world.store_faults, fault, step.for_s)
+            await _apply_for(environment.store_faults, fault, step.duration_s)
 
-    async def _strike_replica(self, step: Step, replica: Replica) -> None:
+    async def _inject_replica_fault(self, step: Step, replica: Replica) -> None:
         if step.fault is Fault.REPLICA_CRASH:
             await replica.crash()
-            await asyncio.sleep(min(step.for_s, _ENTRY_LAPSES_S))
+            await asyncio.sleep(min(step.duration_s, _ENTRY_TTL_S))
             replica.remove_entry()
-            await asyncio.sleep(max(0.0, step.for_s - _ENTRY_LAPSES_S))
+            await asyncio.sleep(max(0.0, step.duration_s - _ENTRY_TTL_S))
             await replica.start()
         elif step.fault is Fault.REPLICA_DRAINS:
             replica.write_entry("draining")
-            drain = Drain(replica.stand_in.id, time.monotonic(), 0.0)
-            await asyncio.sleep(step.for_s)
-            drain.ended = time.monotonic()
-            self._world.drains.append(drain)
+            drain = Drain(replica.fake.id, time.monotonic(), 0.0)
+            await asyncio.sleep(step.duration_s)
+            drain.ended_at = time.monotonic()
+            self._environment.drains.append(drain)
             replica.write_entry("ready")
         elif step.fault is Fault.REPLICA_LINK_SLOW:
-            link = LinkState(LinkFault.DELAY, _SLOW_S)
-            await _last(replica.link_faults, link, step.for_s)
+            link = LinkState(LinkFault.DELAY, _ADDED_DELAY_S)
+            await _apply_for(replica.link_faults, link, step.duration_s)
         else:
             fault = _REPLICA_FAULTS[step.fault]
-            await _last(replica.faults, fault, step.for_s)
+            await _apply_for(replica.faults, fault, step.duration_s)
 
     async def _change_configuration(self) -> None:
-        self._world.change_configuration()
+        self._environment.change_configuration()
 
 
-async def _last(layers: Layers[ValueT], value: ValueT, for_s: float) -> None:
+async def _apply_for(
+    layers: FaultStack[ValueT], value: ValueT, duration_s: float
+) -> None:
     layers.begin(value)
     try:
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
     finally:
         layers.end(value)
--- a/tools/soak/src/masticdale_soak/load_generator.py
+++ b/tools/soak/src/masticdale_soak/load_generator.py
@@ -9,11 +9,11 @@
 import httpx
 
 from masticdale_soak.environment import (
-    CALLERS_HOST,
+    HOST_HEADER,
     LOOKUP_PATH,
     ORDER_PATH,
     STREAM_PATH,
-    World,
+    Environment,
     version_path,
 )
 from masticdale_soak.processes import HostProcess
@@ -26,25 +26,25 @@
 # Callers wait longer than that for an answer that is overdue, in seconds.
 _CLIENT_TIMEOUT_S = 8.0
 # The balancer asks each host this often, in seconds.
-_BALANCER_S = 0.5
+_READINESS_INTERVAL_S = 0.5
 # Share of requests for which a caller stays with the host of its last one,
 # as long as its connection there holds: also while that host stops.
-_STICKY_SHARE = 0.7
-_PROGRAMS = 6
-_ORDERERS = 3
-_LOOKERS = 3
+_STICKY_PROBABILITY = 0.7
+_PROGRAM_WORKERS = 6
+_ORDER_WORKERS = 3
+_LOOKUP_WORKERS = 3
 _PAUSE_S = 0.05
-_MOST_TRIES = 4
-_MOST_TURNS = 24
+_MAX_ATTEMPTS = 4
+_MAX_TURNS = 24
 # Every third program goes on until it is told that its budget is spent.
-_LOOPING_EVERY = 3
-_SHORT_TURNS = 3
-_LONGEST_WAIT_S = 2.0
+_LONG_PROGRAM_INTERVAL = 3
+_SHORT_PROGRAM_TURNS = 3
+_MAX_RETRY_WAIT_S = 2.0
 # Programs of each caller, so that names don't collide.
-_NAMES_APART = 1000
+_NAMES_PER_WORKER = 1000
 
 
-class Kind(enum.StrEnum):
+class RequestKind(enum.StrEnum):
     """What a caller asks for."""
 
     TURN = "turn"
@@ -74,13 +74,13 @@
     """
 
     request_id: str
-    kind: Kind
+    kind: RequestKind
     host: str
-    life: int
+    incarnation: int
     program_id: str = ""
     version: int = 0
-    began: float = 0.0
-    ended: float = 0.0
+    started_at: float = 0.0
+    ended_at: float = 0.0
     status: int | None = None
     seal: str = ""
     body: bytes = b""
@@ -92,25 +92,25 @@
         """Whether a whole success came."""
         return self.status == httpx.codes.OK and not self.error
 
-    def event_numbers(self) -> list[int]:
+    def event_ids(self) -> list[int]:
         """Returns the ids of the whole events of a stream."""
         events = self.body.decode().split("\n\n")[:-1]
         heads = (event.partition("\n")[0] for event in events)
         return [int(head.removeprefix("id: ")) for head in heads]
 
 
-class Callers:
+class LoadGenerator:
     """All callers of a run.
 
     Attributes:
         attempts: Every request so far.
     """
 
-    def __init__(self, world: World, seed: int) -> None:
+    def __init__(self, environment: Environment, seed: int) -> None:
         self.attempts: list[Attempt] = []
-        self._world = world
+        self._environment = environment
         self._random = random.Random(seed)
-        self._ready: list[HostProcess] = list(world.hosts)
+        self._ready_hosts: list[HostProcess] = list(environment.hosts)
         self._http_by_host = {
             host.name: httpx.AsyncClient(
                 base_url=host.url,
@@ -119,23 +119,32 @@
                 verify=False,
                 limits=httpx.Limits(max_connections=None),
             )
-            for host in world.hosts
+            for host in environment.hosts
         }
-        self._ends_at = 0.0
+        self._deadline = 0.0
 
     async def run(self, seconds: float) -> None:
         """Sends requests for some time, and lets the last ones end."""
-        self._ends_at = time.monotonic() + seconds
-        balancer = asyncio.create_task(self._balance())
+        self._deadline = time.monotonic() + seconds
+        readiness_task = asyncio.create_task(self._poll_readiness())
         try:
             await asyncio.gather(
-                *(self._run_programs(n) for n in range(_PROGRAMS)),
-                *(self._repeat(Kind.ORDER, n) for n in range(_ORDERERS)),
-                *(self._repeat(Kind.LOOKUP, n) for n in range(_LOOKERS)),
-                *(self._ask_versions(host) for host in self._world.hosts),
+                *(self._run_programs(n) for n in range(_PROGRAM_WORKERS)),
+                *(
+                    self._send_repeatedly(RequestKind.ORDER, n)
+                    for n in range(_ORDER_WORKERS)
+                ),
+                *(
+                    self._send_repeatedly(RequestKind.LOOKUP, n)
+                    for n in range(_LOOKUP_WORKERS)
+                ),
+                *(
+                    self._poll_versions(host)
+                    for host in self._environment.hosts
+                ),
             )
         finally:
-            balancer.cancel()
+            readiness_task.cancel()
 
     async def close(self) -> None:
         """Closes every connection."""
@@ -145,75 +154,86 @@
     async def send(
         self,
         host: HostProcess,
-        kind: Kind,
+        kind: RequestKind,
         request_id: str,
         program_id: str = "",
         version: int = 0,
     ) -> Attempt:
         """Sends a request to a host and waits for the end of its answer."""
         attempt = Attempt(
-            request_id, kind, host.name, len(host.lives), program_id, version
+            request_id,
+            kind,
+            host.name,
+            len(host.incarnations),
+            program_id,
+            version,
         )
         self.attempts.append(attempt)
-        attempt.began = time.monotonic()
+        attempt.started_at = time.monotonic()
         try:
             await self._exchange(attempt)
         except httpx.HTTPError as error:
             attempt.error = repr(error)
-        attempt.ended = time.monotonic()
+        attempt.ended_at = time.monotonic()
         return attempt
 
     async def _exchange(self, attempt: Attempt) -> None:
         http = self._http_by_host[attempt.host]
-        path, fields = _request_of(attempt)
-        method = "POST" if attempt.kind in (Kind.TURN, Kind.ORDER) else "GET"
+        path, fields = _build_request(attempt)
+        method = (
+            "POST"
+            if attempt.kind in (RequestKind.TURN, RequestKind.ORDER)
+            else "GET"
+        )
         content = b"{}" if method == "POST" else b""
         async with http.stream(
             method, path, headers=fields, content=content
         ) as response:
             attempt.status = response.status_code
             attempt.seal = response.headers.get("response-seal", "")
-            told = response.headers.get("retry-after")
-            attempt.retry_after_s = float(told) if told else None
+            retry_after = response.headers.get("retry-after")
+            attempt.retry_after_s = float(retry_after) if retry_after else None
             async for part in response.aiter_raw():
                 attempt.body += part
 
     async def _run_programs(self, number: int) -> None:
         count = 0
-        while self._is_open:
+        while self._is_running:
             count += 1
-            loops = (number + count) % _LOOPING_EVERY == 0
+            is_long = (number + count) % _LONG_PROGRAM_INTERVAL == 0
             await self._run_program(
-                f"p{number * _NAMES_APART + count}",
-                _MOST_TURNS if loops else _SHORT_TURNS,
+                f"p{number * _NAMES_PER_WORKER + count}",
+                _MAX_TURNS if is_long else _SHORT_PROGRAM_TURNS,
             )
 
     async def _run_program(self, program_id: str, turns: int) -> None:
         host: HostProcess | None = None
         for turn in range(turns):
-            if not self._is_open:
+            if not self._is_running:
                 return
             name = f"{program_id}-{turn}"
-            last = await self._until_served(Kind.TURN, name, host, program_id)
+            last = await self._send_until_served(
+                RequestKind.TURN, name, host, program_id
+            )
             if not last.is_served:
                 return
-            host = self._host_of(last)
+            host = self._find_host(last)
             await asyncio.sleep(_PAUSE_S)
 
-    async def _repeat(self, kind: Kind, number: int) -> None:
+    async def _send_repeatedly(self, kind: RequestKind, number: int) -> None:
         host: HostProcess | None = None
         count = 0
-        while self._is_open:
+        while self._is_running:
             count += 1
-            last = await self._until_served(
+            last = await self._send_until_served(
                 kind, f"{kind.value}{number}-{count}", host
             )
-            host = self._host_of(last) if last.is_served else None
+            host = self._find_host(last) if last.is_served else None
             await asyncio.sleep(_PAUSE_S)
 
-    async def _until_served(
+    async def _send_until_served(
         self,
-        kind: Kind,
+        kind: RequestKind,
         name: str,
         host: HostProcess | None,
         program_id: str = "",
@@ -222,57 +242,63 @@
 
         What must not run twice is not sent again after an unknown outcome.
         """
-        for number in range(_MOST_TRIES):
-            if host is None or self._random.random() > _STICKY_SHARE:
-                host = self._random.choice(self._ready or self._world.hosts)
+        for number in range(_MAX_ATTEMPTS):
+            if host is None or self._random.random() > _STICKY_PROBABILITY:
+                host = self._random.choice(
+                    self._ready_hosts or self._environment.hosts
+                )
             request_id = f"{name}-{number}"
             last = await self.send(host, kind, request_id, program_id)
             host = None
-            is_told_to_return = last.retry_after_s is not None
-            if last.is_served or not is_told_to_return:
+            has_retry_after = last.retry_after_s is not None
+            if last.is_served or not has_retry_after:
                 return last
-            await asyncio.sleep(min(last.retry_after_s or 0, _LONGEST_WAIT_S))
+            await asyncio.sleep(min(last.retry_after_s or 0, _MAX_RETRY_WAIT_S))
         return last
 
-    async def _ask_versions(self, host: HostProcess) -> None:
+    async def _poll_versions(self, host: HostProcess) -> None:
         """Asks a host by turns which version of the configuration it has."""
         count = 0
-        while self._is_open:
+        while self._is_running:
             count += 1
-            newest = self._world.version
+            newest = self._environment.version
             version = self._random.randint(max(1, newest - 1), newest)
             request_id = f"{host.name}-version-{count}"
-            await self.send(host, Kind.VERSION, request_id, version=version)
+            await self.send(
+                host, RequestKind.VERSION, request_id, version=version
+            )
             await asyncio.sleep(2 * _PAUSE_S)
 
-    async def _balance(self) -> None:
+    async def _poll_readiness(self) -> None:
         while True:
             states = await asyncio.gather(
-                *(host.is_ready() for host in self._world.hosts)
+                *(host.is_ready() for host in self._environment.hosts)
             )
-            pairs = zip(self._world.hosts, states, strict=True)
-            self._ready = [host for host, is_ready in pairs if is_ready]
-            await asyncio.sleep(_BALANCER_S)
+            pairs = zip(self._environment.hosts, states, strict=True)
+            self._ready_hosts = [host for host, is_ready in pairs if is_ready]
+            await asyncio.sleep(_READINESS_INTERVAL_S)
 
-    def _host_of(self, attempt: Attempt) -> HostProcess:
-        return next(h for h in self._world.hosts if h.name == attempt.host)
+    def _find_host(self, attempt: Attempt) -> HostProcess:
+        return next(
+            h for h in self._environment.hosts if h.name == attempt.host
+        )
 
     @property
-    def _is_open(self) -> bool:
-        return time.monotonic() < self._ends_at
+    def _is_running(self) -> bool:
+        return time.monotonic() < self._deadline
 
 
-def _request_of(attempt: Attempt) -> tuple[str, dict[str, str]]:
+def _build_request(attempt: Attempt) -> tuple[str, dict[str, str]]:
     fields = {
-        "Host": CALLERS_HOST,
+        "Host": HOST_HEADER,
         "Request-Id": attempt.request_id,
         "Deadline-Ms": str(int(1000 * DEADLINE_S)),
     }
-    if attempt.kind is Kind.ORDER:
+    if attempt.kind is RequestKind.ORDER:
         return ORDER_PATH + "x", fields
-    if attempt.kind is Kind.LOOKUP:
+    if attempt.kind is RequestKind.LOOKUP:
         return LOOKUP_PATH + "x", fields
-    if attempt.kind is Kind.VERSION:
+    if attempt.kind is RequestKind.VERSION:
         return version_path(attempt.version) + "x", fields
     fields |= {
         "Program-Id": attempt.program_id,
--- a/tools/soak/src/masticdale_soak/main.py
+++ b/tools/soak/src/masticdale_soak/main.py
@@ -14,7 +14,7 @@
 _SECONDS = 20.0
 _HOSTS = 4
 _JOBS = 3
-_EXIT_BROKEN = 1
+_EXIT_VIOLATIONS = 1
 
 
 def run(
@@ -32,8 +32,8 @@
         output: Where the JSON report goes; nowhere if empty.
     """
     report = run_seed(seed, seconds, hosts)
-    print(report.line())
-    _finish([report], output)
+    print(report.summary())
+    _write_reports([report], output)
 
 
 def hunt(
@@ -57,13 +57,13 @@
         output: Where the JSON reports go, a line each; nowhere if empty.
     """
     begin = first or random.SystemRandom().randrange(1, 1_000_000)
-    ends_at = time.monotonic() + 60 * minutes
+    deadline = time.monotonic() + 60 * minutes
     reports: list[Report] = []
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
         waiting: set[concurrent.futures.Future[Report]] = set()
         number = 0
-        while waiting or _may_begin(number, seeds, ends_at):
-            while len(waiting) < jobs and _may_begin(number, seeds, ends_at):
+        while waiting or _may_start(number, seeds, deadline):
+            while len(waiting) < jobs and _may_start(number, seeds, deadline):
                 waiting.add(
                     pool.submit(run_seed, begin + number, seconds, hosts)
                 )
@@ -73,8 +73,8 @@
             )
             for future in done:
                 reports.append(future.result())
-                print(reports[-1].line(), flush=True)
-    _finish(reports, output)
+                print(reports[-1].summary(), flush=True)
+    _write_reports(reports, output)
 
 
 def replay(report: str) -> None:
@@ -86,7 +86,7 @@
     lines = pathlib.Path(report).read_text().splitlines()
     old = [Report.model_validate_json(line) for line in lines]
     broken = [r for r in old if not r.is_clean]
-    _finish([run_seed(r.seed, r.seconds, r.hosts) for r in broken], "")
+    _write_reports([run_seed(r.seed, r.seconds, r.hosts) for r in broken], "")
 
 
 def plan(
@@ -101,7 +101,8 @@
     """
     steps = make_plan(seed, seconds, hosts).steps
     return [
-        f"{s.at_s:.2f} s, for {s.for_s:.2f} s: {s.fault.value}, place {s.place}"
+        f"{s.start_s:.2f} s, for {s.duration_s:.2f} s:"
+        f" {s.fault.value}, target {s.target_index}"
         for s in steps
     ]
 
@@ -114,13 +115,13 @@
     )
 
 
-def _may_begin(number: int, seeds: int, ends_at: float) -> bool:
+def _may_start(number: int, seeds: int, deadline: float) -> bool:
     if seeds:
         return number < seeds
-    return time.monotonic() < ends_at
+    return time.monotonic() < deadline
 
 
-def _finish(reports: list[Report], output: str) -> None:
+def _write_reports(reports: list[Report], output: str) -> None:
     if output:
         lines = [report.model_dump_json() + "\n" for report in reports]
         pathlib.Path(output).write_text("".join(lines))
@@ -134,4 +135,4 @@
         print(f"  logs: {report.logs}")
     print(f"{len(reports)} seeds, {len(broken)} broken")
     if broken:
-        sys.exit(_EXIT_BROKEN)
+        sys.exit(_EXIT_VIOLATIONS)
--- a/tools/soak/src/masticdale_soak/plans.py
+++ b/tools/soak/src/masticdale_soak/plans.py
@@ -1,23 +1,22 @@
-"""Plans of faults: which, when, where and for how long, from a seed."""
+"""Generates fault plans from a seed: kind, start, duration and target."""
 
 import dataclasses
 import enum
 import random
 
-# Every fault ends this long before callers stop, in seconds, so that they
-# meet the system in recovery too.
-_QUIET_END_S = 3.0
-# The first fault comes this long after callers began, in seconds.
-_QUIET_BEGIN_S = 0.5
-# Faults that begin in each second, on average. With an average length of
-# about two seconds two of them overlap at most moments.
+# Every fault ends this many seconds before the load does, so that the load also
+# covers the recovery.
+_FAULT_FREE_END_S = 3.0
+# The first fault starts at least this many seconds after the load.
+_FAULT_FREE_START_S = 0.5
+# Average rate of new faults; high enough for faults to overlap.
 _FAULTS_PER_S = 0.8
-_SHORTEST_S = 0.2
-_LONGEST_S = 4.0
+_MIN_DURATION_S = 0.2
+_MAX_DURATION_S = 4.0
 
 
 class Target(enum.StrEnum):
-    """What a fault strikes."""
+    """What a fault affects."""
 
     HOST = "host"
     ALL_HOSTS = "all_hosts"
@@ -27,7 +26,7 @@
 
 
 class Fault(enum.StrEnum):
-    """Kinds of faults, planned stops and changes."""
+    """Kinds of faults, planned restarts and configuration changes."""
 
     KILL = "kill"
     KILL_ALL = "kill_all"
@@ -73,7 +72,7 @@
 
 
 def target_of(fault: Fault) -> Target:
-    """Returns what a fault strikes."""
+    """Returns what a fault affects."""
     for prefix, target in _TARGET_BY_PREFIX.items():
         if fault.value.startswith(prefix):
             return target
@@ -85,32 +84,32 @@
     """One fault of a plan.
 
     Attributes:
-        at_s: Seconds after callers began.
-        for_s: How long it lasts, where it lasts.
-        fault: What happens.
-        place: Number of the host or replica; taken modulo how many there are.
+        start_s: Start in seconds after the start of the load.
+        duration_s: Duration in seconds; unused by instantaneous faults.
+        fault: Kind of the fault.
+        target_index: Index of the host or replica, modulo their number.
     """
 
-    at_s: float
-    for_s: float
+    start_s: float
+    duration_s: float
     fault: Fault
-    place: int
+    target_index: int
 
     @property
     def end_s(self) -> float:
-        """When it ends, in seconds after callers began."""
-        return self.at_s + self.for_s
+        """End in seconds after the start of the load."""
+        return self.start_s + self.duration_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """A run, apart from what the machine's timing adds.
+    """The reproducible part of a run.
 
     Attributes:
-        seed: Where it came from.
-        seconds: How long callers go on.
-        hosts: Entry hosts.
-        steps: Faults, by their time.
+        seed: Seed of the plan and of the load.
+        seconds: Duration of the load in seconds.
+        hosts: Number of entry hosts.
+        steps: Faults, ordered by start.
     """
 
     seed: int
@@ -120,26 +119,26 @@
 
 
 def make_plan(seed: int, seconds: float, hosts: int) -> Plan:
-    """Returns the plan of a seed; always the same one.
+    """Generates a plan; equal arguments give equal plans.
 
     Args:
-        seed: Any number.
-        seconds: How long callers go on.
-        hosts: Entry hosts.
+        seed: Seed of the random choices.
+        seconds: Duration of the load in seconds.
+        hosts: Number of entry hosts.
     """
-    chance = random.Random(seed)
-    last_s = max(_QUIET_BEGIN_S, seconds - _QUIET_END_S)
-    count = max(2, round(_FAULTS_PER_S * (last_s - _QUIET_BEGIN_S)))
+    rng = random.Random(seed)
+    last_s = max(_FAULT_FREE_START_S, seconds - _FAULT_FREE_END_S)
+    count = max(2, round(_FAULTS_PER_S * (last_s - _FAULT_FREE_START_S)))
     steps = []
     for _ in range(count):
-        at_s = chance.uniform(_QUIET_BEGIN_S, last_s)
-        for_s = chance.uniform(_SHORTEST_S, _LONGEST_S)
+        start_s = rng.uniform(_FAULT_FREE_START_S, last_s)
+        duration_s = rng.uniform(_MIN_DURATION_S, _MAX_DURATION_S)
         step = Step(
-            at_s=round(at_s, 2),
-            for_s=round(min(for_s, last_s - at_s), 2),
-            fault=chance.choice(list(Fault)),
-            place=chance.randrange(1000),
+            start_s=round(start_s, 2),
+            duration_s=round(min(duration_s, last_s - start_s), 2),
+            fault=rng.choice(list(Fault)),
+            target_index=rng.randrange(1000),
         )
         steps.append(step)
-    ordered = tuple(sorted(steps, key=lambda s: s.at_s))
+    ordered = tuple(sorted(steps, key=lambda s: s.start_s))
     return Plan(seed, seconds, hosts, ordered)
--- a/tools/soak/src/masticdale_soak/processes.py
+++ b/tools/soak/src/masticdale_soak/processes.py
@@ -16,37 +16,37 @@
 import httpx
 
 from masticdale_adapter import READINESS_PATH
-from masticdale_soak.fault_stack import Layers
+from masticdale_soak.fault_stack import FaultStack
 from masticdale_soak.proxies import LinkState, Proxy
 
 # What the platform grants a process between SIGTERM and SIGKILL, in seconds.
 GRACE_S = 6.0
 # A start takes one to two seconds on a busy machine.
-_START_LIMIT_S = 20.0
-_POLL_S = 0.05
-_BALANCER_TIMEOUT_S = 1.0
+_START_TIMEOUT_S = 20.0
+_POLL_INTERVAL_S = 0.05
+_READINESS_TIMEOUT_S = 1.0
 _CALLERS_PORT = 8001
 _READINESS_PORT = 8002
 _PEERS_PORT = 8003
 _METRICS_PORT = 8004
-_DEPLOYED = pathlib.Path(__file__).parents[4] / "deploy" / "start.py"
+_START_SCRIPT = pathlib.Path(__file__).parents[4] / "deploy" / "start.py"
 
 # Hosts of this process so far. Each has an address of its own, so that its
 # ports can't be taken by another run, or by a proxy, while it is down.
-_NUMBERS = itertools.count(1)
-_MOST_HOSTS = 250
+_HOST_NUMBERS = itertools.count(1)
+_MAX_HOSTS = 250
 
 
-def next_address() -> str:
+def allocate_loopback_address() -> str:
     """Returns a loopback address that nothing else in use here has."""
-    number = next(_NUMBERS) % _MOST_HOSTS + 1
+    number = next(_HOST_NUMBERS) % _MAX_HOSTS + 1
     process = os.getpid()
-    second = process // _MOST_HOSTS % _MOST_HOSTS + 1
-    return f"127.{second}.{process % _MOST_HOSTS}.{number}"
+    second = process // _MAX_HOSTS % _MAX_HOSTS + 1
+    return f"127.{second}.{process % _MAX_HOSTS}.{number}"
 
 
 @dataclasses.dataclass(slots=True)
-class Life:
+class Incarnation:
     """One process from its start to its end.
 
     Attributes:
@@ -59,11 +59,11 @@
     """
 
     number: int
-    began: float
-    stop_at: float | None = None
-    ended: float | None = None
+    started_at: float
+    stop_requested_at: float | None = None
+    ended_at: float | None = None
     exit_code: int | None = None
-    is_late: bool = False
+    start_timed_out: bool = False
 
 
 class HostProcess:
@@ -72,29 +72,33 @@
     Attributes:
         name: Its name.
         store_link: Its way to the platform's store.
-        store_faults: What that link does wrong.
+        store_link_faults: What that link does wrong.
         peers_link: The way of the other hosts to it.
         peers_faults: What that one does wrong.
         lives: All of its processes.
     """
 
     def __init__(
-        self, name: str, folder: pathlib.Path, command: tuple[str, ...]
+        self, name: str, directory: pathlib.Path, command: tuple[str, ...]
     ) -> None:
         self.name = name
-        self.store_link = Proxy()
-        self.store_faults = Layers(LinkState(), self.store_link.set_link_state)
-        self.peers_link = Proxy()
-        self.peers_faults = Layers(LinkState(), self.peers_link.set_link_state)
-        self.lives: list[Life] = []
-        self._folder = folder
+        self.store_proxy = Proxy()
+        self.store_link_faults = FaultStack(
+            LinkState(), self.store_proxy.set_link_state
+        )
+        self.peer_proxy = Proxy()
+        self.peer_link_faults = FaultStack(
+            LinkState(), self.peer_proxy.set_link_state
+        )
+        self.incarnations: list[Incarnation] = []
+        self._directory = directory
         self._command = command or _deployed_command()
         self._process: subprocess.Popen[bytes] | None = None
         self._log: IO[bytes] | None = None
-        self._address = next_address()
+        self._address = allocate_loopback_address()
         # Without TLS: to load certificates would hold up every caller.
-        self._balancer = httpx.AsyncClient(
-            trust_env=False, timeout=_BALANCER_TIMEOUT_S, verify=False
+        self._readiness_client = httpx.AsyncClient(
+            trust_env=False, timeout=_READINESS_TIMEOUT_S, verify=False
         )
 
     @property
@@ -107,17 +111,17 @@
         """Whether its process exists."""
         return self._process is not None and self._process.poll() is None
 
-    async def open_links(self, store_port: int) -> None:
+    async def start_proxies(self, store_port: int) -> None:
         """Starts its proxies."""
-        await self.store_link.start(store_port)
-        await self.peers_link.start(_PEERS_PORT, self._address)
+        await self.store_proxy.start(store_port)
+        await self.peer_proxy.start(_PEERS_PORT, self._address)
 
     async def close(self) -> None:
         """Ends process and proxies."""
         await self.kill()
-        await self._balancer.aclose()
-        await self.store_link.stop()
-        await self.peers_link.stop()
+        await self._readiness_client.aclose()
+        await self.store_proxy.stop()
+        await self.peer_proxy.stop()
         if self._log is not None:
             self._log.close()
 
@@ -128,14 +132,14 @@
             "host": self.name,
             "role": "entry",
             "failure_domain": "a",
-            "store": f"127.0.0.1:{self.store_link.port}",
+            "store": f"127.0.0.1:{self.store_proxy.port}",
             "grace_s": GRACE_S,
             "callers": f"{address}:{_CALLERS_PORT}",
             "readiness": f"{address}:{_READINESS_PORT}",
             "peers": f"{address}:{_PEERS_PORT}",
-            "peers_advertised": f"127.0.0.1:{self.peers_link.port}",
+            "peers_advertised": f"127.0.0.1:{self.peer_proxy.port}",
             "metrics_port": _METRICS_PORT,
-            "seeds": [f"127.0.0.1:{s.peers_link.port}" for s in seeds],
+            "seeds": [f"127.0.0.1:{s.peer_proxy.port}" for s in seeds],
         }
         self._settings_path.write_text(json.dumps(settings, indent=2))
 
@@ -143,31 +147,33 @@
         """Starts a process, unless one is there."""
         if self.is_running:
             return
-        self._note_end()
+        self._record_exit()
         if self._log is None:
-            self._log = (self._folder / f"{self.name}.log").open("ab")
+            self._log = (self._directory / f"{self.name}.log").open("ab")
         self._process = subprocess.Popen(
             (*self._command, "run", "--settings", str(self._settings_path)),
             stdout=self._log,
             stderr=subprocess.STDOUT,
             env=os.environ | _deployed_environment(self._settings_path),
         )
-        self.lives.append(Life(len(self.lives) + 1, time.monotonic()))
+        self.incarnations.append(
+            Incarnation(len(self.incarnations) + 1, time.monotonic())
+        )
 
     async def wait_ready(self) -> None:
         """Waits until the balancer may send callers, or too long."""
-        ends_at = time.monotonic() + _START_LIMIT_S
+        deadline = time.monotonic() + _START_TIMEOUT_S
         while not await self.is_ready():
-            if time.monotonic() > ends_at:
-                self.lives[-1].is_late = True
+            if time.monotonic() > deadline:
+                self.incarnations[-1].start_timed_out = True
                 return
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def is_ready(self) -> bool:
         """Asks as the balancer does."""
         url = f"http://{self._address}:{_READINESS_PORT}{READINESS_PATH}"
         try:
-            answer = await self._balancer.get(url)
+            answer = await self._readiness_client.get(url)
         except httpx.TransportError:
             return False
         return answer.status_code == httpx.codes.OK
@@ -175,24 +181,27 @@
     async def kill(self) -> None:
         """Ends its process at once and waits for its end."""
         self.send(signal.SIGKILL)
-        await self.wait_ended()
+        await self.wait_exited()
 
     async def stop(self) -> None:
         """Tells it to stop; kills it at the end of its grace."""
         if not self.is_running:
             return
-        life = self.lives[-1]
-        life.stop_at = time.monotonic()
+        incarnation = self.incarnations[-1]
+        incarnation.stop_requested_at = time.monotonic()
         self.send(signal.SIGTERM)
-        while self.is_running and time.monotonic() < life.stop_at + GRACE_S:
-            await asyncio.sleep(_POLL_S)
+        while (
+            self.is_running
+            and time.monotonic() < incarnation.stop_requested_at + GRACE_S
+        ):
+            await asyncio.sleep(_POLL_INTERVAL_S)
         await self.kill()
 
-    async def wait_ended(self) -> None:
+    async def wait_exited(self) -> None:
         """Waits for the end of its process and notes how it ended."""
         while self.is_running:
-            await asyncio.sleep(_POLL_S / 5)
-        self._note_end()
+            await asyncio.sleep(_POLL_INTERVAL_S / 5)
+        self._record_exit()
 
     def send(self, number: signal.Signals) -> None:
         """Sends a signal to its process, if there is one."""
@@ -201,20 +210,20 @@
 
     @property
     def _settings_path(self) -> pathlib.Path:
-        return self._folder / f"{self.name}.json"
+        return self._directory / f"{self.name}.json"
 
-    def _note_end(self) -> None:
-        if self._process is None or not self.lives:
+    def _record_exit(self) -> None:
+        if self._process is None or not self.incarnations:
             return
-        life = self.lives[-1]
-        if life.ended is None:
-            life.ended = time.monotonic()
-            life.exit_code = self._process.returncode
+        incarnation = self.incarnations[-1]
+        if incarnation.ended_at is None:
+            incarnation.ended_at = time.monotonic()
+            incarnation.exit_code = self._process.returncode
 
 
 def _deployed_command() -> tuple[str, ...]:
     """Returns how the deploy file starts an entry host."""
-    return (sys.executable, "-S", str(_DEPLOYED))
+    return (sys.executable, "-S", str(_START_SCRIPT))
 
 
 def _deployed_environment(settings_path: pathlib.Path) -> dict[str, str]:
--- a/tools/soak/src/masticdale_soak/proxies.py
+++ b/tools/soak/src/masticdale_soak/proxies.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose links can be made slow, silent or one-way."""
+"""A loopback TCP proxy that can delay, block or reset its connections."""
 
 import asyncio
 import dataclasses
@@ -7,12 +7,11 @@
 from masticdale_standins.raw_http import reset_connection
 
 _CHUNK_BYTES = 65_536
-# How often a held-back link looks whether it flows again, in seconds.
-_POLL_S = 0.02
+_POLL_INTERVAL_S = 0.02
 
 
 class LinkFault(enum.Enum):
-    """What a link does to the bytes that pass."""
+    """What a proxy does to the bytes that it forwards."""
 
     NONE = enum.auto()
     DELAY = enum.auto()
@@ -21,10 +20,12 @@
     RESPONSES_BLOCKED = enum.auto()
 
 
-# Directions in which nothing passes. Bytes are held back rather than dropped:
-# TCP sends them again, so a cut that heals delivers them late.
-_HELD_TO_SERVER = frozenset({LinkFault.PARTITION, LinkFault.REQUESTS_BLOCKED})
-_HELD_TO_CLIENT = frozenset({LinkFault.PARTITION, LinkFault.RESPONSES_BLOCKED})
+# Faults that block each direction. Bytes are delayed rather than dropped, since
+# TCP retransmits them after a real partition heals.
+_BLOCKS_REQUESTS = frozenset({LinkFault.PARTITION, LinkFault.REQUESTS_BLOCKED})
+_BLOCKS_RESPONSES = frozenset(
+    {LinkFault.PARTITION, LinkFault.RESPONSES_BLOCKED}
+)
 
 
 @dataclasses.dataclass(slots=True)
@@ -32,8 +33,8 @@
     """How a proxy treats its connections.
 
     Attributes:
-        fault: What is wrong.
-        delay_s: Extra time for each part of data where that is DELAY.
+        fault: Active fault.
+        delay_s: Delay of each chunk in seconds; only used by DELAY.
     """
 
     fault: LinkFault = LinkFault.NONE
@@ -41,11 +42,11 @@
 
 
 class Proxy:
-    """Passes connections of one loopback port on to another one.
+    """Forwards connections from a loopback port to another address.
 
     Attributes:
-        link: How it treats them; may be changed at any time.
-        port: Where it listens.
+        link_state: Treatment of all connections, open ones included.
+        port: Listening port; 0 before ``start``.
     """
 
     def __init__(self) -> None:
@@ -59,17 +60,17 @@
     async def start(
         self, target_port: int, target_address: str = "127.0.0.1"
     ) -> None:
-        """Begins to listen on a free port."""
+        """Starts to listen on a free port."""
         self._target = (target_address, target_port)
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def set_link_state(self, link: LinkState) -> None:
-        """Changes how it treats its connections, open ones too."""
+        """Changes the treatment of all connections, open ones included."""
         self.link_state = link
 
     async def stop(self) -> None:
-        """Stops and drops every connection."""
+        """Stops listening and resets every connection."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -78,7 +79,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def reset(self) -> None:
-        """Resets every open connection, on both sides."""
+        """Resets every open connection on both sides."""
         for writer in list(self._writers):
             reset_connection(writer)
 
@@ -89,36 +90,36 @@
         assert task is not None
         self._tasks.add(task)
         self._writers.add(writer)
-        other: asyncio.StreamWriter | None = None
+        upstream: asyncio.StreamWriter | None = None
         try:
-            while self.link_state.fault in _HELD_TO_SERVER:
-                await asyncio.sleep(_POLL_S)
-            answers, other = await asyncio.open_connection(*self._target)
-            self._writers.add(other)
+            while self.link_state.fault in _BLOCKS_REQUESTS:
+                await asyncio.sleep(_POLL_INTERVAL_S)
+            responses, upstream = await asyncio.open_connection(*self._target)
+            self._writers.add(upstream)
             await asyncio.gather(
-                self._pass(reader, other, _HELD_TO_SERVER),
-                self._pass(answers, writer, _HELD_TO_CLIENT),
+                self._forward(reader, upstream, _BLOCKS_REQUESTS),
+                self._forward(responses, writer, _BLOCKS_RESPONSES),
             )
         except (OSError, asyncio.CancelledError):
-            pass  # One side has gone or the proxy stops: both sides end.
+            pass  # One side closed or the proxy stops; reset both sides.
         finally:
             self._tasks.discard(task)
-            for each in (writer, other):
+            for each in (writer, upstream):
                 if each is not None:
                     self._writers.discard(each)
                     reset_connection(each)
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        held_faults: frozenset[LinkFault],
+        blocking_faults: frozenset[LinkFault],
     ) -> None:
         while data := await reader.read(_CHUNK_BYTES):
             if self.link_state.fault is LinkFault.DELAY:
                 await asyncio.sleep(self.link_state.delay_s)
-            while self.link_state.fault in held_faults:
-                await asyncio.sleep(_POLL_S)
+            while self.link_state.fault in blocking_faults:
+                await asyncio.sleep(_POLL_INTERVAL_S)
             writer.write(data)
             await writer.drain()
         if writer.can_write_eof():
--- a/tools/soak/src/masticdale_soak/runs.py
+++ b/tools/soak/src/masticdale_soak/runs.py
@@ -1,4 +1,4 @@
-"""Runs a plan from start to end and checks what was seen."""
+"""Runs a plan on real processes and checks the observations."""
 
 import asyncio
 import dataclasses
@@ -9,31 +9,31 @@
 
 import pydantic
 
-from masticdale_soak.checks import Evidence, Run, Violation, check
-from masticdale_soak.environment import World
-from masticdale_soak.faults import FaultDriver
-from masticdale_soak.load_generator import Attempt, Callers, Kind
+from masticdale_soak.checks import Observations, Run, Violation, check
+from masticdale_soak.environment import Environment
+from masticdale_soak.faults import FaultInjector
+from masticdale_soak.load_generator import Attempt, LoadGenerator, RequestKind
 from masticdale_soak.plans import Plan, make_plan
 
-# From the end of the last fault until everything has to be sound, in seconds:
-# entries, lists and shards are back some two seconds after the store's return,
-# and the longest circuit is open for four.
-_SETTLE_S = 6.0
+# Seconds from the end of the last fault until every host must serve again.
+# Entries, lists and shards recover about two seconds after the store; a circuit
+# breaker stays open for up to four.
+_RECOVERY_S = 6.0
 
 
 class Report(pydantic.BaseModel):
-    """What came of a run.
+    """The result of a run.
 
     Attributes:
         seed: Seed of the plan.
-        seconds: How long callers went on.
-        hosts: Entry hosts.
-        attempts: Requests sent.
-        served: Whole successes.
-        runs: What replicas began to run.
-        faults: Faults as they were carried out, with their seconds.
-        violations: Promises that were broken.
-        logs: Folder of the hosts' logs; empty where nothing was broken.
+        seconds: Duration of the load in seconds.
+        hosts: Number of entry hosts.
+        attempts: Number of requests sent.
+        served: Number of complete successful responses.
+        runs: Number of requests that replicas began to execute.
+        faults: Injected faults with start and end in seconds.
+        violations: Violated guarantees.
+        logs: Directory of the hosts' logs; empty without violations.
     """
 
     seed: int
@@ -48,11 +48,11 @@
 
     @property
     def is_clean(self) -> bool:
-        """Whether every promise was kept."""
+        """Whether no guarantee was violated."""
         return not self.violations
 
-    def line(self) -> str:
-        """Returns the run in one line."""
+    def summary(self) -> str:
+        """Returns a summary in one line."""
         broken = sorted({v["check"] for v in self.violations})
         return (
             f"seed {self.seed}: {self.attempts} requests, {self.served} served,"
@@ -62,94 +62,113 @@
 
 async def run_plan(
     plan: Plan,
-    folder: pathlib.Path | None = None,
+    directory: pathlib.Path | None = None,
     command: tuple[str, ...] = (),
-) -> tuple[Report, Evidence]:
+) -> tuple[Report, Observations]:
     """Runs a plan on real processes.
 
     Args:
-        plan: The faults.
-        folder: Where settings and logs of the hosts go; a new one if None.
-        command: Starts an entry host; the installed program if empty.
+        plan: Faults to inject.
+        directory: Directory for the settings and logs of the hosts; a
+            temporary one if None.
+        command: Command that starts an entry host; the installed program if
+            empty.
     """
-    place = folder or pathlib.Path(tempfile.mkdtemp(prefix="masticdale-soak-"))
-    world = World(plan, place, command)
-    callers = Callers(world, plan.seed)
-    driver = FaultDriver(world)
-    async with world.running():
-        began = time.monotonic()
-        await asyncio.gather(callers.run(plan.seconds), driver.run(plan))
-        await asyncio.sleep(_SETTLE_S)
-        last = await _ask_everything(world, callers)
-        evidence = _collect(world, callers, driver, last)
-    await callers.close()
-    violations = check(evidence)
-    report = _report(plan, evidence, violations, began)
+    log_directory = directory or pathlib.Path(
+        tempfile.mkdtemp(prefix="masticdale-soak-")
+    )
+    environment = Environment(plan, log_directory, command)
+    load_generator = LoadGenerator(environment, plan.seed)
+    injector = FaultInjector(environment)
+    async with environment.running():
+        started_at = time.monotonic()
+        await asyncio.gather(
+            load_generator.run(plan.seconds), injector.run(plan)
+        )
+        await asyncio.sleep(_RECOVERY_S)
+        probes = await _probe_hosts(environment, load_generator)
+        observations = _collect_observations(
+            environment, load_generator, injector, probes
+        )
+    await load_generator.close()
+    violations = check(observations)
+    report = _create_report(plan, observations, violations, started_at)
     if violations:
-        report.logs = str(place)
-    elif folder is None:
-        shutil.rmtree(place)
-    return report, evidence
+        report.logs = str(log_directory)
+    elif directory is None:
+        shutil.rmtree(log_directory)
+    return report, observations
 
 
 def run_seed(seed: int, seconds: float, hosts: int) -> Report:
-    """Runs the plan of a seed."""
+    """Runs the plan of a seed and returns its report."""
     report, _ = asyncio.run(run_plan(make_plan(seed, seconds, hosts)))
     return report
 
 
-async def _ask_everything(world: World, callers: Callers) -> list[Attempt]:
-    """Asks each host once for each kind of request."""
+async def _probe_hosts(
+    environment: Environment, load_generator: LoadGenerator
+) -> list[Attempt]:
+    """Sends one request of each kind to each host."""
     attempts = []
-    for host in world.hosts:
-        for kind in Kind:
-            attempt = await callers.send(
+    for host in environment.hosts:
+        for kind in RequestKind:
+            attempt = await load_generator.send(
                 host,
                 kind,
                 f"last-{host.name}-{kind.value}",
                 program_id=f"last-{host.name}",
-                version=world.version,
+                version=environment.version,
             )
             attempts.append(attempt)
     return attempts
 
 
-def _collect(
-    world: World, callers: Callers, driver: FaultDriver, last: list[Attempt]
-) -> Evidence:
+def _collect_observations(
+    environment: Environment,
+    load_generator: LoadGenerator,
+    injector: FaultInjector,
+    probes: list[Attempt],
+) -> Observations:
     runs = [
         Run(
             request.header_by_name.get("request-id", ""),
-            replica.stand_in.id,
+            replica.fake.id,
             request.arrived_at,
         )
-        for replica in world.replicas
-        for request in replica.stand_in.executed_requests
+        for replica in environment.replicas
+        for request in replica.fake.executed_requests
     ]
-    return Evidence(
-        attempts=callers.attempts,
+    return Observations(
+        attempts=load_generator.attempts,
         runs=runs,
-        lives_by_host={host.name: host.lives for host in world.hosts},
-        applied=driver.applied,
-        drains=world.drains,
-        last_attempts=last,
+        incarnations_by_host={
+            host.name: host.incarnations for host in environment.hosts
+        },
+        executed_steps=injector.executed_steps,
+        drains=environment.drains,
+        recovery_attempts=probes,
     )
 
 
-def _report(
-    plan: Plan, evidence: Evidence, violations: list[Violation], began: float
+def _create_report(
+    plan: Plan,
+    observations: Observations,
+    violations: list[Violation],
+    started_at: float,
 ) -> Report:
     faults = [
-        f"{a.began - began:.2f}-{a.ended - began:.2f} {a.fault.value} {a.place}"
-        for a in sorted(evidence.applied, key=lambda a: a.began)
+        f"{a.started_at - started_at:.2f}-{a.ended_at - started_at:.2f}"
+        f" {a.fault.value} {a.target_name}"
+        for a in sorted(observations.executed_steps, key=lambda a: a.started_at)
     ]
     return Report(
         seed=plan.seed,
         seconds=plan.seconds,
         hosts=plan.hosts,
-        attempts=len(evidence.attempts),
-        served=sum(a.is_served for a in evidence.attempts),
-        runs=len(evidence.runs),
+        attempts=len(observations.attempts),
+        served=sum(a.is_served for a in observations.attempts),
+        runs=len(observations.runs),
         faults=faults,
         violations=[dataclasses.asdict(v) for v in violations],
     )
--- a/tools/soak/tests/test_soak.py
+++ b/tools/soak/tests/test_soak.py
@@ -28,12 +28,14 @@
 # thirteen turns. On a busy machine some seven of them fit into six seconds.
 SECONDS_BY_BUILD = {"forget_budgets": 24.0}
 # Numbers of replicas: three engines, then three desks.
-DESKS = (3, 4, 5)
+UNARY_REPLICAS = (3, 4, 5)
 ENGINES = (0, 1, 2)
 
 
-def steps(fault, places=(0,), at_s=1.0, for_s=3.0):
-    return tuple(Step(at_s, for_s, fault, place) for place in places)
+def steps(fault, target_indexes=(0,), start_s=1.0, duration_s=3.0):
+    return tuple(
+        Step(start_s, duration_s, fault, index) for index in target_indexes
+    )
 
 
 # Check, how its promise is broken, faults that show it.
@@ -41,17 +43,17 @@
     (
         "at-most-once",
         "call_everything_not_run",
-        steps(Fault.REPLICA_RESETS, DESKS[:1]),
+        steps(Fault.REPLICA_RESETS, UNARY_REPLICAS[:1]),
     ),
     (
         "true-refusals",
         "call_everything_not_run",
-        steps(Fault.REPLICA_RESETS, DESKS),
+        steps(Fault.REPLICA_RESETS, UNARY_REPLICAS),
     ),
     (
         "whole-own-answers",
         "take_any_answer",
-        steps(Fault.REPLICA_CROSSES, DESKS),
+        steps(Fault.REPLICA_CROSSES, UNARY_REPLICAS),
     ),
     ("ordered-events", "repeat_events", steps(Fault.REPLICA_CUTS, ENGINES)),
     ("budgets", "forget_budgets", ()),
@@ -66,18 +68,26 @@
         "take_changes_late",
         steps(Fault.CONFIGURATION),
     ),
-    ("drained-replicas", "ignore_drains", steps(Fault.REPLICA_DRAINS, for_s=5)),
-    ("starts", "start_only_once", steps(Fault.KILL, for_s=0.2)),
+    (
+        "drained-replicas",
+        "ignore_drains",
+        steps(Fault.REPLICA_DRAINS, duration_s=5),
+    ),
+    ("starts", "start_only_once", steps(Fault.KILL, duration_s=0.2)),
     ("orderly-stops", "hang_at_stop", steps(Fault.STOP)),
     ("stops-break-nothing", "drop_callers_at_stop", steps(Fault.STOP_IN_TURN)),
     ("answers-in-time", "hold_answers", ()),
-    ("told-when-to-return", "tell_no_time", steps(Fault.REPLICA_FULL, DESKS)),
+    (
+        "told-when-to-return",
+        "tell_no_time",
+        steps(Fault.REPLICA_FULL, UNARY_REPLICAS),
+    ),
     (
         "recovery",
         "stop_following_after_a_failure",
         (
-            *steps(Fault.STORE_BUSY, for_s=1.0),
-            *steps(Fault.CONFIGURATION, at_s=4.0),
+            *steps(Fault.STORE_BUSY, duration_s=1.0),
+            *steps(Fault.CONFIGURATION, start_s=4.0),
         ),
     ),
 )
@@ -88,10 +98,10 @@
 
     async def play(name, faults):
         async with limit:
-            with tempfile.TemporaryDirectory() as folder:
+            with tempfile.TemporaryDirectory() as directory:
                 report, _ = await run_plan(
                     Plan(1, SECONDS_BY_BUILD.get(name, SECONDS), 2, faults),
-                    pathlib.Path(folder),
+                    pathlib.Path(directory),
                     (sys.executable, str(BROKEN_HOST), name),
                 )
                 return report
