--- a/tools/soak/src/masticdale_soak/__init__.py
+++ b/tools/soak/src/masticdale_soak/__init__.py
@@ -1,4 +1,4 @@
-"""A soak: randomized faults on real processes, promises checked throughout."""
+"""Soak tests: random faults on real processes, with checks of guarantees."""
 
 from masticdale_soak.checks import (
     CHECK_BY_NAME,
--- a/tools/soak/src/masticdale_soak/checks.py
+++ b/tools/soak/src/masticdale_soak/checks.py
@@ -1,4 +1,4 @@
-"""Promises, checked from what callers and replicas saw."""
+"""Checks of guarantees against the observations of a run."""
 
 import collections
 import dataclasses
@@ -18,35 +18,34 @@
 from masticdale_soak.plans import Fault, Target
 from masticdale_soak.processes import GRACE_S, Incarnation
 
-# Answers that say that the request has not run and will not.
+# Statuses that promise that the request was not executed and never will be.
 _NOT_RUN_STATUSES = frozenset({402, 408, 421, 429, 503})
-# A replica that leaves gets no new work after this long, in seconds: two as
-# promised, and half of one for this machine's load.
+# Seconds after which a draining replica gets no new requests: the guaranteed
+# 2 s and a tolerance for a busy machine.
 _DRAIN_LIMIT_S = 2.5
-# A change of the configuration is in force after this long, in seconds: two as
-# promised, and half of one for this machine's load.
+# Seconds after which a configuration change is in force: the guaranteed 2 s and
+# a tolerance for a busy machine.
 _CONFIGURATION_LIMIT_S = 2.5
 _FIRST_VERSION = 1
-# Promises with a time hold for hosts that were in order for this long, in
-# seconds, and while the store was.
+# Guarantees with a time limit apply only if host and store had no fault for
+# this many seconds before.
 _UNDISTURBED_S = 3.0
-# An answer may be this much later than its request's deadline, in seconds.
+# Tolerance of responses after the deadline, in seconds.
 _DEADLINE_SLACK_S = 2.0
-# What strikes a host that stops also breaks its connections, for this long
-# before and after, in seconds.
+# Faults within this many seconds of a request may have broken its connection.
 _FAULT_MARGIN_S = 1.0
-# After this the processes of a stop are surely gone, in seconds.
+# Seconds after a stop request by which the process must have exited.
 _EXIT_LIMIT_S = GRACE_S + 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """A request that a replica began to run.
+    """A request that a replica began to execute.
 
     Attributes:
         request_id: The request.
         replica_id: The replica.
-        at: Monotonic seconds.
+        started_at: Monotonic time when the request had arrived.
     """
 
     request_id: str
@@ -56,15 +55,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observations:
-    """What was seen in a run.
+    """Everything observed in a run.
 
     Attributes:
-        attempts: Requests of callers.
-        runs: What replicas began to run.
-        lives_by_host: The processes of each host.
-        applied: Faults, stops and changes as they were carried out.
-        drains: Replicas that were to get no new work.
-        last_attempts: Requests sent once everything was sound again.
+        attempts: All requests sent.
+        runs: Requests that replicas began to execute.
+        incarnations_by_host: Processes of each host, by its name.
+        executed_steps: Injected faults, restarts and configuration changes.
+        drains: Periods in which replicas were draining.
+        recovery_attempts: Requests sent after the recovery from all faults.
     """
 
     attempts: list[Attempt]
@@ -77,7 +76,7 @@
     def steps_between(
         self, started_at: float, ended_at: float, prefixes: tuple[str, ...]
     ) -> list[ExecutedStep]:
-        """Returns the faults of some kinds that touch a time."""
+        """Returns the steps that overlap a period, by prefixes of the fault."""
         return [
             a
             for a in self.executed_steps
@@ -89,10 +88,10 @@
     def is_undisturbed(
         self, host: str, started_at: float, ended_at: float
     ) -> bool:
-        """Whether a host and the store were in order all the while.
+        """Whether a host and the store had no fault in a period.
 
-        What strikes other hosts doesn't count: whoever depends on them has to
-        notice, and to find another way.
+        Faults of other hosts don't count, since a host must tolerate the
+        failure of its peers.
         """
         targets = {host, Target.ALL_HOSTS.value, Target.STORE.value}
         return not any(
@@ -103,7 +102,7 @@
         )
 
     def runs_by_request(self) -> dict[str, list[Run]]:
-        """Returns the runs of each request."""
+        """Returns the runs by request id."""
         found: dict[str, list[Run]] = collections.defaultdict(list)
         for run in self.runs:
             found[run.request_id].append(run)
@@ -112,12 +111,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that was broken.
+    """A violated guarantee.
 
     Attributes:
         check: Name of the check.
         subject: Request, program, host or replica.
-        detail: What was seen.
+        detail: Observed values.
     """
 
     check: str
@@ -129,7 +128,7 @@
 
 
 def _at_most_once(observations: Observations) -> Findings:
-    """What must not run twice ran at one replica at most."""
+    """Non-idempotent requests run at most once."""
     runs = observations.runs_by_request()
     for attempt in observations.attempts:
         count = len(runs.get(attempt.request_id, ()))
@@ -138,7 +137,7 @@
 
 
 def _true_refusals(observations: Observations) -> Findings:
-    """A request that was refused has not run, neither before nor after."""
+    """A request with a not-run status is never executed."""
     runs = observations.runs_by_request()
     for attempt in observations.attempts:
         if attempt.status not in _NOT_RUN_STATUSES:
@@ -148,7 +147,7 @@
 
 
 def _whole_own_answers(observations: Observations) -> Findings:
-    """A whole success is the replica's whole answer to this request."""
+    """A successful response is complete and belongs to its request."""
     for attempt in observations.attempts:
         if not attempt.is_served:
             continue
@@ -163,7 +162,7 @@
 
 
 def _ordered_events(observations: Observations) -> Findings:
-    """Events come in order, none missing, none twice, also in a cut stream."""
+    """Events arrive in order without gaps or duplicates, also if cut off."""
     for attempt in observations.attempts:
         if (
             attempt.kind is not RequestKind.TURN
@@ -176,7 +175,7 @@
 
 
 def _budgets(observations: Observations) -> Findings:
-    """No program gets more than its budget and one turn, over all hosts."""
+    """No program gets more than its budget plus one turn over all hosts."""
     tokens_by_program: collections.Counter[str] = collections.Counter()
     for attempt in observations.attempts:
         if (
@@ -191,9 +190,10 @@
 
 
 def _early_spent(observations: Observations) -> Findings:
-    """No program is told that its budget is spent with half of it unused.
+    """No program gets 402 with more than half of its budget unused.
 
-    Turns that broke off may count at their most: nobody knows what they used.
+    Turns that were not served may count as their maximum, since their usage is
+    unknown.
     """
     attempts_by_program: dict[str, list[Attempt]] = {}
     for attempt in observations.attempts:
@@ -215,7 +215,7 @@
 
 
 def _configuration_order(observations: Observations) -> Findings:
-    """A process never goes back to an earlier configuration."""
+    """A process never reverts to an earlier configuration."""
     newest: dict[tuple[str, int], Attempt] = {}
     served = (
         a
@@ -238,7 +238,7 @@
 
 
 def _configuration_in_time(observations: Observations) -> Findings:
-    """A host has a change of the configuration two seconds after it."""
+    """A host applies a configuration change within two seconds."""
     changes = [
         a for a in observations.executed_steps if a.fault is Fault.CONFIGURATION
     ]
@@ -247,7 +247,7 @@
         is_unknown = attempt.status == httpx.codes.NOT_FOUND
         if attempt.kind is not RequestKind.VERSION or not is_unknown:
             continue
-        # The first version is there from the start.
+        # The first version is written before the hosts start.
         number = attempt.version - _FIRST_VERSION
         if number <= 0:
             continue
@@ -271,7 +271,7 @@
 
 
 def _drained_replicas(observations: Observations) -> Findings:
-    """A replica that leaves gets no new work two seconds later."""
+    """A draining replica gets no new requests after two seconds."""
     host_by_request = {a.request_id: a.host for a in observations.attempts}
     for drain in observations.drains:
         limit_at = drain.started_at + _DRAIN_LIMIT_S
@@ -287,7 +287,7 @@
 
 
 def _orderly_stops(observations: Observations) -> Findings:
-    """A process that is told to stop ends by itself, in time."""
+    """A process exits with code 0 within the grace period after SIGTERM."""
     for host, incarnations in observations.incarnations_by_host.items():
         for incarnation in incarnations:
             if incarnation.stop_requested_at is None:
@@ -309,7 +309,7 @@
 
 
 def _starts(observations: Observations) -> Findings:
-    """A process that is started gets ready, whatever happens meanwhile."""
+    """A started process becomes ready in time, whatever the faults."""
     for host, incarnations in observations.incarnations_by_host.items():
         for incarnation in incarnations:
             if incarnation.start_timed_out:
@@ -321,7 +321,7 @@
 
 
 def _stops_break_nothing(observations: Observations) -> Findings:
-    """A stop breaks no request off that a replica runs."""
+    """A stop aborts no request that a replica executes."""
     runs = observations.runs_by_request()
     for attempt in observations.attempts:
         incarnation = observations.incarnations_by_host[attempt.host][
@@ -352,7 +352,7 @@
 
 
 def _answers_in_time(observations: Observations) -> Findings:
-    """Each request is answered by its deadline, if its host runs."""
+    """Each request is answered by its deadline unless its host is paused."""
     for attempt in observations.attempts:
         took_s = attempt.ended_at - attempt.started_at
         if took_s <= DEADLINE_S + _DEADLINE_SLACK_S:
@@ -365,7 +365,7 @@
 
 
 def _told_when_to_return(observations: Observations) -> Findings:
-    """A refusal of what was not run says when to come back."""
+    """Each 503 response has a Retry-After header."""
     for attempt in observations.attempts:
         is_refused = attempt.status == httpx.codes.SERVICE_UNAVAILABLE
         if is_refused and not attempt.retry_after_s:
@@ -373,7 +373,7 @@
 
 
 def _recovery(observations: Observations) -> Findings:
-    """Once all is sound, every host serves every kind of request."""
+    """After the recovery every host serves every kind of request."""
     for attempt in observations.recovery_attempts:
         if not attempt.is_served:
             yield (
@@ -402,7 +402,7 @@
 
 
 def check(observations: Observations) -> list[Violation]:
-    """Returns every promise that was broken."""
+    """Returns all violations."""
     return [
         Violation(name, subject, detail)
         for name, find in CHECK_BY_NAME.items()
--- a/tools/soak/src/masticdale_soak/faults.py
+++ b/tools/soak/src/masticdale_soak/faults.py
@@ -1,4 +1,4 @@
-"""Carries out a plan's steps on a running world."""
+"""Injects the faults of a plan into a running environment."""
 
 import asyncio
 import dataclasses
@@ -14,12 +14,11 @@
 from masticdale_standins.objects import StoreFault
 from masticdale_standins.replicas import ReplicaFault
 
-# Extra time on a slow link, and for each answer of a slow store, in seconds:
-# fifty times the usual round trip of a few milliseconds.
+# Delay of each chunk on a slow link and of each response of a slow store, in
+# seconds. A usual round trip takes a few milliseconds.
 _ADDED_DELAY_S = 0.25
 _RESPONSES_TO_LOSE = 5
-# The store keeps the entry of a replica that has crashed for this long, in
-# seconds.
+# Seconds for which the store keeps the entry of a crashed replica.
 _ENTRY_TTL_S = 1.5
 
 _STORE_FAULTS = {
@@ -48,13 +47,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExecutedStep:
-    """A step as it was carried out.
+    """A fault that was injected.
 
     Attributes:
-        fault: What happened.
-        place: Name of the host, replica, or what else it struck.
-        began: Monotonic seconds.
-        ended: Monotonic seconds when everything was sound again.
+        fault: Kind of the fault.
+        target_name: Host name, replica id, or value of the target.
+        started_at: Monotonic time of the start.
+        ended_at: Monotonic time when the fault was lifted.
     """
 
     fault: Fault
@@ -64,10 +63,10 @@
 
 
 class FaultInjector:
-    """Carries out the steps, each at its time.
+    """Executes the steps of a plan on schedule.
 
     Attributes:
-        applied: What was done so far.
+        executed_steps: Steps executed so far.
     """
 
     def __init__(self, environment: Environment) -> None:
@@ -76,7 +75,7 @@
         self._processes_in_use: set[str] = set()
 
     async def run(self, plan: Plan) -> None:
-        """Carries out a plan; returns once everything is sound again."""
+        """Executes a plan; returns once every fault is lifted."""
         started_at = time.monotonic()
         async with asyncio.TaskGroup() as group:
             for step in plan.steps:
@@ -94,7 +93,7 @@
         )
 
     def _resolve(self, step: Step) -> tuple[str, Awaitable[None]]:
-        """Returns the place that a step strikes, and how."""
+        """Returns the name of a step's target and the injection to await."""
         target = target_of(step.fault)
         if target is Target.HOST:
             host = self._environment.hosts[
@@ -126,14 +125,14 @@
             faults = (
                 host.store_link_faults if is_store else host.peer_link_faults
             )
-            link = LinkState(_LINK_FAULTS[fault], _ADDED_DELAY_S)
-            await _apply_for(faults, link, step.duration_s)
+            state = LinkState(_LINK_FAULTS[fault], _ADDED_DELAY_S)
+            await _apply_for(faults, state, step.duration_s)
 
     async def _inject_process_fault(
         self, step: Step, host: HostProcess
     ) -> None:
-        # Two hands on one process would each wait for an end that the other
-        # one has seen, and start it twice.
+        # Two concurrent faults on one process would both wait for its exit and
+        # then start it twice.
         if host.name in self._processes_in_use:
             return
         self._processes_in_use.add(host.name)
@@ -198,8 +197,8 @@
             self._environment.drains.append(drain)
             replica.write_entry("ready")
         elif step.fault is Fault.REPLICA_LINK_SLOW:
-            link = LinkState(LinkFault.DELAY, _ADDED_DELAY_S)
-            await _apply_for(replica.link_faults, link, step.duration_s)
+            state = LinkState(LinkFault.DELAY, _ADDED_DELAY_S)
+            await _apply_for(replica.link_faults, state, step.duration_s)
         else:
             fault = _REPLICA_FAULTS[step.fault]
             await _apply_for(replica.faults, fault, step.duration_s)
@@ -209,10 +208,10 @@
 
 
 async def _apply_for(
-    layers: FaultStack[ValueT], value: ValueT, duration_s: float
+    stack: FaultStack[ValueT], value: ValueT, duration_s: float
 ) -> None:
-    layers.begin(value)
+    stack.begin(value)
     try:
         await asyncio.sleep(duration_s)
     finally:
-        layers.end(value)
+        stack.end(value)
--- a/tools/soak/src/masticdale_soak/load_generator.py
+++ b/tools/soak/src/masticdale_soak/load_generator.py
@@ -1,4 +1,4 @@
-"""Callers: programs of turns, orders and lookups, over kept connections."""
+"""Generates load: turns of programs, orders and lookups over keep-alive."""
 
 import asyncio
 import dataclasses
@@ -19,16 +19,15 @@
 from masticdale_soak.processes import HostProcess
 
 BUDGET_TOKENS = 400
-# The most that one turn may use, as its headers say, in tokens.
+# Maximum tokens of a turn, as sent in its headers.
 TURN_TOKENS = 100
-# What callers give a request, in seconds.
+# Deadline of each request, in seconds.
 DEADLINE_S = 2.5
-# Callers wait longer than that for an answer that is overdue, in seconds.
+# Exceeds the deadline, so that late responses are observed.
 _CLIENT_TIMEOUT_S = 8.0
-# The balancer asks each host this often, in seconds.
 _READINESS_INTERVAL_S = 0.5
-# Share of requests for which a caller stays with the host of its last one,
-# as long as its connection there holds: also while that host stops.
+# Probability that a request goes to the host of the previous one, even while
+# that host stops.
 _STICKY_PROBABILITY = 0.7
 _PROGRAM_WORKERS = 6
 _ORDER_WORKERS = 3
@@ -36,16 +35,16 @@
 _PAUSE_S = 0.05
 _MAX_ATTEMPTS = 4
 _MAX_TURNS = 24
-# Every third program goes on until it is told that its budget is spent.
+# Every third program sends turns until its budget is exceeded.
 _LONG_PROGRAM_INTERVAL = 3
 _SHORT_PROGRAM_TURNS = 3
 _MAX_RETRY_WAIT_S = 2.0
-# Programs of each caller, so that names don't collide.
+# Maximum number of programs of a worker; keeps program ids unique.
 _NAMES_PER_WORKER = 1000
 
 
 class RequestKind(enum.StrEnum):
-    """What a caller asks for."""
+    """Kind of a request."""
 
     TURN = "turn"
     ORDER = "order"
@@ -55,22 +54,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One request, and what its caller saw.
+    """One request and its response.
 
     Attributes:
-        request_id: No other request has it.
-        kind: What was asked for.
-        host: Name of the host that was asked.
-        life: Number of that host's process when it was sent.
-        program_id: The program of a turn.
-        version: The configuration that a version's route belongs to.
-        began: Monotonic seconds when it was sent.
-        ended: When its answer was complete or broke off.
-        status: Of the answer; None where none came.
-        seal: The replica's signature, where the answer bears one.
-        body: Of the answer, as far as it came.
-        error: Why it broke off; empty for a whole answer.
-        retry_after_s: When to come back, where that was said.
+        request_id: Unique id of the request.
+        kind: Kind of the request.
+        host: Name of the host that it was sent to.
+        incarnation: Number of that host's process at the time of sending.
+        program_id: Program of a turn; empty for other kinds.
+        version: Configuration version of a VERSION request.
+        started_at: Monotonic time of sending.
+        ended_at: Monotonic time when the response was complete or failed.
+        status: Status of the response; None without a response.
+        seal: Signature of the replica; empty without one.
+        body: Body of the response as far as received.
+        error: Reason of a failure; empty for a complete response.
+        retry_after_s: Value of Retry-After in seconds; None without one.
     """
 
     request_id: str
@@ -89,21 +88,21 @@
 
     @property
     def is_served(self) -> bool:
-        """Whether a whole success came."""
+        """Whether a complete successful response was received."""
         return self.status == httpx.codes.OK and not self.error
 
     def event_ids(self) -> list[int]:
-        """Returns the ids of the whole events of a stream."""
+        """Returns the ids of the complete events in a stream."""
         events = self.body.decode().split("\n\n")[:-1]
         heads = (event.partition("\n")[0] for event in events)
         return [int(head.removeprefix("id: ")) for head in heads]
 
 
 class LoadGenerator:
-    """All callers of a run.
+    """Sends the requests of a run.
 
     Attributes:
-        attempts: Every request so far.
+        attempts: All requests sent so far.
     """
 
     def __init__(self, environment: Environment, seed: int) -> None:
@@ -124,7 +123,7 @@
         self._deadline = 0.0
 
     async def run(self, seconds: float) -> None:
-        """Sends requests for some time, and lets the last ones end."""
+        """Sends requests for a period and waits for the last responses."""
         self._deadline = time.monotonic() + seconds
         readiness_task = asyncio.create_task(self._poll_readiness())
         try:
@@ -147,7 +146,7 @@
             readiness_task.cancel()
 
     async def close(self) -> None:
-        """Closes every connection."""
+        """Closes all connections."""
         for http in self._http_by_host.values():
             await http.aclose()
 
@@ -159,7 +158,7 @@
         program_id: str = "",
         version: int = 0,
     ) -> Attempt:
-        """Sends a request to a host and waits for the end of its answer."""
+        """Sends a request to a host and waits for its complete response."""
         attempt = Attempt(
             request_id,
             kind,
@@ -238,9 +237,10 @@
         host: HostProcess | None,
         program_id: str = "",
     ) -> Attempt:
-        """Sends again what was refused, each time under another id.
+        """Retries refused requests, each time with a new request id.
 
-        What must not run twice is not sent again after an unknown outcome.
+        A request is not retried without Retry-After in the response, since it
+        may have been executed.
         """
         for number in range(_MAX_ATTEMPTS):
             if host is None or self._random.random() > _STICKY_PROBABILITY:
@@ -257,7 +257,7 @@
         return last
 
     async def _poll_versions(self, host: HostProcess) -> None:
-        """Asks a host by turns which version of the configuration it has."""
+        """Requests the routes of the last two configuration versions."""
         count = 0
         while self._is_running:
             count += 1
--- a/tools/soak/src/masticdale_soak/main.py
+++ b/tools/soak/src/masticdale_soak/main.py
@@ -1,4 +1,4 @@
-"""Command ``mastic-soak``: randomized faults on real processes."""
+"""Command ``mastic-soak``: soak tests with random faults."""
 
 import concurrent.futures
 import pathlib
@@ -23,13 +23,13 @@
     hosts: int = _HOSTS,
     output: str = "",
 ) -> None:
-    """Plays the plan of one seed.
+    """Runs the plan of one seed.
 
     Args:
-        seed: The seed.
-        seconds: How long callers go on.
-        hosts: Entry hosts.
-        output: Where the JSON report goes; nowhere if empty.
+        seed: Seed of the plan.
+        seconds: Duration of the load in seconds.
+        hosts: Number of entry hosts.
+        output: File for the JSON report; none if empty.
     """
     report = run_seed(seed, seconds, hosts)
     print(report.summary())
@@ -45,16 +45,16 @@
     jobs: int = _JOBS,
     output: str = "",
 ) -> None:
-    """Plays seed after seed, several at once.
+    """Runs consecutive seeds in parallel.
 
     Args:
-        minutes: No seed is begun after this.
-        seeds: How many seeds; until the time is over if 0.
-        first: The first seed, the others follow it; fresh ones if 0.
-        seconds: How long callers go on in each.
-        hosts: Entry hosts of each.
-        jobs: How many runs at once.
-        output: Where the JSON reports go, a line each; nowhere if empty.
+        minutes: Time limit for starting new runs, if seeds is 0.
+        seeds: Number of seeds; 0 to run until the time limit.
+        first: First seed; a random one if 0.
+        seconds: Duration of the load of each run in seconds.
+        hosts: Number of entry hosts of each run.
+        jobs: Number of parallel runs.
+        output: File for the JSON reports, one per line; none if empty.
     """
     begin = first or random.SystemRandom().randrange(1, 1_000_000)
     deadline = time.monotonic() + 60 * minutes
@@ -78,10 +78,10 @@
 
 
 def replay(report: str) -> None:
-    """Plays the seeds of a file of reports again, those that were broken.
+    """Reruns the seeds with violations from a report file.
 
     Args:
-        report: Path of what ``run`` or ``hunt`` wrote.
+        report: Path of a file written by ``run`` or ``hunt``.
     """
     lines = pathlib.Path(report).read_text().splitlines()
     old = [Report.model_validate_json(line) for line in lines]
@@ -92,12 +92,12 @@
 def plan(
     seed: int, seconds: float = _SECONDS, hosts: int = _HOSTS
 ) -> list[str]:
-    """Shows the plan of a seed and plays nothing.
+    """Prints the plan of a seed without running it.
 
     Args:
-        seed: The seed.
-        seconds: How long callers would go on.
-        hosts: Entry hosts.
+        seed: Seed of the plan.
+        seconds: Duration of the load in seconds.
+        hosts: Number of entry hosts.
     """
     steps = make_plan(seed, seconds, hosts).steps
     return [
--- a/tools/soak/src/masticdale_soak/processes.py
+++ b/tools/soak/src/masticdale_soak/processes.py
@@ -1,4 +1,4 @@
-"""Entry hosts as processes of their own, with proxies on their links."""
+"""Runs entry hosts as separate processes behind proxies."""
 
 import asyncio
 import dataclasses
@@ -19,9 +19,8 @@
 from masticdale_soak.fault_stack import FaultStack
 from masticdale_soak.proxies import LinkState, Proxy
 
-# What the platform grants a process between SIGTERM and SIGKILL, in seconds.
+# Seconds between SIGTERM and SIGKILL on the platform.
 GRACE_S = 6.0
-# A start takes one to two seconds on a busy machine.
 _START_TIMEOUT_S = 20.0
 _POLL_INTERVAL_S = 0.05
 _READINESS_TIMEOUT_S = 1.0
@@ -31,14 +30,14 @@
 _METRICS_PORT = 8004
 _START_SCRIPT = pathlib.Path(__file__).parents[4] / "deploy" / "start.py"
 
-# Hosts of this process so far. Each has an address of its own, so that its
-# ports can't be taken by another run, or by a proxy, while it is down.
+# Each host gets its own loopback address, so that no other run or proxy takes
+# its ports while it is down.
 _HOST_NUMBERS = itertools.count(1)
 _MAX_HOSTS = 250
 
 
 def allocate_loopback_address() -> str:
-    """Returns a loopback address that nothing else in use here has."""
+    """Returns a loopback address that is unused on this machine."""
     number = next(_HOST_NUMBERS) % _MAX_HOSTS + 1
     process = os.getpid()
     second = process // _MAX_HOSTS % _MAX_HOSTS + 1
@@ -47,15 +46,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Incarnation:
-    """One process from its start to its end.
+    """One process of a host, from start to exit.
 
     Attributes:
-        number: Starts of this host so far.
-        began: Monotonic seconds of its start.
-        stop_at: When it was told to stop, if it was.
-        ended: When its end was seen.
-        exit_code: How it ended; negative for a signal.
-        is_late: Whether it was not ready in time after its start.
+        number: Sequence number of the process, from 1.
+        started_at: Monotonic time of the start.
+        stop_requested_at: Monotonic time of SIGTERM; None if none was sent.
+        ended_at: Monotonic time when the exit was observed; None before.
+        exit_code: Exit code; negative for a signal.
+        start_timed_out: Whether it was not ready in time after its start.
     """
 
     number: int
@@ -67,15 +66,15 @@
 
 
 class HostProcess:
-    """An entry host: its links, its settings, its processes.
+    """An entry host with its proxies, settings and processes.
 
     Attributes:
-        name: Its name.
-        store_link: Its way to the platform's store.
-        store_link_faults: What that link does wrong.
-        peers_link: The way of the other hosts to it.
-        peers_faults: What that one does wrong.
-        lives: All of its processes.
+        name: Name of the host.
+        store_proxy: Proxy from the host to the platform's store.
+        store_link_faults: Faults of that proxy.
+        peer_proxy: Proxy from the other hosts to this one.
+        peer_link_faults: Faults of that proxy.
+        incarnations: All processes of the host so far.
     """
 
     def __init__(
@@ -96,28 +95,29 @@
         self._process: subprocess.Popen[bytes] | None = None
         self._log: IO[bytes] | None = None
         self._address = allocate_loopback_address()
-        # Without TLS: to load certificates would hold up every caller.
+        # Without verification, since loading certificates blocks the event loop
+        # and delays all requests.
         self._readiness_client = httpx.AsyncClient(
             trust_env=False, timeout=_READINESS_TIMEOUT_S, verify=False
         )
 
     @property
     def url(self) -> str:
-        """Where callers connect."""
+        """Base URL for callers."""
         return f"http://{self._address}:{_CALLERS_PORT}"
 
     @property
     def is_running(self) -> bool:
-        """Whether its process exists."""
+        """Whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     async def start_proxies(self, store_port: int) -> None:
-        """Starts its proxies."""
+        """Starts the proxies."""
         await self.store_proxy.start(store_port)
         await self.peer_proxy.start(_PEERS_PORT, self._address)
 
     async def close(self) -> None:
-        """Ends process and proxies."""
+        """Kills the process and stops the proxies."""
         await self.kill()
         await self._readiness_client.aclose()
         await self.store_proxy.stop()
@@ -126,7 +126,7 @@
             self._log.close()
 
     def write_settings(self, seeds: list["HostProcess"]) -> None:
-        """Writes its settings file."""
+        """Writes the settings file."""
         address = self._address
         settings = {
             "host": self.name,
@@ -144,7 +144,7 @@
         self._settings_path.write_text(json.dumps(settings, indent=2))
 
     def start(self) -> None:
-        """Starts a process, unless one is there."""
+        """Starts a process unless one is running."""
         if self.is_running:
             return
         self._record_exit()
@@ -161,7 +161,7 @@
         )
 
     async def wait_ready(self) -> None:
-        """Waits until the balancer may send callers, or too long."""
+        """Waits until the host is ready or the start timeout expires."""
         deadline = time.monotonic() + _START_TIMEOUT_S
         while not await self.is_ready():
             if time.monotonic() > deadline:
@@ -170,7 +170,7 @@
             await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def is_ready(self) -> bool:
-        """Asks as the balancer does."""
+        """Probes readiness as the load balancer does."""
         url = f"http://{self._address}:{_READINESS_PORT}{READINESS_PATH}"
         try:
             answer = await self._readiness_client.get(url)
@@ -179,12 +179,12 @@
         return answer.status_code == httpx.codes.OK
 
     async def kill(self) -> None:
-        """Ends its process at once and waits for its end."""
+        """Kills the process and waits for its exit."""
         self.send(signal.SIGKILL)
         await self.wait_exited()
 
     async def stop(self) -> None:
-        """Tells it to stop; kills it at the end of its grace."""
+        """Sends SIGTERM, and SIGKILL after the grace period."""
         if not self.is_running:
             return
         incarnation = self.incarnations[-1]
@@ -198,13 +198,13 @@
         await self.kill()
 
     async def wait_exited(self) -> None:
-        """Waits for the end of its process and notes how it ended."""
+        """Waits for the process to exit and records its exit code."""
         while self.is_running:
             await asyncio.sleep(_POLL_INTERVAL_S / 5)
         self._record_exit()
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal to its process, if there is one."""
+        """Sends a signal to the process if one is running."""
         if self._process is not None and self.is_running:
             self._process.send_signal(number)
 
@@ -222,7 +222,7 @@
 
 
 def _deployed_command() -> tuple[str, ...]:
-    """Returns how the deploy file starts an entry host."""
+    """Returns the command with which deploy/ starts an entry host."""
     return (sys.executable, "-S", str(_START_SCRIPT))
 
 
