--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -1,4 +1,4 @@
-"""An entry host with one promise broken on purpose, to try the checks on.
+"""Runs an entry host with one guarantee broken on purpose.
 
 Usage: broken_host.py NAME run --settings PATH
 """
@@ -24,70 +24,70 @@
 from masticdale_routing.fleet import Fleet
 
 
-def call_everything_not_run():
-    def failure(self, call, state, ran, reason, retry_after_s=None):
+def report_all_failures_as_not_run():
+    def create_failure(self, call, state, ran, reason, retry_after_s=None):
         del self, call, ran
         return SendFailure(state.replica.id, Ran.NO, reason, retry_after_s)
 
-    Sender._failure = failure
+    Sender._failure = create_failure
 
 
-def take_any_answer():
+def accept_any_response():
     PlatformHeaderCodec.answers_request = lambda self, head, request_id: True
-    read = PlatformHeaderCodec.parse_response
+    original = PlatformHeaderCodec.parse_response
 
     def parse_response(self, head):
-        return dataclasses.replace(read(self, head), is_genuine=True)
+        return dataclasses.replace(original(self, head), is_genuine=True)
 
     PlatformHeaderCodec.parse_response = parse_response
 
 
-def repeat_events():
+def resend_events():
     _Stream._is_new = lambda self, event: True
 
 
-def forget_budgets():
+def skip_budget_checks():
     async def admit(self, claim, deadline_at):
         return Success(None)
 
     LedgerClient.admit = admit
 
 
-def spend_budgets_early():
-    judge = Account.evaluate
+def exceed_budgets_early():
+    evaluate = Account.evaluate
 
-    def early(self, claim):
+    def evaluate_early(self, claim):
         if self.spent_tokens:
             return BudgetExceeded(self.spent_tokens, 0, True)
-        return judge(self, claim)
+        return evaluate(self, claim)
 
-    Account.evaluate = early
+    Account.evaluate = evaluate_early
 
 
-def go_back_to_old_configurations():
-    take = ActiveConfiguration._apply_value
-    old = []
+def revert_configuration():
+    apply_value = ActiveConfiguration._apply_value
+    applied = []
 
-    def remember(self, value, revision):
-        take(self, value, revision)
-        old.append(self._current)
+    def apply_and_revert(self, value, revision):
+        apply_value(self, value, revision)
+        applied.append(self._current)
         loop = asyncio.get_running_loop()
-        loop.call_later(1.0, setattr, self, "_current", old[0])
+        loop.call_later(1.0, setattr, self, "_current", applied[0])
 
-    ActiveConfiguration._apply_value = remember
+    ActiveConfiguration._apply_value = apply_and_revert
 
 
-def take_changes_late():
-    take = ActiveConfiguration._apply_value
+def apply_changes_late():
+    apply_value = ActiveConfiguration._apply_value
 
-    def later(self, value, revision):
+    def apply_late(self, value, revision):
         if self.current is None:
-            take(self, value, revision)
+            apply_value(self, value, revision)
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(4.0, take, self, value, revision)
+        loop.call_later(4.0, apply_value, self, value, revision)
 
-    ActiveConfiguration._apply_value = later
+    ActiveConfiguration._apply_value = apply_late
 
 
 def ignore_drains():
@@ -101,14 +101,14 @@
     Fleet.usable = all_replicas
 
 
-def hang_at_stop():
+def hang_on_stop():
     async def stop(self):
         await asyncio.sleep(60)
 
     EntryHost._stop = stop
 
 
-def drop_callers_at_stop():
+def abort_requests_on_stop():
     async def stop(self):
         await self._keeper.hand_over_all()
         await self.abort()
@@ -116,23 +116,23 @@
     EntryHost._stop = stop
 
 
-def hold_answers():
-    serve = Relay._run
+def delay_responses():
+    run = Relay._run
 
-    async def late(self, call, reply):
-        outcome = await serve(self, call, reply)
+    async def run_late(self, call, writer):
+        outcome = await run(self, call, writer)
         if not call.is_stream:
             await asyncio.sleep(5.0)
         return outcome
 
-    Relay._run = late
+    Relay._run = run_late
 
 
-def tell_no_time():
+def omit_retry_after():
     Failure.come_back_ms = property(lambda self: None)
 
 
-def stop_following_after_a_failure():
+def stop_watching_after_failure():
     step = Watcher._step
 
     async def run(self):
@@ -148,27 +148,27 @@
         sys.exit(1)
 
 
-BREAK_BY_NAME = {
+PATCH_BY_NAME = {
     each.__name__: each
     for each in (
-        call_everything_not_run,
-        take_any_answer,
-        repeat_events,
-        forget_budgets,
-        spend_budgets_early,
-        go_back_to_old_configurations,
-        take_changes_late,
+        report_all_failures_as_not_run,
+        accept_any_response,
+        resend_events,
+        skip_budget_checks,
+        exceed_budgets_early,
+        revert_configuration,
+        apply_changes_late,
         ignore_drains,
-        hang_at_stop,
-        drop_callers_at_stop,
-        hold_answers,
-        tell_no_time,
-        stop_following_after_a_failure,
+        hang_on_stop,
+        abort_requests_on_stop,
+        delay_responses,
+        omit_retry_after,
+        stop_watching_after_failure,
         start_only_once,
     )
 }
 
 
 if __name__ == "__main__":
-    BREAK_BY_NAME[sys.argv.pop(1)]()
+    PATCH_BY_NAME[sys.argv.pop(1)]()
     main()
--- a/tools/soak/tests/test_soak.py
+++ b/tools/soak/tests/test_soak.py
@@ -1,8 +1,8 @@
-"""The soak's checks, tried on builds that they have to find; its plans.
+"""Tests of the soak's checks and plans.
 
-Each check is tried once on a build that breaks its promise on purpose. The
-faults are those that bring the break about; a sound build is clean under the
-same ones, or the seeded runs would show it.
+Each check must find a build that breaks its guarantee on purpose, under the
+faults that trigger the violation. The seeded runs guard against checks that
+fail a correct build.
 """
 
 import asyncio
@@ -21,13 +21,13 @@
 )
 
 BROKEN_HOST = pathlib.Path(__file__).with_name("broken_host.py")
-# Builds that run at once; each is two entry hosts.
-AT_ONCE = 3
+# Each build runs two entry hosts.
+MAX_PARALLEL_BUILDS = 3
 SECONDS = 6.0
-# A program that loops shows this break once it has passed its budget, after
-# thirteen turns. On a busy machine some seven of them fit into six seconds.
-SECONDS_BY_BUILD = {"forget_budgets": 24.0}
-# Numbers of replicas: three engines, then three desks.
+# A long program exceeds its budget after thirteen turns, which takes more than
+# the usual duration on a busy machine.
+SECONDS_BY_BUILD = {"skip_budget_checks": 24.0}
+# Indexes of replicas: three engines, then three unary replicas.
 UNARY_REPLICAS = (3, 4, 5)
 ENGINES = (0, 1, 2)
 
@@ -38,34 +38,34 @@
     )
 
 
-# Check, how its promise is broken, faults that show it.
+# Check, patch of ``broken_host.py`` that violates it, faults that trigger it.
 BROKEN_BUILDS = (
     (
         "at-most-once",
-        "call_everything_not_run",
+        "report_all_failures_as_not_run",
         steps(Fault.REPLICA_RESETS, UNARY_REPLICAS[:1]),
     ),
     (
         "true-refusals",
-        "call_everything_not_run",
+        "report_all_failures_as_not_run",
         steps(Fault.REPLICA_RESETS, UNARY_REPLICAS),
     ),
     (
         "whole-own-answers",
-        "take_any_answer",
+        "accept_any_response",
         steps(Fault.REPLICA_CROSSES, UNARY_REPLICAS),
     ),
-    ("ordered-events", "repeat_events", steps(Fault.REPLICA_CUTS, ENGINES)),
-    ("budgets", "forget_budgets", ()),
-    ("early-spent", "spend_budgets_early", ()),
+    ("ordered-events", "resend_events", steps(Fault.REPLICA_CUTS, ENGINES)),
+    ("budgets", "skip_budget_checks", ()),
+    ("early-spent", "exceed_budgets_early", ()),
     (
         "configuration-order",
-        "go_back_to_old_configurations",
+        "revert_configuration",
         steps(Fault.CONFIGURATION),
     ),
     (
         "configuration-in-time",
-        "take_changes_late",
+        "apply_changes_late",
         steps(Fault.CONFIGURATION),
     ),
     (
@@ -74,17 +74,21 @@
         steps(Fault.REPLICA_DRAINS, duration_s=5),
     ),
     ("starts", "start_only_once", steps(Fault.KILL, duration_s=0.2)),
-    ("orderly-stops", "hang_at_stop", steps(Fault.STOP)),
-    ("stops-break-nothing", "drop_callers_at_stop", steps(Fault.STOP_IN_TURN)),
-    ("answers-in-time", "hold_answers", ()),
+    ("orderly-stops", "hang_on_stop", steps(Fault.STOP)),
+    (
+        "stops-break-nothing",
+        "abort_requests_on_stop",
+        steps(Fault.STOP_IN_TURN),
+    ),
+    ("answers-in-time", "delay_responses", ()),
     (
         "told-when-to-return",
-        "tell_no_time",
+        "omit_retry_after",
         steps(Fault.REPLICA_FULL, UNARY_REPLICAS),
     ),
     (
         "recovery",
-        "stop_following_after_a_failure",
+        "stop_watching_after_failure",
         (
             *steps(Fault.STORE_BUSY, duration_s=1.0),
             *steps(Fault.CONFIGURATION, start_s=4.0),
@@ -93,11 +97,11 @@
 )
 
 
-async def play_broken_builds():
-    limit = asyncio.Semaphore(AT_ONCE)
+async def run_broken_builds():
+    semaphore = asyncio.Semaphore(MAX_PARALLEL_BUILDS)
 
-    async def play(name, faults):
-        async with limit:
+    async def run_build(name, faults):
+        async with semaphore:
             with tempfile.TemporaryDirectory() as directory:
                 report, _ = await run_plan(
                     Plan(1, SECONDS_BY_BUILD.get(name, SECONDS), 2, faults),
@@ -107,16 +111,16 @@
                 return report
 
     return await asyncio.gather(
-        *(play(name, faults) for _, name, faults in BROKEN_BUILDS)
+        *(run_build(name, faults) for _, name, faults in BROKEN_BUILDS)
     )
 
 
 class BrokenBuildTest(unittest.TestCase):
-    def test_each_check_finds_the_build_that_breaks_its_promise(self):
+    def test_each_check_finds_the_build_that_violates_it(self):
         self.assertEqual(
             {check for check, _, _ in BROKEN_BUILDS}, set(CHECK_BY_NAME)
         )
-        reports = asyncio.run(play_broken_builds())
+        reports = asyncio.run(run_broken_builds())
         for (check, name, _), report in zip(
             BROKEN_BUILDS, reports, strict=True
         ):
@@ -126,16 +130,16 @@
 
 
 class PlanTest(unittest.TestCase):
-    def test_a_seed_always_gives_the_same_plan(self):
+    def test_equal_seeds_give_equal_plans(self):
         self.assertEqual(make_plan(5, 20, 4), make_plan(5, 20, 4))
         self.assertNotEqual(make_plan(5, 20, 4), make_plan(6, 20, 4))
 
-    def test_faults_end_before_the_callers_do(self):
+    def test_faults_end_before_the_load(self):
         for seed in range(200):
             plan = make_plan(seed, 20, 4)
             self.assertLess(max(s.end_s for s in plan.steps), 20)
 
-    def test_seeds_reach_every_fault(self):
+    def test_seeds_cover_every_fault(self):
         found = {
             s.fault for seed in range(60) for s in make_plan(seed, 20, 4).steps
         }
--- a/tools/soak/tests/test_soak_seeds.py
+++ b/tools/soak/tests/test_soak_seeds.py
@@ -1,37 +1,37 @@
-"""The soak in CI: a short seeded run, and the seeds that failed once."""
+"""Soak runs of one seed and of the seeds that once failed."""
 
 import asyncio
 import unittest
 
 from masticdale_soak import make_plan, run_plan
 
-# Seed, seconds and hosts of plans that failed once, with the cause.
-OLD_SEEDS = (
-    # Told 402 after 80 of 400 tokens: the store lost the answer to a record's
-    # write, and the owner took its own record for another's; or it wrote the
-    # record while it handed its shard over.
+# Seed, seconds and hosts of plans that once failed, with the cause.
+REGRESSION_SEEDS = (
+    # 402 after 80 of 400 tokens: the response to the write of a record was lost
+    # and the owner took its own record for another's, or it wrote the record
+    # while it handed off its shard.
     (1000, 20.0, 4),
     (1004, 20.0, 4),
-    # A host was gone without a log line: SIGHUP came while it was loading.
+    # A host exited without a log line: SIGHUP arrived while it was loading.
     (1039, 20.0, 4),
 )
 
 
-def play(seed, seconds, hosts):
+def run_seed(seed, seconds, hosts):
     report, _ = asyncio.run(run_plan(make_plan(seed, seconds, hosts)))
     return report
 
 
 class SeededRunTest(unittest.TestCase):
-    def test_a_seeded_run_keeps_every_promise(self):
-        report = play(7, 10.0, 3)
+    def test_a_seeded_run_violates_no_guarantee(self):
+        report = run_seed(7, 10.0, 3)
         self.assertEqual(report.violations, [], report)
         self.assertGreater(report.served, 100)
 
-    def test_old_seeds_keep_every_promise(self):
-        for seed, seconds, hosts in OLD_SEEDS:
+    def test_regression_seeds_violate_no_guarantee(self):
+        for seed, seconds, hosts in REGRESSION_SEEDS:
             with self.subTest(seed=seed):
-                report = play(seed, seconds, hosts)
+                report = run_seed(seed, seconds, hosts)
                 self.assertEqual(report.violations, [], report)
 
 
