--- a/tools/standins/src/masticdale_standins/__init__.py
+++ b/tools/standins/src/masticdale_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins of platform, model engine and service."""
+"""Fakes of the platform, of model engines and of services, for tests."""
 
 from masticdale_standins.model import EngineModel, ModelCall, create_call
 from masticdale_standins.settings import (
--- a/tools/standins/src/masticdale_standins/cache.py
+++ b/tools/standins/src/masticdale_standins/cache.py
@@ -1,4 +1,4 @@
-"""A prefix cache: blocks of tokens under a hash chain, in limited memory."""
+"""A prefix cache of token blocks with chained hashes and LRU eviction."""
 
 import collections
 import dataclasses
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BranchKey:
-    """Whose prefix a block is."""
+    """Identifies the branch of a program that a prefix belongs to."""
 
     program_id: str
     branch_id: str
@@ -20,12 +20,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Blocks:
-    """A text as the cache sees it.
+    """A text split into cache blocks.
 
     Attributes:
-        hashes: One for each whole block; each stands for the text up to its
-            end.
-        tokens: Tokens of the whole text, the rest after the last block too.
+        hashes: One hash per complete block, of the text up to its end.
+        tokens: Tokens of the text, including an incomplete last block.
     """
 
     hashes: tuple[int, ...]
@@ -38,12 +37,12 @@
     owners: set[BranchKey]
 
 
-def blocks_of(text: str, block_tokens: int) -> Blocks:
-    """Returns the blocks of a text.
+def split_into_blocks(text: str, block_tokens: int) -> Blocks:
+    """Splits a text into blocks.
 
     Args:
-        text: The joined prompt, perhaps with the answer after it.
-        block_tokens: Tokens of one block.
+        text: The joined prompt, possibly followed by the answer.
+        block_tokens: Tokens per block.
     """
     size = block_tokens * CHARACTERS_PER_TOKEN
     hashes = []
@@ -56,7 +55,7 @@
 
 
 class PrefixCache:
-    """Remembers prefixes; the least recently used blocks go first."""
+    """Caches prefixes and evicts the least recently used blocks."""
 
     def __init__(
         self,
@@ -65,7 +64,7 @@
         restore_interval: int,
         on_event: Callable[[CacheEvent], None],
     ) -> None:
-        self._capacity = capacity_tokens // block_tokens
+        self._capacity_blocks = capacity_tokens // block_tokens
         self._block_tokens = block_tokens
         self._restore_interval = restore_interval
         self._on_event = on_event
@@ -78,12 +77,12 @@
         self._chain_by_branch: dict[BranchKey, tuple[int, ...]] = {}
 
     @property
-    def held_tokens(self) -> int:
-        """Tokens in memory."""
+    def cached_tokens(self) -> int:
+        """Number of cached tokens."""
         return len(self._block_by_hash) * self._block_tokens
 
     def match(self, hashes: tuple[int, ...]) -> int:
-        """Returns how many tokens of a prompt need no prefill."""
+        """Returns the number of prompt tokens that need no prefill."""
         usable = 0
         for position, block_hash in enumerate(hashes, start=1):
             block = self._block_by_hash.get(block_hash)
@@ -95,7 +94,7 @@
         return usable * self._block_tokens
 
     def store(self, branch: BranchKey, hashes: tuple[int, ...]) -> None:
-        """Keeps a branch's prefix, whose end becomes restorable."""
+        """Caches a branch's prefix and makes its end restorable."""
         for position, block_hash in enumerate(hashes, start=1):
             block = self._block_by_hash.get(block_hash)
             if block is None:
@@ -107,12 +106,12 @@
         if hashes:
             self._block_by_hash[hashes[-1]].restorable = True
             self._chain_by_branch[branch] = hashes
-            self._announce(branch)
+            self._emit_stored(branch)
         self._touch(hashes)
         self._evict()
 
     def release(self, program_id: str) -> None:
-        """Forgets a program; blocks that others use stay."""
+        """Drops a program's prefixes; blocks shared with others stay."""
         branches = {
             b for b in self._chain_by_branch if b.program_id == program_id
         }
@@ -123,30 +122,30 @@
             if not block.owners:
                 del self._block_by_hash[block_hash]
         for branch in branches:
-            self._forget(branch)
+            self._drop_branch(branch)
 
     def clear(self) -> None:
-        """Forgets everything, without an event, as a crash does."""
+        """Drops everything without an event, as a crash does."""
         self._block_by_hash.clear()
         self._count_by_branch.clear()
         self._chain_by_branch.clear()
 
-    def held_by_branch(self) -> dict[BranchKey, int]:
-        """Returns tokens held by branch; shared blocks count for each."""
+    def tokens_by_branch(self) -> dict[BranchKey, int]:
+        """Returns cached tokens by branch; shared blocks count for each."""
         return {
             branch: count * self._block_tokens
             for branch, count in self._count_by_branch.items()
         }
 
-    def held_by_program(self) -> dict[str, int]:
-        """Returns tokens held by program id; shared blocks count for each."""
+    def tokens_by_program(self) -> dict[str, int]:
+        """Returns cached tokens by program; shared blocks count for each."""
         held: collections.Counter[str] = collections.Counter()
-        for branch, tokens in self.held_by_branch().items():
+        for branch, tokens in self.tokens_by_branch().items():
             held[branch.program_id] += tokens
         return dict(held)
 
     def chain(self, branch: BranchKey) -> tuple[int, ...]:
-        """Returns the part of a branch's prefix that is still held."""
+        """Returns the hashes of a branch's prefix that is still cached."""
         held = []
         for block_hash in self._chain_by_branch.get(branch, ()):
             if block_hash not in self._block_by_hash:
@@ -160,25 +159,27 @@
         return position * self._block_tokens % self._restore_interval == 0
 
     def _touch(self, hashes: tuple[int, ...]) -> None:
-        # From the end, so that the start of a prefix is the last to go: a
-        # prefix without its start is worth nothing.
+        # In reverse, so that a prefix is evicted from its end: blocks without
+        # the ones before them can't be matched.
         for block_hash in reversed(hashes):
             self._block_by_hash.move_to_end(block_hash)
 
     def _evict(self) -> None:
-        losers: set[BranchKey] = set()
-        while len(self._block_by_hash) > self._capacity:
+        affected: set[BranchKey] = set()
+        while len(self._block_by_hash) > self._capacity_blocks:
             _, block = self._block_by_hash.popitem(last=False)
             for branch in block.owners:
                 self._count_by_branch[branch] -= 1
-            losers |= block.owners
-        for branch in sorted(losers, key=lambda b: (b.program_id, b.branch_id)):
+            affected |= block.owners
+        for branch in sorted(
+            affected, key=lambda b: (b.program_id, b.branch_id)
+        ):
             if self._count_by_branch[branch]:
-                self._announce(branch)
+                self._emit_stored(branch)
             else:
-                self._forget(branch)
+                self._drop_branch(branch)
 
-    def _announce(self, branch: BranchKey) -> None:
+    def _emit_stored(self, branch: BranchKey) -> None:
         tokens = self._count_by_branch[branch] * self._block_tokens
         self._on_event(
             CacheEvent(
@@ -189,7 +190,7 @@
             )
         )
 
-    def _forget(self, branch: BranchKey) -> None:
+    def _drop_branch(self, branch: BranchKey) -> None:
         self._count_by_branch.pop(branch, None)
         self._chain_by_branch.pop(branch, None)
         self._on_event(
--- a/tools/standins/src/masticdale_standins/clusters.py
+++ b/tools/standins/src/masticdale_standins/clusters.py
@@ -1,4 +1,4 @@
-"""A whole system on loopback: stand-ins and daemons, each a process."""
+"""Starts a system on loopback: fakes and daemons, each in its own process."""
 
 import asyncio
 import dataclasses
@@ -50,14 +50,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClusterPlan:
-    """What a local system consists of.
+    """Describes a local system.
 
     Attributes:
         hosts: Number of daemons.
-        engines: Settings of the engines but for their ports, by name.
-        services: Settings of the services but for their ports, by name.
-        platform: Settings of the platform but for its port.
-        daemon: Further settings of each daemon, as in its JSON file.
+        engines: Settings of the engines by name; ports are assigned at start.
+        services: Settings of the services by name; ports are assigned at
+            start.
+        platform: Settings of the platform; the port is assigned at start.
+        daemon: Additional settings of each daemon, as in its JSON file.
     """
 
     hosts: int
@@ -69,14 +70,14 @@
 
 @dataclasses.dataclass(slots=True)
 class DaemonHandle:
-    """One daemon.
+    """A running daemon.
 
     Attributes:
         name: Name of its host.
-        callers_url: Where it serves callers.
-        operators_url: Where it serves operators.
-        peer_port: Where it serves peers.
-        settings: Its settings file's content.
+        callers_url: Base URL for callers.
+        operators_url: Base URL for operators.
+        peer_port: Port for peers.
+        settings: Content of its settings file.
         process: The process.
     """
 
@@ -89,7 +90,7 @@
 
 
 class LocalCluster:
-    """Processes of one system; made by ``start_cluster``."""
+    """The processes of a local system; created by ``start_cluster``."""
 
     def __init__(
         self,
@@ -103,36 +104,37 @@
         self.daemon_by_name: dict[str, DaemonHandle] = {}
 
     def address_of(self, upstream: str) -> str:
-        """Returns an upstream's IP number and port."""
+        """Returns an upstream's address as ``IP:port``."""
         processes = {**self.engine_by_name, **self.service_by_name}
         return processes[upstream].base_url.removeprefix("http://")
 
     def restart_daemon(self, name: str) -> None:
-        """Starts a host's daemon again after it ended."""
+        """Stops a host's daemon and starts it again."""
         old = self.daemon_by_name[name]
         old.process.stop()
         process = _start_daemon(old.settings, old.callers_url)
         self.daemon_by_name[name] = dataclasses.replace(old, process=process)
 
     def wait_ready(self, name: str) -> None:
-        """Waits until a daemon would be sent callers.
+        """Waits until a daemon reports that it is ready.
 
         Raises:
-            NotReadyError: It is not in time; the end of its log is in the text.
+            NotReadyError: It is not ready in time; the message contains the
+                end of its log.
         """
         handle = self.daemon_by_name[name]
         with log_if_not_ready(handle.process):
             wait_until_ready(handle.callers_url, _READY_PATH)
 
     def set_faults(self, process: RunningProcess, **faults: object) -> None:
-        """Replaces a stand-in's faults."""
+        """Replaces the faults of a fake."""
         response = httpx.post(
             f"{process.base_url}/admin/faults", json=faults, trust_env=False
         )
         response.raise_for_status()
 
     def executions(self, service: str) -> list[dict[str, object]]:
-        """Returns what a service ran, with counts by key."""
+        """Returns the executions of a service, with counts by key."""
         base_url = self.service_by_name[service].base_url
         response = httpx.get(f"{base_url}/admin/executions", trust_env=False)
         response.raise_for_status()
@@ -140,7 +142,7 @@
         return listed
 
     def apply(self, declarations: Sequence[Declaration]) -> int:
-        """Applies declarations straight to the platform.
+        """Applies declarations by writing to the platform directly.
 
         Returns:
             The accepted revision.
@@ -151,7 +153,7 @@
         return asyncio.run(_apply(self.platform.base_url, placed))
 
     def stop(self) -> None:
-        """Stops every process, daemons first, by pid."""
+        """Stops every process, daemons first."""
         daemons = [handle.process for handle in self.daemon_by_name.values()]
         for process in daemons:
             process.resume()
@@ -165,9 +167,9 @@
             process.stop()
 
     def with_local_address(self, declaration: Declaration) -> Declaration:
-        """Returns a declaration with the address its upstream has here."""
-        known = {**self.engine_by_name, **self.service_by_name}
-        if declaration.name not in known:
+        """Returns a declaration with the local address of its upstream."""
+        upstreams = {**self.engine_by_name, **self.service_by_name}
+        if declaration.name not in upstreams:
             return declaration
         body = declaration.model_dump(mode="json")
         body["spec"]["address"] = self.address_of(declaration.name)
@@ -175,13 +177,13 @@
 
 
 def start_cluster(plan: ClusterPlan) -> LocalCluster:
-    """Starts a system and waits until its stand-ins serve.
+    """Starts the fakes of a system and waits until they are ready.
 
-    The daemons are started by ``start_daemons``, after a configuration was
-    applied or before.
+    ``start_daemons`` starts the daemons, before or after a configuration is
+    applied.
 
     Args:
-        plan: What to start.
+        plan: The system to start.
     """
     platform_settings = plan.platform.model_copy(update={"port": free_port()})
     cluster = LocalCluster(
@@ -248,7 +250,7 @@
             ],
             **plan.daemon,
         }
-        handle = _handle(settings)
+        handle = _create_daemon(settings)
         cluster.daemon_by_name[handle.name] = handle
     for name in names:
         cluster.wait_ready(name)
@@ -261,7 +263,7 @@
 
     Args:
         declarations: Templates, workspaces and upstreams.
-        cluster: Its upstreams are kept, also in the workspaces' lists.
+        cluster: Cluster whose upstreams are kept, also in workspaces' lists.
     """
     present = {*cluster.engine_by_name, *cluster.service_by_name}
     selected: list[Declaration] = []
@@ -289,7 +291,7 @@
     return base.model_copy(update=fields)
 
 
-def _handle(settings: dict[str, object]) -> DaemonHandle:
+def _create_daemon(settings: dict[str, object]) -> DaemonHandle:
     ports = {
         role: json.loads(json.dumps(settings[role]))["port"]
         for role in ("callers", "operators", "peer_listener")
@@ -317,10 +319,10 @@
     in_force = ConfigInForce()
     try:
         (await catch_up(store, in_force)).unwrap()
-        seen = in_force.state.declaration_by_key
+        current = in_force.state.declaration_by_key
         edits = tuple(
-            Edit(key_of(d), seen[key_of(d)].digest, d)
-            if key_of(d) in seen
+            Edit(key_of(d), current[key_of(d)].digest, d)
+            if key_of(d) in current
             else Edit(key_of(d), ABSENT, d)
             for d in declarations
         )
--- a/tools/standins/src/masticdale_standins/engine.py
+++ b/tools/standins/src/masticdale_standins/engine.py
@@ -1,4 +1,4 @@
-"""The stand-in of a model engine; ``masticdale_upstreams.wire`` is its wire."""
+"""A fake model engine; ``masticdale_upstreams.wire`` defines its messages."""
 
 import asyncio
 import collections
@@ -15,10 +15,10 @@
 from masticdale_standins.cache import BranchKey
 from masticdale_standins.events import EventLog
 from masticdale_standins.exports import ExportStore, create_export_store
-from masticdale_standins.http import AppResponse, LineStream, cut_answer
+from masticdale_standins.http import AsgiResponse, LineStream, abort_response
 from masticdale_standins.model import EngineModel, create_call
 from masticdale_standins.settings import EngineSettings
-from masticdale_standins.streams import KeptStream, StreamTable
+from masticdale_standins.streams import RetainedStream, StreamTable
 from masticdale_upstreams import wire
 from masticdale_upstreams.testing import expected_answer
 
@@ -26,16 +26,17 @@
 
 
 class EngineFaults(StrictModel):
-    """What goes wrong; each POST replaces all of it.
+    """Faults of the engine; each POST replaces all of them.
 
     Attributes:
-        slow_factor: Everything takes so many times as long.
-        freeze_streams: Connections open now go silent for good.
-        crash_marker: A prompt that contains it crashes the engine.
+        slow_factor: Factor by which everything is slowed down.
+        freeze_streams: Open connections send nothing more.
+        crash_marker: Text that crashes the engine if a prompt contains it;
+            empty to disable.
         crash_now: The engine crashes once.
-        cross_answers: This many next lines carry another request's id.
-        truncate: This many next streams end without their end marker.
-        leaving: Health says that the engine leaves.
+        cross_answers: Number of next lines with another request's id.
+        truncate: Number of next streams that end without end marker.
+        leaving: Whether health reports that the engine is leaving.
     """
 
     slow_factor: float = pydantic.Field(default=1, gt=0)
@@ -48,20 +49,20 @@
 
 
 class EngineStats(pydantic.BaseModel):
-    """What the stand-in has done since its process started.
+    """Totals of the engine since its process started.
 
     Attributes:
-        calls: Generations begun.
-        calls_while_leaving: Those of them begun after ``leaving`` was set.
-        last_call_after_leaving_ms: How long after that the last one came.
+        calls: Generations started.
+        calls_while_leaving: Generations started after ``leaving`` was set.
+        last_call_after_leaving_ms: Time from then to the last such generation.
         crashes: Crashes.
         crash_count_by_digest: Crashes by digest of the joined prompt.
         prefilled_tokens: Prompt tokens computed.
-        recomputed_tokens: Those of them that had been cached before.
+        recomputed_tokens: Prefilled tokens that had been cached before.
         cached_tokens: Prompt tokens taken from the cache.
-        generated_tokens: Tokens of finished answers.
-        orders: Orders obeyed.
-        orders_refused: Orders with an old fencing number.
+        generated_tokens: Tokens of completed answers.
+        orders: Accepted orders.
+        orders_refused: Number of orders with a stale fencing token.
     """
 
     calls: int
@@ -78,7 +79,7 @@
 
 
 class HeldBranch(pydantic.BaseModel):
-    """Engine memory held for one branch."""
+    """Cached tokens of one branch."""
 
     program_id: str
     branch_id: str
@@ -86,7 +87,7 @@
 
 
 class Engine:
-    """The state of the stand-in."""
+    """State of the fake engine."""
 
     def __init__(self, settings: EngineSettings) -> None:
         self.settings = settings
@@ -99,8 +100,8 @@
         self.leaving = False
         self.orders: list[wire.OrderBody] = []
         self._crash_marker = ""
-        self._refuses_until = 0.0
-        self._left_at = 0.0
+        self._restarting_until = 0.0
+        self._leaving_since = 0.0
         self._last_call_after_leaving_s = 0.0
         self._calls_while_leaving = 0
         self._orders_refused = 0
@@ -115,26 +116,26 @@
             cache_capacity=settings.model.cache_tokens,
             age_ms=0,
         )
-        self._load_taken_at = 0.0
+        self._load_sampled_at = 0.0
 
     @property
     def incarnation(self) -> str:
-        """Changes with each crash."""
+        """Name of the current incarnation; changes with each crash."""
         return f"{self.settings.name}-{self.model.stats.crashes}"
 
     @property
     def is_restarting(self) -> bool:
         """Whether the engine refuses calls after a crash."""
-        return _now() < self._refuses_until
+        return _now() < self._restarting_until
 
     def set_faults(self, faults: EngineFaults) -> None:
         """Replaces all faults."""
-        self.model.slow_down(faults.slow_factor)
+        self.model.set_slow_factor(faults.slow_factor)
         self._crash_marker = faults.crash_marker
-        self.streams.lines_to_cross = faults.cross_answers
+        self.streams.lines_to_mismatch = faults.cross_answers
         self.streams.streams_to_truncate = faults.truncate
         if faults.leaving and not self.leaving:
-            self._left_at = _now()
+            self._leaving_since = _now()
         self.leaving = faults.leaving
         if faults.freeze_streams:
             self.streams.freeze()
@@ -142,15 +143,15 @@
             self.crash()
 
     def crash(self) -> None:
-        """Breaks all streams, loses the cache, refuses for a while."""
+        """Aborts all streams, drops the cache and refuses calls for a while."""
         self.model.crash()
         self.streams.clear()
-        self.events.lose_all()
+        self.events.drop_all()
         self._fencing_by_program.clear()
-        self._refuses_until = _now() + self.settings.restart_ms / 1000
+        self._restarting_until = _now() + self.settings.restart_ms / 1000
 
-    def crashes_on(self, prompt: str) -> bool:
-        """Crashes if the prompt says so, and counts it by its digest."""
+    def crash_if_marked(self, prompt: str) -> bool:
+        """Crashes if the prompt contains the marker; returns whether it did."""
         if not self._crash_marker or self._crash_marker not in prompt:
             return False
         self._crash_count_by_digest[hashing.digest(prompt)] += 1
@@ -158,15 +159,15 @@
         return True
 
     def is_fenced(self, program_id: str, fencing: int) -> bool:
-        """Returns whether a smaller fencing number is to be refused."""
+        """Records a fencing token and returns whether it is stale."""
         if not self.settings.obey_fencing:
             return False
         newest = self._fencing_by_program.get(program_id, 0)
         self._fencing_by_program[program_id] = max(newest, fencing)
         return fencing < newest
 
-    def obeys(self, order: wire.OrderBody) -> bool:
-        """Takes an order unless its fencing number is old."""
+    def accept_order(self, order: wire.OrderBody) -> bool:
+        """Accepts an order unless its fencing token is stale."""
         newest = max((o.fencing for o in self.orders), default=0)
         if self.settings.obey_fencing and order.fencing < newest:
             self._orders_refused += 1
@@ -174,11 +175,11 @@
         self.orders.append(order)
         return True
 
-    def begin(self, body: wire.GenerateBody) -> KeptStream:
+    def begin(self, body: wire.GenerateBody) -> RetainedStream:
         """Starts a generation."""
         if self.leaving:
             self._calls_while_leaving += 1
-            self._last_call_after_leaving_s = _now() - self._left_at
+            self._last_call_after_leaving_s = _now() - self._leaving_since
         call = create_call(
             body.program_id,
             body.branch_id,
@@ -186,7 +187,7 @@
             body.max_tokens,
             self.settings.model.block_tokens,
         )
-        stream = KeptStream(
+        stream = RetainedStream(
             body.request_id,
             self.model.submit(call),
             expected_answer(body.prompt, body.max_tokens),
@@ -195,33 +196,33 @@
         return stream
 
     def load(self) -> wire.LoadBody:
-        """Returns the latest load report, which lags."""
-        age_ms = int((_now() - self._load_taken_at) * 1000)
+        """Returns the last load report with its age."""
+        age_ms = int((_now() - self._load_sampled_at) * 1000)
         return self._load.model_copy(update={"age_ms": age_ms})
 
-    async def report_load(self) -> None:
-        """Renews the load report until cancelled."""
+    async def refresh_load(self) -> None:
+        """Updates the load report periodically until cancelled."""
         while True:
             load = self.model.load()
             self._load = self._load.model_copy(update=dataclasses.asdict(load))
-            self._load_taken_at = _now()
+            self._load_sampled_at = _now()
             await asyncio.sleep(self.settings.load_lag_ms / 1000)
 
     def stats(self) -> EngineStats:
-        """Returns what has been done."""
-        did = self.model.stats
+        """Returns the totals since the start."""
+        totals = self.model.stats
         return EngineStats(
-            calls=did.calls,
+            calls=totals.calls,
             calls_while_leaving=self._calls_while_leaving,
             last_call_after_leaving_ms=int(
                 self._last_call_after_leaving_s * 1000
             ),
-            crashes=did.crashes,
+            crashes=totals.crashes,
             crash_count_by_digest=dict(self._crash_count_by_digest),
-            prefilled_tokens=did.prefilled_tokens,
-            recomputed_tokens=did.recomputed_tokens,
-            cached_tokens=did.cached_tokens,
-            generated_tokens=did.generated_tokens,
+            prefilled_tokens=totals.prefilled_tokens,
+            recomputed_tokens=totals.recomputed_tokens,
+            cached_tokens=totals.cached_tokens,
+            generated_tokens=totals.generated_tokens,
             orders=tuple(self.orders),
             orders_refused=self._orders_refused,
         )
@@ -232,43 +233,43 @@
 
 @litestar.post("/v1/generate", request_max_body_size=_BODY_LIMIT_BYTES)
 async def generate(engine: Engine, data: wire.GenerateBody) -> Reply:
-    """Runs a model call, or goes on with a known one, and streams it."""
-    known = engine.streams.find(data.request_id)
-    if known is not None:
-        return _stream(engine, known, 0)
+    """Starts a model call, or resumes it if known, and streams the answer."""
+    existing = engine.streams.find(data.request_id)
+    if existing is not None:
+        return _create_stream_response(engine, existing, 0)
     if engine.is_fenced(data.program_id, data.fencing):
         return Reply(None, status_code=409)
     if engine.model.load().waiting > engine.settings.max_waiting:
         return Reply(None, status_code=429)
-    if engine.crashes_on("".join(data.prompt)):
-        return AppResponse(cut_answer)
-    return _stream(engine, engine.begin(data), 0)
+    if engine.crash_if_marked("".join(data.prompt)):
+        return AsgiResponse(abort_response)
+    return _create_stream_response(engine, engine.begin(data), 0)
 
 
 @litestar.get("/v1/streams/{request_id:path}")
 async def resume(engine: Engine, request_id: str, offset: int) -> Reply:
-    """Streams the rest of a call's answer."""
-    stream = engine.streams.find(_plain(request_id))
+    """Streams a call's answer from an offset."""
+    stream = engine.streams.find(_strip_slash(request_id))
     if stream is None:
         return Reply(None, status_code=404)
-    return _stream(engine, stream, offset)
+    return _create_stream_response(engine, stream, offset)
 
 
 @litestar.delete("/v1/streams/{request_id:path}", status_code=204)
 async def cancel(engine: Engine, request_id: str) -> None:
-    """Ends a call that nobody waits for."""
-    engine.streams.cancel(_plain(request_id))
+    """Cancels a call."""
+    engine.streams.cancel(_strip_slash(request_id))
 
 
 @litestar.get("/v1/load")
 async def load(engine: Engine) -> wire.LoadBody:
-    """Answers the lagging load report."""
+    """Returns the delayed load report."""
     return engine.load()
 
 
 @litestar.get("/v1/health")
 async def health(engine: Engine) -> wire.HealthBody:
-    """Answers whether the engine serves and since which restart."""
+    """Reports the incarnation and whether the engine is leaving."""
     return wire.HealthBody(
         incarnation=engine.incarnation, leaving=engine.leaving
     )
@@ -278,14 +279,14 @@
 async def cache_events(
     engine: Engine, position: int, wait_ms: int
 ) -> wire.CacheEventsBody:
-    """Answers cache events after a position, or waits for one."""
-    return await engine.events.after(position, wait_ms / 1000)
+    """Returns cache events after a position, waiting for the first."""
+    return await engine.events.read_after(position, wait_ms / 1000)
 
 
 @litestar.get("/v1/cache/programs")
 async def held_programs(engine: Engine) -> wire.HeldProgramsBody:
-    """Answers which programs hold memory."""
-    held = engine.model.cache.held_by_program()
+    """Returns the programs with cached tokens."""
+    held = engine.model.cache.tokens_by_program()
     return wire.HeldProgramsBody(
         programs=tuple(
             wire.HeldProgramBody(program_id=program_id, tokens=tokens)
@@ -296,13 +297,13 @@
 
 @litestar.delete("/v1/cache/programs/{program_id:path}", status_code=204)
 async def release(engine: Engine, program_id: str) -> None:
-    """Frees all memory held for a program."""
-    engine.model.cache.release(_plain(program_id))
+    """Drops a program's cached prefixes."""
+    engine.model.cache.release(_strip_slash(program_id))
 
 
 @litestar.post("/v1/cache/export", status_code=200)
 async def export_cache(engine: Engine, data: wire.ExportBody) -> Reply:
-    """Copies a branch's prefix out."""
+    """Exports a branch's prefix."""
     branch = BranchKey(data.program_id, data.branch_id)
     hashes = await engine.model.export_blocks(branch)
     if not hashes:
@@ -314,7 +315,7 @@
 
 @litestar.post("/v1/cache/import", status_code=200)
 async def import_cache(engine: Engine, data: wire.ImportBody) -> Reply:
-    """Loads an exported prefix."""
+    """Imports an exported prefix."""
     exported = engine.exports.get(data.handle)
     if exported is None:
         return Reply(None, status_code=404)
@@ -325,8 +326,8 @@
 
 @litestar.post("/v1/orders", status_code=200)
 async def order(engine: Engine, data: wire.OrderBody) -> Reply:
-    """Takes an order."""
-    return Reply(None, status_code=200 if engine.obeys(data) else 409)
+    """Accepts an order unless its fencing token is stale."""
+    return Reply(None, status_code=200 if engine.accept_order(data) else 409)
 
 
 @litestar.post("/admin/faults", status_code=204)
@@ -337,14 +338,14 @@
 
 @litestar.get("/admin/stats")
 async def stats(engine: Engine) -> EngineStats:
-    """Answers what has been done."""
+    """Returns the totals since the start."""
     return engine.stats()
 
 
 @litestar.get("/admin/branches")
 async def held_branches(engine: Engine) -> list[HeldBranch]:
-    """Answers the memory held by branch."""
-    held = engine.model.cache.held_by_branch()
+    """Returns the cached tokens by branch."""
+    held = engine.model.cache.tokens_by_branch()
     return [
         HeldBranch(
             program_id=branch.program_id,
@@ -356,7 +357,7 @@
 
 
 def create_app(settings: EngineSettings) -> litestar.Litestar:
-    """Returns the stand-in as an ASGI app."""
+    """Creates the ASGI app of the fake engine."""
     engine = Engine(settings)
 
     async def provide() -> Engine:
@@ -376,7 +377,7 @@
     async def work(_: litestar.Litestar) -> AsyncIterator[None]:
         tasks = [
             asyncio.create_task(engine.model.run()),
-            asyncio.create_task(engine.report_load()),
+            asyncio.create_task(engine.refresh_load()),
         ]
         yield
         for task in tasks:
@@ -412,11 +413,13 @@
     return asyncio.get_running_loop().time()
 
 
-def _plain(part: str) -> str:
-    # Litestar's path parameters keep the slash before them.
+def _strip_slash(part: str) -> str:
+    # Litestar's path parameters start with a slash.
     return part.removeprefix("/")
 
 
-def _stream(engine: Engine, stream: KeptStream, offset: int) -> Reply:
+def _create_stream_response(
+    engine: Engine, stream: RetainedStream, offset: int
+) -> Reply:
     lines = engine.streams.lines(stream, offset)
-    return AppResponse(LineStream(lines, wire.NDJSON))
+    return AsgiResponse(LineStream(lines, wire.NDJSON))
--- a/tools/standins/src/masticdale_standins/events.py
+++ b/tools/standins/src/masticdale_standins/events.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's cache events, which come late and with gaps."""
+"""Cache events of the fake engine, delivered with delay and loss."""
 
 import asyncio
 import collections
@@ -19,13 +19,13 @@
 
 
 class EventLog:
-    """The newest events; a lost one leaves an empty entry."""
+    """Keeps the newest events; a lost event leaves an empty entry."""
 
     def __init__(
         self, delay_s: float, loss_share: float, seed: int = 0
     ) -> None:
         self._delay_s = delay_s
-        self._loss_share = loss_share
+        self._loss_probability = loss_share
         self._random = random.Random(seed)
         self._position = 0
         self._entries: collections.deque[_Entry] = collections.deque(
@@ -33,17 +33,24 @@
         )
 
     def add(self, event: CacheEvent) -> None:
-        """Adds an event, or loses it."""
-        is_lost = self._random.random() < self._loss_share
+        """Adds an event, which may be lost at random."""
+        is_lost = self._random.random() < self._loss_probability
         self._append(None if is_lost else event)
 
-    def lose_all(self) -> None:
-        """Forgets everything not yet read; readers see a gap."""
+    def drop_all(self) -> None:
+        """Drops all events; readers see a gap."""
         self._entries.clear()
         self._append(None)
 
-    async def after(self, position: int, wait_s: float) -> wire.CacheEventsBody:
-        """Returns what is due after a position, waiting for the first."""
+    async def read_after(
+        self, position: int, wait_s: float
+    ) -> wire.CacheEventsBody:
+        """Returns the due events after a position, waiting for the first.
+
+        Args:
+            position: Position of the last event read.
+            wait_s: Maximum time to wait, in seconds.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + wait_s
         due = self._due(position)
@@ -52,8 +59,8 @@
             due = self._due(position)
         if not due:
             return wire.CacheEventsBody(position=position, events=(), gap=False)
-        is_cut = due[0].position > position + 1
-        is_lossy = any(entry.event is None for entry in due)
+        is_truncated = due[0].position > position + 1
+        has_lost_events = any(entry.event is None for entry in due)
         return wire.CacheEventsBody(
             position=due[-1].position,
             events=tuple(
@@ -61,7 +68,7 @@
                 for entry in due
                 if entry.event is not None
             ),
-            gap=is_cut or is_lossy,
+            gap=is_truncated or has_lost_events,
         )
 
     def _append(self, event: CacheEvent | None) -> None:
--- a/tools/standins/src/masticdale_standins/exports.py
+++ b/tools/standins/src/masticdale_standins/exports.py
@@ -1,4 +1,4 @@
-"""Where the engine stand-in puts exported caches."""
+"""Stores exported caches of the fake engine."""
 
 import pathlib
 import uuid
@@ -10,12 +10,12 @@
 
 
 class ExportedCache(pydantic.BaseModel):
-    """One copied prefix.
+    """An exported prefix.
 
     Attributes:
-        program_id: Whose prefix.
-        branch_id: Which branch's.
-        hashes: Its blocks' hashes.
+        program_id: Program of the prefix.
+        branch_id: Branch of the prefix.
+        hashes: Hashes of its blocks.
     """
 
     program_id: str
@@ -24,19 +24,19 @@
 
 
 class ExportStore(Protocol):
-    """Copied prefixes by handle."""
+    """Stores exported prefixes by handle."""
 
     def put(self, branch: BranchKey, hashes: tuple[int, ...]) -> str:
-        """Keeps a copy and returns its handle."""
+        """Stores a prefix and returns its handle."""
         ...
 
     def get(self, handle: str) -> ExportedCache | None:
-        """Returns the copy of a handle, if there is one."""
+        """Returns the prefix of a handle; None if unknown."""
         ...
 
 
 class MemoryExports:
-    """Copies that one engine keeps for itself."""
+    """Exported prefixes in the memory of one engine."""
 
     def __init__(self) -> None:
         self._cache_by_handle: dict[str, ExportedCache] = {}
@@ -44,7 +44,7 @@
     def put(self, branch: BranchKey, hashes: tuple[int, ...]) -> str:
         """See ``ExportStore.put``."""
         handle = uuid.uuid4().hex
-        self._cache_by_handle[handle] = _export(branch, hashes)
+        self._cache_by_handle[handle] = _create_export(branch, hashes)
         return handle
 
     def get(self, handle: str) -> ExportedCache | None:
@@ -53,7 +53,7 @@
 
 
 class FolderExports:
-    """Copies in a folder that several engines share."""
+    """Exported prefixes in a folder that several engines share."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self._folder = folder
@@ -61,13 +61,13 @@
     def put(self, branch: BranchKey, hashes: tuple[int, ...]) -> str:
         """See ``ExportStore.put``."""
         handle = uuid.uuid4().hex
-        exported = _export(branch, hashes)
+        exported = _create_export(branch, hashes)
         self._path(handle).write_text(exported.model_dump_json())
         return handle
 
     def get(self, handle: str) -> ExportedCache | None:
         """See ``ExportStore.get``."""
-        # A handle comes from outside; as a path it could name any file.
+        # The handle is untrusted and must not escape the folder.
         if not handle.isalnum() or not self._path(handle).exists():
             return None
         return ExportedCache.model_validate_json(self._path(handle).read_text())
@@ -77,13 +77,13 @@
 
 
 def create_export_store(folder: str) -> ExportStore:
-    """Returns the store of a folder, or of this process without one."""
+    """Returns a store in a folder, or in memory if the folder is empty."""
     if not folder:
         return MemoryExports()
     return FolderExports(pathlib.Path(folder))
 
 
-def _export(branch: BranchKey, hashes: tuple[int, ...]) -> ExportedCache:
+def _create_export(branch: BranchKey, hashes: tuple[int, ...]) -> ExportedCache:
     return ExportedCache(
         program_id=branch.program_id,
         branch_id=branch.branch_id,
--- a/tools/standins/src/masticdale_standins/http.py
+++ b/tools/standins/src/masticdale_standins/http.py
@@ -1,4 +1,4 @@
-"""Answers that break on purpose, and the server that gives them."""
+"""Responses that fail on purpose, and the server that sends them."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,27 +10,27 @@
 
 from masticdale_standins.settings import ListenSettings
 
-_GRACEFUL_STOP_S = 1
+_SHUTDOWN_TIMEOUT_S = 1
 
 
-class CutError(Exception):
-    """Ends a stream's connection in the middle."""
+class StreamAbortedError(Exception):
+    """Aborts a streamed response."""
 
 
-class AppResponse(litestar.Response[Any]):
-    """A response given by an ASGI app of its own."""
+class AsgiResponse(litestar.Response[Any]):
+    """A response that an ASGI app sends."""
 
     def __init__(self, app: ASGIApp) -> None:
         super().__init__(content=None)
         self._app = app
 
     def to_asgi_response(self, *_: Any, **__: Any) -> Any:
-        """Returns the app in place of a response made from content."""
+        """Returns the ASGI app."""
         return self._app
 
 
 class LineStream:
-    """Streams lines until they end, break or the reader goes away."""
+    """Streams lines until their end, an abort, or a disconnect."""
 
     def __init__(self, lines: AsyncIterator[bytes], media_type: str) -> None:
         self._lines = lines
@@ -39,15 +39,16 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Answers one request."""
+        """Sends the response of one request."""
         del scope
-        await send(_start([(b"content-type", self._media_type.encode())]))
+        await send(
+            _response_start([(b"content-type", self._media_type.encode())])
+        )
         tasks = {
             asyncio.create_task(self._send_lines(send)),
             asyncio.create_task(_until_disconnect(receive)),
         }
-        # A frozen stream sends nothing more, so a reader that gave up would
-        # not be noticed by writing.
+        # A frozen stream writes nothing, so writes don't reveal a disconnect.
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in tasks:
             task.cancel()
@@ -56,21 +57,21 @@
     async def _send_lines(self, send: Send) -> None:
         try:
             async for line in self._lines:
-                await send(_body(line, more_body=True))
-        except CutError:
-            # Without the last empty body the server closes the connection.
+                await send(_response_body(line, more_body=True))
+        except StreamAbortedError:
+            # Without the final body message the server closes the connection.
             return
-        await send(_body(b"", more_body=False))
+        await send(_response_body(b"", more_body=False))
 
 
-async def cut_answer(scope: Scope, receive: Receive, send: Send) -> None:
-    """Begins an answer and closes the connection."""
+async def abort_response(scope: Scope, receive: Receive, send: Send) -> None:
+    """Starts a response and closes the connection."""
     del scope, receive
-    await send(_start([(b"content-length", b"1")]))
+    await send(_response_start([(b"content-length", b"1")]))
 
 
-async def hang(scope: Scope, receive: Receive, send: Send) -> None:
-    """Never answers."""
+async def never_respond(scope: Scope, receive: Receive, send: Send) -> None:
+    """Sends no response until the client disconnects."""
     del scope, send
     await _until_disconnect(receive)
 
@@ -83,7 +84,7 @@
         port=settings.port,
         log_level="warning",
         access_log=False,
-        timeout_graceful_shutdown=_GRACEFUL_STOP_S,
+        timeout_graceful_shutdown=_SHUTDOWN_TIMEOUT_S,
     )
 
 
@@ -92,7 +93,7 @@
         pass
 
 
-def _start(headers: list[tuple[bytes, bytes]]) -> Any:
+def _response_start(headers: list[tuple[bytes, bytes]]) -> Any:
     return {
         "type": "http.response.start",
         "status": 200,
@@ -100,7 +101,7 @@
     }
 
 
-def _body(content: bytes, more_body: bool) -> Any:
+def _response_body(content: bytes, more_body: bool) -> Any:
     return {
         "type": "http.response.body",
         "body": content,
--- a/tools/standins/src/masticdale_standins/main.py
+++ b/tools/standins/src/masticdale_standins/main.py
@@ -21,10 +21,10 @@
 
 
 class Commands:
-    """Stand-ins of what masticdale runs against, one process each."""
+    """Runs fakes of the systems around masticdale, one process each."""
 
     def platform(self, settings: str) -> None:
-        """Runs the platform's object API.
+        """Runs a fake of the platform's object API.
 
         Args:
             settings: Path of the JSON settings file.
@@ -33,7 +33,7 @@
         serve(platform.create_app(loaded), loaded)
 
     def engine(self, settings: str) -> None:
-        """Runs a model engine.
+        """Runs a fake model engine.
 
         Args:
             settings: Path of the JSON settings file.
@@ -42,7 +42,7 @@
         serve(engine.create_app(loaded), loaded)
 
     def service(self, settings: str) -> None:
-        """Runs a plain service.
+        """Runs a fake service.
 
         Args:
             settings: Path of the JSON settings file.
--- a/tools/standins/src/masticdale_standins/model.py
+++ b/tools/standins/src/masticdale_standins/model.py
@@ -1,8 +1,8 @@
-"""A model engine's batch and cache as a model in time, without I/O.
+"""Simulates the batch and the cache of a model engine, without I/O.
 
-It waits only through asyncio, so it also runs on an event loop whose time is
-virtual. Between two changes of the batch every rate is constant; ``run``
-sleeps from change to change, whatever number of tokens lies between.
+It waits only through asyncio, so it also runs on an event loop with virtual
+time. Every rate is constant between two changes of the batch, so ``run``
+sleeps until the next change rather than per token.
 """
 
 import asyncio
@@ -11,17 +11,22 @@
 import enum
 from collections.abc import Callable
 
-from masticdale_standins.cache import Blocks, BranchKey, PrefixCache, blocks_of
+from masticdale_standins.cache import (
+    Blocks,
+    BranchKey,
+    PrefixCache,
+    split_into_blocks,
+)
 from masticdale_standins.settings import ModelSettings
 from masticdale_upstreams import CacheEvent
 from masticdale_upstreams.testing import expected_answer, tokens_in
 
-# Rates times times leave rounding errors far below a token.
+# Tolerance for rounding errors.
 _ROUNDING_TOKENS = 1e-3
 
 
 class Phase(enum.StrEnum):
-    """Where a generation stands."""
+    """Phase of a generation."""
 
     WAITING = "waiting"
     PREFILL = "prefill"
@@ -33,28 +38,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelCall:
-    """One call as the model sees it.
+    """A call of the model.
 
     Attributes:
-        branch: Whose prefix the call leaves behind.
+        branch: Branch under which the prefix is cached.
         prompt: Blocks of the prompt.
-        whole: Blocks of the prompt with the answer after it.
-        answer_tokens: Tokens that will be generated.
+        prompt_and_answer: Blocks of the prompt followed by the answer.
+        answer_tokens: Number of tokens to generate.
     """
 
     branch: BranchKey
     prompt: Blocks
-    whole: Blocks
+    prompt_and_answer: Blocks
     answer_tokens: int
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Generation:
-    """A call under way.
+    """A call in progress.
 
     Attributes:
         call: The call.
-        phase: Where it stands.
+        phase: Current phase.
         cached_tokens: Prompt tokens that needed no prefill.
         ended: Set in the phases DONE, CANCELLED and CRASHED.
     """
@@ -68,14 +73,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ModelStats:
-    """What an engine has done since its start.
+    """Totals of an engine since its start.
 
     Attributes:
         calls: Calls submitted.
         prefilled_tokens: Prompt tokens computed.
-        recomputed_tokens: Those of them that had been cached before.
+        recomputed_tokens: Prefilled tokens that had been cached before.
         cached_tokens: Prompt tokens taken from the cache.
-        generated_tokens: Tokens of finished answers.
+        generated_tokens: Tokens of completed answers.
         crashes: Crashes.
     """
 
@@ -89,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelLoad:
-    """The load now."""
+    """The current load."""
 
     running: int
     waiting: int
@@ -103,19 +108,19 @@
     max_tokens: int,
     block_tokens: int,
 ) -> ModelCall:
-    """Returns a call whose answer is ``expected_answer``."""
+    """Creates a call whose answer is ``expected_answer``."""
     text = "".join(prompt)
     answer = expected_answer(prompt, max_tokens)
     return ModelCall(
         BranchKey(program_id, branch_id),
-        blocks_of(text, block_tokens),
-        blocks_of(text + answer, block_tokens),
+        split_into_blocks(text, block_tokens),
+        split_into_blocks(text + answer, block_tokens),
         tokens_in(answer),
     )
 
 
 class EngineModel:
-    """Continuous batching with a prefix cache; first come, first served."""
+    """Simulates continuous batching with a prefix cache, in FIFO order."""
 
     def __init__(
         self,
@@ -138,7 +143,7 @@
         self._advanced_at = 0.0
 
     async def run(self) -> None:
-        """Works until cancelled."""
+        """Processes calls until cancelled."""
         self._advanced_at = asyncio.get_running_loop().time()
         while True:
             self._advance()
@@ -159,7 +164,7 @@
         return generation
 
     def cancel(self, generation: Generation) -> None:
-        """Ends a call early; its computed prompt stays cached."""
+        """Cancels a call; a prompt already prefilled stays cached."""
         if generation.ended.is_set():
             return
         self._advance()
@@ -167,7 +172,7 @@
         self._changed.set()
 
     def generated_tokens(self, generation: Generation) -> int:
-        """Returns how many tokens of an answer exist now."""
+        """Returns the number of answer tokens generated so far."""
         self._advance()
         if generation.phase is Phase.DONE:
             return generation.call.answer_tokens
@@ -176,14 +181,14 @@
         left = max(0, generation.tokens_left)
         return int(generation.call.answer_tokens - left + _ROUNDING_TOKENS)
 
-    def slow_down(self, factor: float) -> None:
-        """Makes everything take ``factor`` times as long as set."""
+    def set_slow_factor(self, factor: float) -> None:
+        """Slows everything down by a factor."""
         self._advance()
         self._slow_factor = factor
         self._changed.set()
 
     def crash(self) -> None:
-        """Breaks all calls and loses the cache."""
+        """Fails all calls and drops the cache."""
         self.stats.crashes += 1
         for generation in [*self._running, *self._waiting]:
             self._end(generation, Phase.CRASHED)
@@ -191,13 +196,13 @@
         self._changed.set()
 
     def load(self) -> ModelLoad:
-        """Returns the load now."""
+        """Returns the current load."""
         return ModelLoad(
-            len(self._running), len(self._waiting), self.cache.held_tokens
+            len(self._running), len(self._waiting), self.cache.cached_tokens
         )
 
     async def export_blocks(self, branch: BranchKey) -> tuple[int, ...]:
-        """Copies a branch's prefix out, in its time."""
+        """Returns a branch's cached prefix after its transfer time."""
         chain = self.cache.chain(branch)
         await self._transfer(chain)
         return chain
@@ -205,7 +210,11 @@
     async def import_blocks(
         self, branch: BranchKey, hashes: tuple[int, ...]
     ) -> int:
-        """Loads a copied prefix, in its time, and returns its tokens."""
+        """Caches an exported prefix after its transfer time.
+
+        Returns:
+            Number of imported tokens.
+        """
         await self._transfer(hashes)
         self.cache.store(branch, hashes)
         self._seen_hashes.update(hashes)
@@ -231,13 +240,13 @@
     def _finish_phase(self, generation: Generation) -> None:
         call = generation.call
         if generation.phase is Phase.PREFILL:
-            self._remember(call.branch, call.prompt)
+            self._cache_prefix(call.branch, call.prompt)
             generation.phase = Phase.DECODE
             generation.tokens_left = call.answer_tokens
             self._changed.set()
             return
         self.stats.generated_tokens += call.answer_tokens
-        self._remember(call.branch, call.whole)
+        self._cache_prefix(call.branch, call.prompt_and_answer)
         self._end(generation, Phase.DONE)
         self._changed.set()
 
@@ -259,7 +268,7 @@
         recomputed = sum(h in self._seen_hashes for h in computed)
         self.stats.recomputed_tokens += recomputed * self._settings.block_tokens
 
-    def _remember(self, branch: BranchKey, blocks: Blocks) -> None:
+    def _cache_prefix(self, branch: BranchKey, blocks: Blocks) -> None:
         self.cache.store(branch, blocks.hashes)
         self._seen_hashes.update(blocks.hashes)
 
--- a/tools/standins/src/masticdale_standins/objects.py
+++ b/tools/standins/src/masticdale_standins/objects.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' platform's store, by its published protocol."""
+"""A fake of the platform's object store, by its published protocol."""
 
 import asyncio
 import dataclasses
@@ -11,16 +11,16 @@
     RawConnection,
     RawRequest,
     RawServer,
-    answer,
+    encode_response,
 )
 
 _ROOT = "/api/objects/"
 _JSON = {"Content-Type": "application/json"}
-_PAGE = 50
+_PAGE_SIZE = 50
 
 
 class StoreFault(enum.Enum):
-    """What the store does to every call."""
+    """Fault that the store applies to every call."""
 
     NONE = enum.auto()
     BUSY = enum.auto()
@@ -30,13 +30,14 @@
 
 @dataclasses.dataclass(slots=True)
 class StoreFaults:
-    """What goes wrong.
+    """Faults of the store.
 
     Attributes:
-        fault: Of every call.
-        lose_answers: This many writes are done and their connection is reset.
-        delay_s: Before each answer.
-        deaf: Watches are told of no changes; lists are right.
+        fault: Fault of every call.
+        responses_to_lose: Number of writes that take effect and then reset
+            their connection.
+        delay_s: Delay before each response, in seconds.
+        omits_watch_events: Watches report no changes; lists stay correct.
     """
 
     fault: StoreFault = StoreFault.NONE
@@ -49,8 +50,8 @@
     """Objects by kind and name, with revisions and watches.
 
     Attributes:
-        faults: What goes wrong.
-        calls: Calls so far, by method.
+        faults: Active faults.
+        calls: Number of calls by HTTP method.
     """
 
     def __init__(self) -> None:
@@ -58,30 +59,30 @@
         self.calls: dict[str, int] = {}
         self._server = RawServer(self._handle)
         self._revision = 1
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._object_by_key: dict[tuple[str, str], dict[str, Any]] = {}
         self._events: list[tuple[int, str, dict[str, Any], bool]] = []
         self._changed = asyncio.Event()
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """Listening port."""
         return self._server.port
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts to listen."""
         await self._server.start()
 
     async def stop(self) -> None:
-        """Stops."""
+        """Stops listening and drops all connections."""
         await self._server.stop()
 
     def put(self, kind: str, name: str, spec: Any) -> None:
-        """Writes an object as its owner or the operator would."""
+        """Writes an object without a request."""
         self._store(kind, name, spec)
 
     def get(self, kind: str, name: str) -> Any:
-        """Returns an object's spec; None where there is none."""
+        """Returns an object's spec; None if it doesn't exist."""
         item = self._object_by_key.get((kind, name))
         return item["spec"] if item else None
 
@@ -98,24 +99,24 @@
         item = self._object_by_key.pop((kind, name), None)
         if item is not None:
             self._revision += 1
-            self._note(kind, item, deleted=True)
+            self._record_event(kind, item, deleted=True)
 
     async def reset_connections(self) -> None:
-        """Resets every connection."""
-        await self._server.reset_all()
+        """Drops every connection, including those of watches."""
+        await self._server.reset_connections()
 
     def compact_history(self) -> None:
-        """Drops the history: watches from now or before answer 410."""
-        self._forgotten = self._revision + 1
+        """Drops the history; watches from older revisions get 410."""
+        self._compacted_revision = self._revision + 1
         self._revision += 1
-        self._wake()
+        self._notify_watchers()
 
     async def _handle(
         self, request: RawRequest, connection: RawConnection
     ) -> None:
         self.calls[request.method] = self.calls.get(request.method, 0) + 1
         await asyncio.sleep(self.faults.delay_s)
-        if await self._fails(request, connection):
+        if await self._apply_fault(request, connection):
             return
         path, _, query = request.target.partition("?")
         parts = path.removeprefix(_ROOT).split("/")
@@ -129,13 +130,15 @@
                 self.faults.responses_to_lose -= 1
                 connection.reset()
                 return
-        await connection.write(answer(status, _JSON, json.dumps(body).encode()))
+        await connection.write(
+            encode_response(status, _JSON, json.dumps(body).encode())
+        )
 
-    async def _fails(
+    async def _apply_fault(
         self, request: RawRequest, connection: RawConnection
     ) -> bool:
         if self.faults.fault is StoreFault.BUSY:
-            await connection.write(answer(503, _JSON))
+            await connection.write(encode_response(503, _JSON))
         elif self.faults.fault is StoreFault.UNRESPONSIVE:
             await asyncio.sleep(3600)
         elif self.faults.fault is StoreFault.RESET:
@@ -156,7 +159,7 @@
         found = sorted(
             n for k, n in self._object_by_key if k == names[0] and n > after
         )
-        page = found[:_PAGE]
+        page = found[:_PAGE_SIZE]
         items = [self._object_by_key[(names[0], n)] for n in page]
         return 200, {
             "items": items,
@@ -171,7 +174,7 @@
         end = asyncio.get_running_loop().time()
         end += int(parameters.get("wait_ms", "0")) / 1000
         while True:
-            if since < self._forgotten:
+            if since < self._compacted_revision:
                 return 410, {}
             if self.faults.fault is not StoreFault.NONE:
                 return 503, {}
@@ -221,8 +224,10 @@
 
     def _store(self, kind: str, name: str, spec: Any) -> dict[str, Any]:
         self._revision += 1
-        known = self._object_by_key.get((kind, name))
-        created = known["metadata"]["created_rev"] if known else self._revision
+        existing = self._object_by_key.get((kind, name))
+        created = (
+            existing["metadata"]["created_rev"] if existing else self._revision
+        )
         item: dict[str, Any] = {
             "metadata": {
                 "name": name,
@@ -232,16 +237,18 @@
                 "deleting": False,
             },
             "spec": spec,
-            "status": known["status"] if known else None,
+            "status": existing["status"] if existing else None,
         }
         self._object_by_key[(kind, name)] = item
-        self._note(kind, item, deleted=False)
+        self._record_event(kind, item, deleted=False)
         return item
 
-    def _note(self, kind: str, item: dict[str, Any], *, deleted: bool) -> None:
+    def _record_event(
+        self, kind: str, item: dict[str, Any], *, deleted: bool
+    ) -> None:
         self._events.append((self._revision, kind, item, deleted))
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
--- a/tools/standins/src/masticdale_standins/platform.py
+++ b/tools/standins/src/masticdale_standins/platform.py
@@ -1,4 +1,4 @@
-"""The stand-in of the platform's object API; the client lists the wire."""
+"""A fake of the platform's object API; see ``PlatformClient`` for the API."""
 
 import asyncio
 import base64
@@ -17,7 +17,7 @@
 from masticdale_common import ErrorKind, Failure, StrictModel
 from masticdale_platform import ListedHost, StoredObject, WatchBatch
 from masticdale_platform.testing import MemoryStore
-from masticdale_standins.http import AppResponse, cut_answer, hang
+from masticdale_standins.http import AsgiResponse, abort_response, never_respond
 from masticdale_standins.settings import PlatformSettings
 
 _BODY_LIMIT_BYTES = 4_000_000
@@ -31,17 +31,17 @@
 
 
 class PlatformFaults(StrictModel):
-    """What goes wrong; each POST replaces all of it.
+    """Faults of the platform; each POST replaces all of them.
 
     Attributes:
-        down: Every call answers 503.
-        hang: Every call is taken and never answered.
-        delay_ms: Every call takes this much longer.
-        lose_write_answers: This many writes take effect, and their connection
-            breaks.
-        drop_writes: This many writes take no effect, and their connection
-            breaks.
-        freeze_watches: Watches never answer.
+        down: Every call gets 503.
+        hang: Every call is accepted and never answered.
+        delay_ms: Additional delay of every call.
+        lose_write_answers: Number of writes that take effect and then lose
+            their connection.
+        drop_writes: Number of writes that lose their connection without
+            taking effect.
+        freeze_watches: Watches are never answered.
     """
 
     down: bool = False
@@ -53,12 +53,12 @@
 
 
 class HostChange(StrictModel):
-    """A change of the list; neither flag means the host is live.
+    """A change of the host list; without flags the host is live.
 
     Attributes:
         name: The entry host or upstream.
-        leaving: It is being taken away.
-        removed: It is gone.
+        leaving: Whether it is being removed.
+        removed: Whether it is removed.
     """
 
     name: str
@@ -67,11 +67,11 @@
 
 
 class PlatformStats(pydantic.BaseModel):
-    """What the stand-in has been asked.
+    """Totals of the calls received.
 
     Attributes:
-        count_by_call: Calls by method and kind, refused ones too.
-        refused: Calls beyond the call budget.
+        count_by_call: Number of calls by operation, including refused ones.
+        refused: Number of calls refused by the rate limit.
         bytes_written: Bytes of accepted values.
     """
 
@@ -80,21 +80,21 @@
     bytes_written: int
 
 
-class CallBudget:
-    """So many calls each second, with one second's worth in hand."""
+class TokenBucket:
+    """A token bucket with a burst of one second; 0 disables the limit."""
 
     def __init__(self, calls_per_s: int) -> None:
         self._calls_per_s = calls_per_s
         self._available = float(calls_per_s)
-        self._filled_at = time.monotonic()
+        self._refilled_at = time.monotonic()
 
     def take(self) -> bool:
-        """Returns whether one more call fits."""
+        """Takes a token; returns whether one was available."""
         if not self._calls_per_s:
             return True
         now = time.monotonic()
-        filled = (now - self._filled_at) * self._calls_per_s
-        self._filled_at = now
+        filled = (now - self._refilled_at) * self._calls_per_s
+        self._refilled_at = now
         self._available = min(self._calls_per_s, self._available + filled)
         if self._available < 1:
             return False
@@ -108,21 +108,21 @@
     due_at: float
 
 
-class LaggingList:
-    """The list of hosts and upstreams, which shows changes late."""
+class DelayedHostList:
+    """A list of hosts and upstreams that applies changes after a delay."""
 
     def __init__(self, names: tuple[str, ...], lag_s: float) -> None:
         self._lag_s = lag_s
         self._host_by_name = {n: ListedHost(n, leaving=False) for n in names}
         self._pending: collections.deque[_PendingChange] = collections.deque()
 
-    def change(self, change: HostChange) -> None:
-        """Takes a change that is shown after the lag."""
+    def schedule_change(self, change: HostChange) -> None:
+        """Schedules a change to take effect after the delay."""
         due_at = time.monotonic() + self._lag_s
         self._pending.append(_PendingChange(change, due_at))
 
-    def shown(self) -> list[ListedHost]:
-        """Returns what the list shows now."""
+    def visible_hosts(self) -> list[ListedHost]:
+        """Returns the hosts after all changes that are due."""
         while self._pending and self._pending[0].due_at <= time.monotonic():
             change = self._pending.popleft().change
             host = ListedHost(change.name, change.leaving)
@@ -133,18 +133,18 @@
 
 
 class Platform:
-    """The state of the stand-in."""
+    """State of the fake platform."""
 
     def __init__(self, settings: PlatformSettings) -> None:
         self.store = MemoryStore()
         self.freeze_watches = False
         self.hangs = False
-        self.hosts = LaggingList(
+        self.hosts = DelayedHostList(
             settings.hosts + settings.upstreams, settings.hosts_lag_ms / 1000
         )
         self.bytes_written = 0
-        self._write_budget = CallBudget(settings.writes_per_s)
-        self._read_budget = CallBudget(settings.reads_per_s)
+        self._write_budget = TokenBucket(settings.writes_per_s)
+        self._read_budget = TokenBucket(settings.reads_per_s)
         self._count_by_call: collections.Counter[str] = collections.Counter()
         self._refused = 0
 
@@ -157,8 +157,8 @@
         self.store.faults.lose_write_answers = faults.lose_write_answers
         self.store.faults.drop_writes = faults.drop_writes
 
-    def admits(self, call: str, is_write: bool = False) -> bool:
-        """Counts a call and returns whether the call budget covers it."""
+    def admit(self, call: str, is_write: bool = False) -> bool:
+        """Counts a call and returns whether the rate limit admits it."""
         self._count_by_call[call] += 1
         budget = self._write_budget if is_write else self._read_budget
         admitted = budget.take()
@@ -166,7 +166,7 @@
         return admitted
 
     def stats(self) -> PlatformStats:
-        """Returns what has been asked."""
+        """Returns the totals of the calls received."""
         return PlatformStats(
             count_by_call=dict(self._count_by_call),
             refused=self._refused,
@@ -179,13 +179,13 @@
 
 @litestar.get("/v1/objects/{key:path}")
 async def read_object(platform: Platform, key: str) -> Reply:
-    """Answers the value, with the version as a header."""
-    refusal = _refuse(platform, "read")
+    """Returns the value, with the version in a header."""
+    refusal = _check_admission(platform, "read")
     if refusal is not None:
         return refusal
-    outcome = await platform.store.read(_plain(key))
+    outcome = await platform.store.read(_strip_slash(key))
     if isinstance(outcome, Failed):
-        return _failed(outcome)
+        return _create_error_reply(outcome)
     stored = outcome.unwrap()
     if stored is None:
         return Reply(None, status_code=404)
@@ -200,13 +200,13 @@
 async def write_object(
     platform: Platform, key: str, body: bytes, if_version: _IfVersion
 ) -> Reply:
-    """Writes if the stored version is the one given."""
-    refusal = _refuse(platform, "write", is_write=True)
+    """Writes a value if the stored version matches."""
+    refusal = _check_admission(platform, "write", is_write=True)
     if refusal is not None:
         return refusal
-    outcome = await platform.store.write(_plain(key), body, if_version)
+    outcome = await platform.store.write(_strip_slash(key), body, if_version)
     if isinstance(outcome, Failed):
-        return _failed(outcome)
+        return _create_error_reply(outcome)
     platform.bytes_written += len(body)
     return Reply({"version": outcome.unwrap()})
 
@@ -215,25 +215,25 @@
 async def delete_object(
     platform: Platform, key: str, if_version: _IfVersion
 ) -> Reply:
-    """Deletes if the stored version is the one given."""
-    refusal = _refuse(platform, "delete", is_write=True)
+    """Deletes an object if the stored version matches."""
+    refusal = _check_admission(platform, "delete", is_write=True)
     if refusal is not None:
         return refusal
-    outcome = await platform.store.delete(_plain(key), if_version)
+    outcome = await platform.store.delete(_strip_slash(key), if_version)
     if isinstance(outcome, Failed):
-        return _failed(outcome)
+        return _create_error_reply(outcome)
     return Reply(None, status_code=204)
 
 
 @litestar.get("/v1/list")
 async def list_objects(platform: Platform, prefix: str) -> Reply:
-    """Answers every object under a prefix."""
-    refusal = _refuse(platform, "list")
+    """Returns all objects under a prefix."""
+    refusal = _check_admission(platform, "list")
     if refusal is not None:
         return refusal
     outcome = await platform.store.list(prefix)
     if isinstance(outcome, Failed):
-        return _failed(outcome)
+        return _create_error_reply(outcome)
     return Reply({"objects": [_to_json(o) for o in outcome.unwrap()]})
 
 
@@ -241,15 +241,15 @@
 async def watch_objects(
     platform: Platform, prefix: str, position: int, wait_ms: int
 ) -> Reply:
-    """Answers what changed since a position, or waits for it."""
-    refusal = _refuse(platform, "watch")
+    """Returns the changes since a position, waiting for the first."""
+    refusal = _check_admission(platform, "watch")
     if refusal is not None:
         return refusal
     outcome = await platform.store.watch(prefix, position, wait_ms / 1000)
     if platform.freeze_watches:
-        return AppResponse(hang)
+        return AsgiResponse(never_respond)
     if isinstance(outcome, Failed):
-        return _failed(outcome)
+        return _create_error_reply(outcome)
     batch: WatchBatch = outcome.unwrap()
     return Reply(
         {
@@ -262,21 +262,21 @@
 
 @litestar.get("/v1/hosts")
 async def list_hosts(platform: Platform) -> Reply:
-    """Answers the lagging list of hosts and upstreams."""
-    refusal = _refuse(platform, "hosts")
+    """Returns the delayed list of hosts and upstreams."""
+    refusal = _check_admission(platform, "hosts")
     if refusal is not None:
         return refusal
-    platform.store.listed_hosts = platform.hosts.shown()
+    platform.store.listed_hosts = platform.hosts.visible_hosts()
     outcome = await platform.store.hosts()
     if isinstance(outcome, Failed):
-        return _failed(outcome)
+        return _create_error_reply(outcome)
     hosts = [dataclasses.asdict(host) for host in outcome.unwrap()]
     return Reply({"hosts": hosts})
 
 
 @litestar.get("/v1/health")
 async def health() -> Reply:
-    """Answers as soon as the process serves, whatever the faults."""
+    """Reports that the process is serving, independently of the faults."""
     return Reply({"serving": True})
 
 
@@ -288,18 +288,18 @@
 
 @litestar.post("/admin/hosts", status_code=204)
 async def change_host(platform: Platform, data: HostChange) -> None:
-    """Changes the list after its lag."""
-    platform.hosts.change(data)
+    """Schedules a change of the host list."""
+    platform.hosts.schedule_change(data)
 
 
 @litestar.get("/admin/stats")
 async def stats(platform: Platform) -> PlatformStats:
-    """Answers what has been asked."""
+    """Returns the totals of the calls received."""
     return platform.stats()
 
 
 def create_app(settings: PlatformSettings) -> litestar.Litestar:
-    """Returns the stand-in as an ASGI app."""
+    """Creates the ASGI app of the fake platform."""
     platform = Platform(settings)
 
     async def provide() -> Platform:
@@ -325,25 +325,25 @@
     )
 
 
-def _plain(key: str) -> str:
-    # Litestar's path parameters keep the slash before them.
+def _strip_slash(key: str) -> str:
+    # Litestar's path parameters start with a slash.
     return key.removeprefix("/")
 
 
-def _refuse(
+def _check_admission(
     platform: Platform, call: str, is_write: bool = False
 ) -> Reply | None:
     if platform.hangs:
-        return AppResponse(hang)
-    if platform.admits(call, is_write):
+        return AsgiResponse(never_respond)
+    if platform.admit(call, is_write):
         return None
     return Reply(None, status_code=429)
 
 
-def _failed(outcome: Result[Any, Failure]) -> Reply:
+def _create_error_reply(outcome: Result[Any, Failure]) -> Reply:
     failure = outcome.failure()
     if failure.kind is ErrorKind.WRITE_UNKNOWN:
-        return AppResponse(cut_answer)
+        return AsgiResponse(abort_response)
     return Reply(None, status_code=_STATUS_BY_KIND[failure.kind])
 
 
--- a/tools/standins/src/masticdale_standins/raw_http.py
+++ b/tools/standins/src/masticdale_standins/raw_http.py
@@ -1,4 +1,4 @@
-"""An HTTP server whose answers may break the protocol in any way."""
+"""An HTTP server whose handlers write raw, possibly invalid responses."""
 
 import asyncio
 import dataclasses
@@ -13,14 +13,14 @@
 
 @dataclasses.dataclass(slots=True)
 class RawRequest:
-    """A request as it was read.
+    """A request.
 
     Attributes:
-        method: Such as GET.
+        method: HTTP method.
         target: Path and query.
         header_by_name: Headers by lowercase name.
         body: The body.
-        arrived_at: Monotonic seconds when it was whole.
+        arrived_at: Monotonic time when it was complete.
     """
 
     method: str = ""
@@ -30,9 +30,9 @@
     arrived_at: float = 0.0
 
 
-class _Collector:
+class _RequestCollector:
     def __init__(self) -> None:
-        self.whole: list[RawRequest] = []
+        self.complete: list[RawRequest] = []
         self._request = RawRequest()
         self.parser = httptools.HttpRequestParser(self)
 
@@ -51,26 +51,26 @@
     def on_message_complete(self) -> None:
         self._request.method = self.parser.get_method().decode()
         self._request.arrived_at = time.monotonic()
-        self.whole.append(self._request)
+        self.complete.append(self._request)
 
 
 class RawConnection:
-    """A connection that the stand-in writes to as it likes."""
+    """A connection to which handlers write raw bytes."""
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
         self._writer = writer
 
     async def write(self, data: bytes) -> None:
-        """Writes bytes as they are."""
+        """Writes bytes unchanged."""
         self._writer.write(data)
         await self._writer.drain()
 
     def close(self) -> None:
-        """Closes in order."""
+        """Closes the connection with FIN."""
         self._writer.close()
 
     def reset(self) -> None:
-        """Resets the connection, as a crashed machine's kernel does."""
+        """Resets the connection, as the kernel does after a crash."""
         reset_connection(self._writer)
 
 
@@ -78,11 +78,11 @@
 
 
 class RawServer:
-    """Listens on a loopback port.
+    """Serves a loopback port.
 
     Attributes:
-        port: The port; 0 before ``start``.
-        connections: Connections accepted so far.
+        port: Listening port; 0 before ``start``.
+        connections: Number of accepted connections.
     """
 
     def __init__(self, handler: Handler) -> None:
@@ -93,22 +93,22 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def start(self, port: int = 0) -> None:
-        """Begins to listen; 0 takes a free port."""
+        """Starts to listen on a port; 0 picks a free one."""
         self._server = await asyncio.start_server(
             self._serve, "127.0.0.1", port
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Stops to listen and drops every connection."""
+        """Stops listening and drops every connection."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def reset_all(self) -> None:
-        """Drops every connection and goes on to listen."""
+    async def reset_connections(self) -> None:
+        """Drops every connection and keeps listening."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.sleep(0)
@@ -123,7 +123,7 @@
         try:
             await self._read(reader, RawConnection(writer))
         except (OSError, asyncio.CancelledError):
-            pass  # The other end has gone, or this server stops.
+            pass  # The peer disconnected, or this server stops.
         finally:
             self._tasks.discard(task)
             writer.transport.abort()
@@ -131,18 +131,18 @@
     async def _read(
         self, reader: asyncio.StreamReader, connection: RawConnection
     ) -> None:
-        collector = _Collector()
+        collector = _RequestCollector()
         while data := await reader.read(65_536):
             collector.parser.feed_data(data)
-            while collector.whole:
-                await self._until_gone(
-                    reader, self._handler(collector.whole.pop(0), connection)
+            while collector.complete:
+                await self._run_until_disconnect(
+                    reader, self._handler(collector.complete.pop(0), connection)
                 )
 
-    async def _until_gone(
+    async def _run_until_disconnect(
         self, reader: asyncio.StreamReader, work: Awaitable[None]
     ) -> None:
-        """Stops the work once the caller has closed, as replicas do."""
+        """Cancels the work once the client disconnects, as replicas do."""
         task = asyncio.ensure_future(work)
         try:
             while not task.done():
@@ -150,25 +150,25 @@
                 if reader.at_eof() and not task.done():
                     task.cancel()
         finally:
-            # This server may be stopped meanwhile, and its work with it.
+            # This task may have been cancelled by ``stop``.
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Ends a connection by a reset; nothing more of it is sent."""
+    """Closes a connection with RST and discards unsent data."""
     sock = writer.get_extra_info("socket")
     if sock is not None and not writer.transport.is_closing():
-        # Without this the kernel ends the connection in order.
+        # Without SO_LINGER 0 the kernel closes the connection with FIN.
         linger = struct.pack("ii", 1, 0)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     writer.transport.abort()
 
 
-def answer(
+def encode_response(
     status: int, header_by_name: dict[str, str], body: bytes = b""
 ) -> bytes:
-    """Returns a whole response with a length."""
+    """Encodes a complete response with Content-Length."""
     lines = [f"HTTP/1.1 {status} Stand-in"]
     lines += [f"{name}: {value}" for name, value in header_by_name.items()]
     lines.append(f"Content-Length: {len(body)}")
--- a/tools/standins/src/masticdale_standins/replicas.py
+++ b/tools/standins/src/masticdale_standins/replicas.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' platform's replicas, sound or not."""
+"""A fake of the platform's replicas, with faults."""
 
 import asyncio
 import dataclasses
@@ -9,14 +9,14 @@
     RawConnection,
     RawRequest,
     RawServer,
-    answer,
+    encode_response,
 )
 
-_NUMBERS = itertools.count(1)
+_REPLICA_NUMBERS = itertools.count(1)
 
 
 class ReplicaFault(enum.Enum):
-    """What a replica does to a request."""
+    """Fault that a replica applies to a request."""
 
     NONE = enum.auto()
     OVERLOADED = enum.auto()
@@ -36,15 +36,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Behaviour:
-    """How a replica answers.
+    """How a replica responds.
 
     Attributes:
-        fault: What goes wrong.
-        times: How many requests it goes wrong for.
-        events: Events of a stream.
-        event_s: Between two events.
-        work_s: Before the answer.
-        cut_after: Events before a cut.
+        fault: Fault of each request.
+        times: Number of requests that get the fault.
+        events: Number of events of a stream.
+        event_s: Interval between two events, in seconds.
+        work_s: Processing time before the response, in seconds.
+        cut_after: Number of events before a truncated stream ends.
     """
 
     fault: ReplicaFault = ReplicaFault.NONE
@@ -56,19 +56,20 @@
 
 
 class FakeReplica:
-    """One replica.
+    """A fake replica.
 
     Attributes:
-        id: Its id.
-        service: What it serves.
-        behaviour: How it answers.
-        seen: Requests that reached it.
-        ran: Those of them that it began to run.
-        abandoned: Requests whose caller left while they ran.
+        id: Id of the replica.
+        service: Name of its service.
+        behaviour: How it responds.
+        received_requests: Requests received.
+        executed_requests: Received requests that it began to execute.
+        abandoned: Number of requests whose client disconnected before the
+            response was complete.
     """
 
     def __init__(self, service: str, is_stream: bool) -> None:
-        self.id = f"i-{next(_NUMBERS):08x}"
+        self.id = f"i-{next(_REPLICA_NUMBERS):08x}"
         self.service = service
         self.behaviour = Behaviour()
         self.received_requests: list[RawRequest] = []
@@ -79,24 +80,24 @@
 
     @property
     def port(self) -> int:
-        """Where it listens; 0 before the first start."""
+        """Listening port; 0 before the first start."""
         return self._server.port
 
     @property
     def connections(self) -> int:
-        """Connections accepted so far."""
+        """Number of accepted connections."""
         return self._server.connections
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts to listen, on the same port after a restart."""
         await self._server.start(self._server.port)
 
     async def stop(self) -> None:
-        """Ends as a crash does."""
+        """Stops listening and drops all connections, as a crash does."""
         await self._server.stop()
 
     def entry(self, **changes: object) -> dict[str, object]:
-        """Returns what it writes about itself into the store."""
+        """Returns its entry for the store, with changed fields."""
         return {
             "service": self.service,
             "address": f"127.0.0.1:{self._server.port}",
@@ -116,15 +117,15 @@
         expected = request.header_by_name.get("expect-instance", self.id)
         if expected != self.id:
             headers = {"Instance-Id": self.id}
-            await connection.write(answer(421, headers))
+            await connection.write(encode_response(421, headers))
             return
         try:
-            await self._answer(request, connection)
+            await self._respond(request, connection)
         except asyncio.CancelledError:
             self.abandoned += 1
             raise
 
-    async def _answer(
+    async def _respond(
         self, request: RawRequest, connection: RawConnection
     ) -> None:
         behaviour = self.behaviour
@@ -137,7 +138,7 @@
             ReplicaFault.OVERLOADED,
             ReplicaFault.OVERLOADED_TRUNCATED,
         ):
-            refusal = answer(503, {"Not-Executed": "1"}, b"full")
+            refusal = encode_response(503, {"Not-Executed": "1"}, b"full")
             if fault is ReplicaFault.OVERLOADED:
                 await connection.write(refusal)
                 return
@@ -152,12 +153,12 @@
         elif fault is ReplicaFault.MALFORMED:
             await connection.write(b"\x00\x01 not a response\r\n\r\n")
         elif fault is ReplicaFault.SERVER_ERROR:
-            await connection.write(answer(500, headers, b"failed"))
+            await connection.write(encode_response(500, headers, b"failed"))
         elif self._is_stream:
-            await self._stream(request, connection, headers, fault)
+            await self._send_stream(request, connection, headers, fault)
         else:
             await asyncio.sleep(behaviour.work_s)
-            await self._whole(connection, headers, fault)
+            await self._send_unary(connection, headers, fault)
 
     def _headers(self, request: RawRequest) -> dict[str, str]:
         request_id = request.header_by_name.get("request-id", "")
@@ -167,7 +168,7 @@
             "Server-Load": "1,0,8",
         }
 
-    async def _whole(
+    async def _send_unary(
         self,
         connection: RawConnection,
         headers: dict[str, str],
@@ -180,23 +181,25 @@
             headers["Content-Encoding"] = "gzip"
         elif fault is ReplicaFault.WRONG_REQUEST:
             other = headers | {"Request-Id": "another"}
-            await connection.write(answer(200, other, b"of another"))
+            await connection.write(encode_response(200, other, b"of another"))
         elif fault is ReplicaFault.TRUNCATED:
-            await connection.write(answer(200, headers, body)[:-3])
+            await connection.write(encode_response(200, headers, body)[:-3])
             connection.close()
             return
         elif fault in (
             ReplicaFault.CLOSE_DELIMITED,
             ReplicaFault.CLOSE_DELIMITED_RESET,
         ):
-            await self._unframed(connection, headers, body, fault)
+            await self._send_close_delimited(connection, headers, body, fault)
             return
-        data = answer(200, headers, body)
+        data = encode_response(200, headers, body)
         if fault is ReplicaFault.EXTRA_RESPONSE:
-            data += answer(200, headers | {"Request-Id": "another"}, b"more")
+            data += encode_response(
+                200, headers | {"Request-Id": "another"}, b"more"
+            )
         await connection.write(data)
 
-    async def _unframed(
+    async def _send_close_delimited(
         self,
         connection: RawConnection,
         headers: dict[str, str],
@@ -212,7 +215,7 @@
         await asyncio.sleep(0.05)
         connection.reset()
 
-    async def _stream(
+    async def _send_stream(
         self,
         request: RawRequest,
         connection: RawConnection,
--- a/tools/standins/src/masticdale_standins/service.py
+++ b/tools/standins/src/masticdale_standins/service.py
@@ -1,4 +1,4 @@
-"""The stand-in of a plain service, which records every execution."""
+"""A fake service that records every execution."""
 
 import asyncio
 import collections
@@ -11,12 +11,12 @@
 from litestar.params import Parameter
 
 from masticdale_common import StrictModel
-from masticdale_standins.http import AppResponse, cut_answer, hang
+from masticdale_standins.http import AsgiResponse, abort_response, never_respond
 from masticdale_standins.settings import ServiceSettings
 from masticdale_upstreams import wire
 from masticdale_upstreams.testing import expected_result
 
-_CROSSED_KEY = "crossed"
+_WRONG_KEY = "crossed"
 _Key = Annotated[
     str, Parameter(header=wire.IDEMPOTENCY_KEY_HEADER, min_length=1)
 ]
@@ -24,15 +24,16 @@
 
 
 class ServiceFaults(StrictModel):
-    """What goes wrong; each POST replaces all of it.
+    """Faults of the service; each POST replaces all of them.
 
     Attributes:
-        delay_ms: Each operation takes this much longer before it runs.
-        lose_answers: This many operations run, and their connection breaks.
-        hang: Operations run and never answer.
-        refuse_before_running: This many operations answer 503 and don't run.
-        cross_answers: This many operations run and answer another's key.
-        leaving: Health says that the service leaves.
+        delay_ms: Additional delay before each operation runs.
+        lose_answers: Number of operations that run and then lose their
+            connection.
+        hang: Operations run and are never answered.
+        refuse_before_running: Number of operations that get 503 and don't run.
+        cross_answers: Number of operations that run and return another key.
+        leaving: Whether health reports that the service is leaving.
     """
 
     delay_ms: int = pydantic.Field(default=0, ge=0)
@@ -44,12 +45,12 @@
 
 
 class Execution(pydantic.BaseModel):
-    """How often one key was executed.
+    """Number of executions of an operation under one key.
 
     Attributes:
         key: The idempotency key.
         operation: The operation.
-        count: Executions under that key.
+        count: Number of executions.
     """
 
     key: str
@@ -64,7 +65,7 @@
 
 
 class Service:
-    """The state of the stand-in."""
+    """State of the fake service."""
 
     def __init__(self, settings: ServiceSettings) -> None:
         self.settings = settings
@@ -72,9 +73,9 @@
         self.hangs = False
         self.leaving = False
         self.result_by_key: dict[str, str] = {}
-        self._answers_to_lose = 0
-        self._refusals = 0
-        self._answers_to_cross = 0
+        self._responses_to_lose = 0
+        self._remaining_refusals = 0
+        self._responses_to_mismatch = 0
         self._count_by_operation: collections.Counter[_KeyedOperation] = (
             collections.Counter()
         )
@@ -84,12 +85,15 @@
         self.delay_ms = faults.delay_ms
         self.hangs = faults.hang
         self.leaving = faults.leaving
-        self._answers_to_lose = faults.lose_answers
-        self._refusals = faults.refuse_before_running
-        self._answers_to_cross = faults.cross_answers
+        self._responses_to_lose = faults.lose_answers
+        self._remaining_refusals = faults.refuse_before_running
+        self._responses_to_mismatch = faults.cross_answers
 
     def execute(self, key: str, operation: str, payload: str) -> str:
-        """Runs an operation and records that it ran."""
+        """Executes an operation and records the execution.
+
+        With ``deduplicates`` a known key returns the recorded result.
+        """
         if self.settings.deduplicates and key in self.result_by_key:
             return self.result_by_key[key]
         self._count_by_operation[_KeyedOperation(key, operation)] += 1
@@ -97,26 +101,28 @@
         return self.result_by_key[key]
 
     def executions(self) -> list[Execution]:
-        """Returns every execution by key and operation."""
+        """Returns the number of executions by key and operation."""
         return [
-            Execution(key=did.key, operation=did.operation, count=count)
-            for did, count in self._count_by_operation.items()
+            Execution(
+                key=executed.key, operation=executed.operation, count=count
+            )
+            for executed, count in self._count_by_operation.items()
         ]
 
-    def takes_refusal(self) -> bool:
-        """Returns whether this call is one to refuse."""
-        self._refusals -= 1
-        return self._refusals >= 0
+    def consume_refusal(self) -> bool:
+        """Returns whether to refuse this call, and counts it."""
+        self._remaining_refusals -= 1
+        return self._remaining_refusals >= 0
 
-    def takes_loss(self) -> bool:
-        """Returns whether this call's answer is one to lose."""
-        self._answers_to_lose -= 1
-        return self._answers_to_lose >= 0
+    def consume_loss(self) -> bool:
+        """Returns whether to lose this response, and counts it."""
+        self._responses_to_lose -= 1
+        return self._responses_to_lose >= 0
 
-    def takes_crossing(self) -> bool:
-        """Returns whether this call's answer is one to cross."""
-        self._answers_to_cross -= 1
-        return self._answers_to_cross >= 0
+    def consume_mismatch(self) -> bool:
+        """Returns whether to return a wrong key, and counts the response."""
+        self._responses_to_mismatch -= 1
+        return self._responses_to_mismatch >= 0
 
 
 Reply = litestar.Response[Any]
@@ -130,9 +136,9 @@
     idempotency_key: _Key,
     fencing: _Fencing,
 ) -> Reply:
-    """Runs one operation."""
+    """Executes an operation."""
     del fencing
-    if service.takes_refusal():
+    if service.consume_refusal():
         return Reply(
             None,
             status_code=503,
@@ -142,17 +148,17 @@
     await asyncio.sleep(duration_ms / 1000)
     result = service.execute(idempotency_key, operation, data.payload)
     if service.hangs:
-        return AppResponse(hang)
-    if service.takes_loss():
-        return AppResponse(cut_answer)
-    key = _CROSSED_KEY if service.takes_crossing() else idempotency_key
+        return AsgiResponse(never_respond)
+    if service.consume_loss():
+        return AsgiResponse(abort_response)
+    key = _WRONG_KEY if service.consume_mismatch() else idempotency_key
     return Reply(wire.OutcomeBody(key=key, result=result))
 
 
 @litestar.get("/v1/operations/by-key/{key:path}")
 async def look_up(service: Service, key: str) -> Reply:
-    """Answers what was done under a key."""
-    # Litestar's path parameters keep the slash before them.
+    """Returns the result recorded under a key."""
+    # Litestar's path parameters start with a slash.
     plain_key = key.removeprefix("/")
     result = service.result_by_key.get(plain_key)
     if result is None:
@@ -162,7 +168,7 @@
 
 @litestar.get("/v1/health")
 async def health(service: Service) -> wire.HealthBody:
-    """Answers whether the service leaves."""
+    """Reports whether the service is leaving."""
     return wire.HealthBody(
         incarnation=service.settings.name, leaving=service.leaving
     )
@@ -176,12 +182,12 @@
 
 @litestar.get("/admin/executions")
 async def executions(service: Service) -> list[Execution]:
-    """Answers every execution by key and operation."""
+    """Returns the number of executions by key and operation."""
     return service.executions()
 
 
 def create_app(settings: ServiceSettings) -> litestar.Litestar:
-    """Returns the stand-in as an ASGI app."""
+    """Creates the ASGI app of the fake service."""
     service = Service(settings)
 
     async def provide() -> Service:
--- a/tools/standins/src/masticdale_standins/settings.py
+++ b/tools/standins/src/masticdale_standins/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the stand-ins, each one JSON file."""
+"""Settings of the fakes, read from one JSON file each."""
 
 import pydantic
 
@@ -9,10 +9,10 @@
 
 
 class ListenSettings(StrictModel):
-    """Where a stand-in listens.
+    """Listening address of a fake.
 
     Attributes:
-        host: IP number.
+        host: IP address.
         port: TCP port.
     """
 
@@ -21,14 +21,14 @@
 
 
 class PlatformSettings(ListenSettings):
-    """The platform's object API.
+    """Settings of the platform's object API.
 
     Attributes:
-        hosts: Entry hosts on the list at start.
-        upstreams: Names of upstreams on the list at start.
-        hosts_lag_ms: How late the list shows a change.
-        writes_per_s: Call budget of writes; 0 for no limit.
-        reads_per_s: Call budget of all other calls; 0 for no limit.
+        hosts: Entry hosts on the host list at start.
+        upstreams: Names of upstreams on the host list at start.
+        hosts_lag_ms: Delay of changes of the host list.
+        writes_per_s: Rate limit of writes; 0 for none.
+        reads_per_s: Rate limit of all other calls; 0 for none.
     """
 
     hosts: tuple[str, ...] = ()
@@ -39,19 +39,19 @@
 
 
 class ModelSettings(StrictModel):
-    """How fast a model engine is and what it remembers.
+    """Speed and cache of a model engine.
 
     Attributes:
-        slots: Calls in the batch at once.
-        prefill_tokens_per_s: Shared by all calls in prefill.
-        decode_tokens_per_s: Of one call that decodes alone.
-        decode_slowdown: How much each further call in the batch slows
-            decoding: the rate is divided by 1 + slowdown * others.
-        cache_tokens: Tokens that the prefix cache holds.
-        block_tokens: Tokens of one cache block.
-        restore_interval: Prefixes are matched only at multiples of so many
-            tokens and at the ends of earlier prompts; 0 for any block.
-        transfer_tokens_per_s: Speed of cache export and import.
+        slots: Maximum number of calls in the batch.
+        prefill_tokens_per_s: Prefill rate, shared by all calls in prefill.
+        decode_tokens_per_s: Decode rate of a call that is alone in the batch.
+        decode_slowdown: Slowdown of decoding per further call in the batch;
+            the rate is divided by 1 + slowdown * others.
+        cache_tokens: Capacity of the prefix cache.
+        block_tokens: Tokens per cache block.
+        restore_interval: Prefixes match only at multiples of this many tokens
+            and at the ends of earlier prompts; 0 for any block.
+        transfer_tokens_per_s: Rate of cache export and import.
     """
 
     slots: int = pydantic.Field(default=8, ge=1)
@@ -65,20 +65,20 @@
 
 
 class EngineSettings(ListenSettings):
-    """A model engine.
+    """Settings of a model engine.
 
     Attributes:
-        name: Part of the incarnation that health shows.
-        model: Speed and memory.
-        obey_fencing: Whether smaller fencing numbers are refused.
-        max_waiting: Calls that may wait for a slot; more get 429.
-        line_interval_ms: Pause between text lines of one stream.
-        keepalive_ms: Longest pause without a line.
-        grace_ms: How long a call goes on without a reader.
-        load_lag_ms: How often the load report is renewed.
-        event_delay_ms: How late cache events appear.
-        event_loss_share: Share of cache events that are lost.
-        restart_ms: How long a crashed engine refuses calls.
+        name: Prefix of the incarnation that health reports.
+        model: Speed and cache.
+        obey_fencing: Whether stale fencing tokens are refused.
+        max_waiting: Queue length above which calls get 429.
+        line_interval_ms: Interval between text lines of a stream.
+        keepalive_ms: Interval of empty lines while there is no text.
+        grace_ms: Time after which a call without a reader is cancelled.
+        load_lag_ms: Interval between updates of the load report.
+        event_delay_ms: Delay of cache events.
+        event_loss_share: Fraction of cache events that are lost.
+        restart_ms: Time for which a crashed engine refuses calls.
         export_folder: Folder shared by engines for exported caches; empty to
             keep them in memory, for this engine only.
     """
@@ -98,12 +98,12 @@
 
 
 class ServiceSettings(ListenSettings):
-    """A plain service.
+    """Settings of a service.
 
     Attributes:
-        name: Part of the incarnation that health shows.
-        deduplicates: Whether a known key is answered without running again.
-        duration_ms: How long an operation takes.
+        name: Part of the incarnation that health reports.
+        deduplicates: Whether a known key returns the recorded result.
+        duration_ms: Duration of an operation.
     """
 
     name: str = "service"
--- a/tools/standins/src/masticdale_standins/streams.py
+++ b/tools/standins/src/masticdale_standins/streams.py
@@ -1,28 +1,28 @@
-"""Generations of the engine stand-in and the streams that read them."""
+"""Resumable streams of the fake engine's generations."""
 
 import asyncio
 import dataclasses
 from collections.abc import AsyncIterator
 
 from masticdale_common import hashing
-from masticdale_standins.http import CutError
+from masticdale_standins.http import StreamAbortedError
 from masticdale_standins.model import EngineModel, Generation, Phase
 from masticdale_standins.settings import EngineSettings
 from masticdale_upstreams import wire
 from masticdale_upstreams.testing import CHARACTERS_PER_TOKEN
 
-_CROSSED_ID = "crossed"
+_WRONG_REQUEST_ID = "crossed"
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class KeptStream:
-    """A generation with its text, kept for readers that come back.
+class RetainedStream:
+    """A generation and its text, retained so that readers can resume.
 
     Attributes:
-        request_id: The call's id.
-        generation: The model's side.
-        text: The whole answer, of which the generated part is shown.
-        readers: Connections that read it now.
+        request_id: Id of the call.
+        generation: The call in the model.
+        text: Full text of the answer; only the generated part is sent.
+        readers: Number of connections that read the stream.
     """
 
     request_id: str
@@ -32,75 +32,86 @@
 
 
 class StreamTable:
-    """The streams by request id, and what goes wrong with them."""
+    """Streams by request id, and their faults.
+
+    Attributes:
+        lines_to_mismatch: Number of next lines to send with a wrong request id.
+        streams_to_truncate: Number of next streams to end without end marker.
+    """
 
     def __init__(self, model: EngineModel, settings: EngineSettings) -> None:
-        self.lines_to_cross = 0
+        self.lines_to_mismatch = 0
         self.streams_to_truncate = 0
         self._model = model
         self._line_interval_s = settings.line_interval_ms / 1000
         self._keepalive_s = settings.keepalive_ms / 1000
         self._grace_s = settings.grace_ms / 1000
-        self._freezes = 0
-        self._stream_by_request_id: dict[str, KeptStream] = {}
-        self._guard_by_request_id: dict[str, asyncio.Task[None]] = {}
+        self._freeze_count = 0
+        self._stream_by_request_id: dict[str, RetainedStream] = {}
+        self._expiry_task_by_request_id: dict[str, asyncio.Task[None]] = {}
 
-    def add(self, stream: KeptStream, deadline_s: float) -> None:
-        """Keeps a stream until its readers are gone for the grace time.
+    def add(self, stream: RetainedStream, deadline_s: float) -> None:
+        """Retains a stream until it had no reader for the grace period.
 
         Args:
             stream: The stream.
-            deadline_s: After so long the call is cancelled.
+            deadline_s: Time after which the call is cancelled, in seconds.
         """
         self._stream_by_request_id[stream.request_id] = stream
-        self._guard_by_request_id[stream.request_id] = asyncio.create_task(
-            self._guard(stream, deadline_s)
+        self._expiry_task_by_request_id[stream.request_id] = (
+            asyncio.create_task(self._expire(stream, deadline_s))
         )
 
-    def find(self, request_id: str) -> KeptStream | None:
-        """Returns the stream of a request, if it is still kept."""
+    def find(self, request_id: str) -> RetainedStream | None:
+        """Returns the stream of a request; None if it is not retained."""
         return self._stream_by_request_id.get(request_id)
 
     def cancel(self, request_id: str) -> None:
-        """Ends a call and forgets its stream."""
-        guard = self._guard_by_request_id.pop(request_id, None)
-        if guard is not None:
-            guard.cancel()
+        """Cancels a call and drops its stream."""
+        expiry_task = self._expiry_task_by_request_id.pop(request_id, None)
+        if expiry_task is not None:
+            expiry_task.cancel()
         stream = self._stream_by_request_id.pop(request_id, None)
         if stream is not None:
             self._model.cancel(stream.generation)
 
     def clear(self) -> None:
-        """Forgets every stream, as a crash does."""
+        """Drops every stream, as a crash does."""
         for request_id in list(self._stream_by_request_id):
             self.cancel(request_id)
 
     def freeze(self) -> None:
-        """Makes every open connection silent for good; new ones work."""
-        self._freezes += 1
+        """Stops sending on all open connections; new ones work."""
+        self._freeze_count += 1
 
     async def lines(
-        self, stream: KeptStream, offset: int
+        self, stream: RetainedStream, offset: int
     ) -> AsyncIterator[bytes]:
         """Yields a stream's lines from an offset to the end marker.
 
+        Args:
+            stream: The stream.
+            offset: Offset in the answer, in characters.
+
         Raises:
-            CutError: The call was cancelled or the engine crashed.
+            StreamAbortedError: The call was cancelled or the engine crashed.
         """
-        freezes = self._freezes
+        freeze_count = self._freeze_count
         stream.readers += 1
         try:
             async for line in self._lines(stream, offset):
-                if freezes < self._freezes:
+                if freeze_count < self._freeze_count:
                     await asyncio.Event().wait()
-                if self._takes_crossing():
-                    line = line.model_copy(update={"request_id": _CROSSED_ID})
+                if self._consume_mismatch():
+                    line = line.model_copy(
+                        update={"request_id": _WRONG_REQUEST_ID}
+                    )
                 yield line.model_dump_json().encode() + b"\n"
         finally:
             stream.readers -= 1
 
     async def _lines(
-        self, stream: KeptStream, offset: int
+        self, stream: RetainedStream, offset: int
     ) -> AsyncIterator[wire.StreamLine]:
         loop = asyncio.get_running_loop()
         generation = stream.generation
@@ -108,7 +119,7 @@
         while True:
             ended = generation.ended.is_set()
             if ended and generation.phase is not Phase.DONE:
-                raise CutError
+                raise StreamAbortedError
             tokens = self._model.generated_tokens(generation)
             text = stream.text[offset : tokens * CHARACTERS_PER_TOKEN]
             if text or loop.time() - last_line_at >= self._keepalive_s:
@@ -132,26 +143,29 @@
         except TimeoutError:
             return
 
-    async def _guard(self, stream: KeptStream, deadline_s: float) -> None:
+    async def _expire(self, stream: RetainedStream, deadline_s: float) -> None:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + deadline_s
-        read_at = loop.time()
+        last_read_at = loop.time()
         poll_s = max(self._grace_s, self._line_interval_s) / 4
-        while loop.time() < deadline and loop.time() - read_at < self._grace_s:
+        while (
+            loop.time() < deadline
+            and loop.time() - last_read_at < self._grace_s
+        ):
             await asyncio.sleep(poll_s)
             if stream.readers:
-                read_at = loop.time()
-        self._guard_by_request_id.pop(stream.request_id, None)
+                last_read_at = loop.time()
+        self._expiry_task_by_request_id.pop(stream.request_id, None)
         self.cancel(stream.request_id)
 
-    def _takes_crossing(self) -> bool:
-        if not self.lines_to_cross:
+    def _consume_mismatch(self) -> bool:
+        if not self.lines_to_mismatch:
             return False
-        self.lines_to_cross -= 1
+        self.lines_to_mismatch -= 1
         return True
 
 
-def _end_line(stream: KeptStream) -> wire.EndLine:
+def _end_line(stream: RetainedStream) -> wire.EndLine:
     call = stream.generation.call
     return wire.EndLine(
         request_id=stream.request_id,
--- a/tools/standins/src/masticdale_standins/testing.py
+++ b/tools/standins/src/masticdale_standins/testing.py
@@ -1,4 +1,4 @@
-"""Starting and stopping stand-ins, and other processes, from tests."""
+"""Starts and stops fakes and other processes from tests."""
 
 import atexit
 import contextlib
@@ -25,8 +25,7 @@
 _STOP_TIMEOUT_S = 5.0
 _LOG_TAIL_BYTES = 4000
 _LOOPBACK = "127.0.0.1"
-# Below the ports that Linux gives to outgoing connections and to listeners
-# that name none.
+# Below the ephemeral port range of Linux.
 _PORTS = range(10_000, 32_000)
 _PORT_TRIES = 1000
 _RESERVATIONS = contextlib.ExitStack()
@@ -34,7 +33,7 @@
 
 
 class Kind(enum.StrEnum):
-    """Which stand-in."""
+    """Kind of a fake."""
 
     PLATFORM = "platform"
     ENGINE = "engine"
@@ -42,16 +41,16 @@
 
 
 class NotReadyError(Exception):
-    """A process did not begin to serve."""
+    """A process did not become ready in time."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class RunningProcess:
-    """A process that this one started.
+    """A child process.
 
     Attributes:
-        base_url: Where it serves.
-        log_path: What it wrote to its standard streams.
+        base_url: Base URL that it serves.
+        log_path: File with its standard output and error.
     """
 
     base_url: str
@@ -61,43 +60,43 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """Process id."""
         return self._process.pid
 
     @property
     def exit_code(self) -> int | None:
-        """How it ended; None while it runs."""
+        """Exit code; None while it runs."""
         return self._process.poll()
 
     def log_text(self) -> str:
-        """Returns the end of what it wrote."""
+        """Returns the end of its log."""
         return self.log_path.read_bytes()[-_LOG_TAIL_BYTES:].decode(
             errors="replace"
         )
 
     def pause(self) -> None:
-        """Stops its clock, as a long garbage collection would."""
+        """Suspends the process with SIGSTOP."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets it go on after ``pause``."""
+        """Resumes the process after ``pause``."""
         self._signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """Ends it at once, without any notice to it."""
+        """Kills the process with SIGKILL and waits for its exit."""
         self._signal(signal.SIGKILL)
         self._process.wait()
 
     def terminate(self) -> None:
-        """Asks it to stop and returns at once."""
+        """Sends SIGTERM without waiting for the exit."""
         self._signal(signal.SIGTERM)
 
     def wait(self, timeout_s: float = _STOP_TIMEOUT_S) -> int:
-        """Waits for its end and returns its exit code."""
+        """Waits for the exit and returns the exit code."""
         return self._process.wait(timeout_s)
 
     def stop(self, timeout_s: float = _STOP_TIMEOUT_S) -> None:
-        """Asks it to stop, ends it if it does not, and cleans up."""
+        """Terminates the process, kills it on timeout, and cleans up."""
         self.resume()
         self.terminate()
         try:
@@ -107,30 +106,33 @@
         self._folder.cleanup()
 
     def _signal(self, number: signal.Signals) -> None:
-        # A pid that was waited for may belong to another process by now.
+        # The pid of an exited process may have been reused.
         if self._process.poll() is None:
             os.kill(self._process.pid, number)
 
 
 def free_port() -> int:
-    """Returns a loopback TCP port that nothing else here will listen on.
+    """Reserves a loopback TCP port until this process exits.
 
-    Ports stand in settings before a process binds them, and are bound again
-    after its restart. Meanwhile the kernel would give a port of its own range
-    to any other listener, and the process would end with "address in use".
-    These lie below that range, and each is reserved, among all processes that
-    choose by this function, until the process that chose it ends.
+    Settings name a port before a process binds it and while the process
+    restarts. The kernel could give a port of its ephemeral range to another
+    listener in the meantime, and the process would fail with "address in use".
+    Reserved ports are below that range and exclusive among all processes that
+    use this function.
+
+    Raises:
+        NotReadyError: No free port was found.
     """
     for _ in range(_PORT_TRIES):
         port = random.choice(_PORTS)
         if _reserve(port) and _is_free(port):
             return port
-    raise NotReadyError(f"no port of {_PORT_TRIES} that were tried is free")
+    raise NotReadyError(f"no free port found after {_PORT_TRIES} attempts")
 
 
 def _reserve(port: int) -> bool:
-    # The same number of a datagram socket is the reservation: binding it is
-    # exclusive, and the kernel ends it with the process.
+    # A UDP socket bound to the same number is the reservation: the bind is
+    # exclusive, and the kernel releases it when the process exits.
     reservation = socket.socket(type=socket.SOCK_DGRAM)
     try:
         reservation.bind((_LOOPBACK, port))
@@ -156,12 +158,12 @@
     """Starts a command that reads a settings file.
 
     Args:
-        command: The command; the settings file's path is put at its end.
-        settings_json: What stands in the file.
-        base_url: Where the process will serve.
+        command: The command; the path of the settings file is appended.
+        settings_json: Content of the settings file.
+        base_url: Base URL that the process will serve.
 
     Returns:
-        The process, perhaps not ready yet.
+        The process, which may not be ready yet.
     """
     folder = tempfile.TemporaryDirectory(prefix="masticdale-")
     settings_path = pathlib.Path(folder.name, "settings.json")
@@ -178,14 +180,14 @@
 
 
 def start_process(kind: Kind, settings: ListenSettings) -> RunningProcess:
-    """Starts a stand-in.
+    """Starts a fake.
 
     Args:
-        kind: Which one.
-        settings: Its settings; host and port say where it serves.
+        kind: Kind of the fake.
+        settings: Its settings, with the listening address.
 
     Returns:
-        The process, perhaps not ready yet.
+        The process, which may not be ready yet.
     """
     module = "masticdale_standins.main"
     return start_command(
@@ -196,10 +198,10 @@
 
 
 def start_ready(kind: Kind, settings: ListenSettings) -> RunningProcess:
-    """Starts a stand-in and waits until it serves.
+    """Starts a fake and waits until it is ready.
 
     Raises:
-        NotReadyError: It does not serve in time; it is stopped.
+        NotReadyError: It is not ready in time; it is stopped.
     """
     process = start_process(kind, settings)
     try:
@@ -213,7 +215,7 @@
 
 @contextlib.contextmanager
 def log_if_not_ready(process: RunningProcess) -> Iterator[None]:
-    """Puts what a process wrote last, and how it ended, into the error."""
+    """Adds the end of a process's log and its exit code to the error."""
     try:
         yield
     except NotReadyError as error:
@@ -227,10 +229,10 @@
     path: str = "/v1/health",
     timeout_s: float = _READY_TIMEOUT_S,
 ) -> None:
-    """Waits until a process answers its health check.
+    """Waits until the health check of a process succeeds.
 
     Raises:
-        NotReadyError: It does not answer 200 in time.
+        NotReadyError: It does not succeed in time.
     """
     deadline = time.monotonic() + timeout_s
     with httpx.Client(timeout=timeout_s, trust_env=False) as http:
@@ -241,4 +243,4 @@
             except httpx.TransportError:
                 pass
             time.sleep(_POLL_S)
-    raise NotReadyError(f"{base_url}{path} does not answer")
+    raise NotReadyError(f"{base_url}{path} not ready after {timeout_s} s")
--- a/tools/standins/tests/test_cache.py
+++ b/tools/standins/tests/test_cache.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from masticdale_standins.cache import BranchKey, PrefixCache, blocks_of
+from masticdale_standins.cache import BranchKey, PrefixCache, split_into_blocks
 from masticdale_upstreams import CacheEventKind
 
 BLOCK = 2
@@ -15,7 +15,7 @@
 
 
 def hashes(text):
-    return blocks_of(text, BLOCK).hashes
+    return split_into_blocks(text, BLOCK).hashes
 
 
 def create_cache(blocks=100, restore_interval=0):
@@ -46,10 +46,10 @@
         cache, events = create_cache(blocks=4)
         cache.store(ANNE, hashes("a" * 3 * CHARACTERS))
         cache.store(BEN, hashes("b" * 2 * CHARACTERS))
-        self.assertEqual(cache.held_by_program(), {"anne": 4, "ben": 4})
+        self.assertEqual(cache.tokens_by_program(), {"anne": 4, "ben": 4})
         self.assertEqual(cache.match(hashes("a" * 24)), 4)
         cache.store(BEN, hashes("b" * 4 * CHARACTERS))
-        self.assertEqual(cache.held_by_program(), {"ben": 8})
+        self.assertEqual(cache.tokens_by_program(), {"ben": 8})
         self.assertIs(events[-1].kind, CacheEventKind.EVICTED)
         self.assertEqual(events[-1].program_id, "anne")
 
@@ -58,8 +58,8 @@
         cache.store(ANNE, hashes("a" * 8 + "x" * 8))
         cache.store(BEN, hashes("a" * 8 + "y" * 8))
         cache.release("anne")
-        self.assertEqual(cache.held_by_program(), {"ben": 4})
-        self.assertEqual(cache.held_tokens, 4)
+        self.assertEqual(cache.tokens_by_program(), {"ben": 4})
+        self.assertEqual(cache.cached_tokens, 4)
         self.assertEqual(cache.match(hashes("a" * 8 + "x" * 8)), 2)
 
     @settings(derandomize=True, deadline=None, max_examples=100)
@@ -78,15 +78,15 @@
         for branch, text, is_release in steps:
             if is_release:
                 cache.release(branch.program_id)
-                self.assertNotIn(branch.program_id, cache.held_by_program())
+                self.assertNotIn(branch.program_id, cache.tokens_by_program())
             else:
                 cache.store(branch, hashes(text))
-            self.assertLessEqual(cache.held_tokens, 8 * BLOCK)
-            held = sum(cache.held_by_branch().values())
-            self.assertGreaterEqual(held, cache.held_tokens)
+            self.assertLessEqual(cache.cached_tokens, 8 * BLOCK)
+            held = sum(cache.tokens_by_branch().values())
+            self.assertGreaterEqual(held, cache.cached_tokens)
         cache.release("anne")
         cache.release("ben")
-        self.assertEqual(cache.held_tokens, 0)
+        self.assertEqual(cache.cached_tokens, 0)
 
 
 if __name__ == "__main__":
--- a/tools/standins/tests/test_engine.py
+++ b/tools/standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the engine stand-in as a process, through the real client."""
+"""Tests of the fake engine as a process, through the production client."""
 
 import asyncio
 import tempfile
@@ -69,12 +69,11 @@
         (await client.release("prog")).unwrap()
         self.assertEqual((await client.held_programs()).unwrap(), ())
 
-    async def test_crossed_truncated_and_silent_streams_end_whole(self):
-        """The caller sees the whole answer to its own request.
+    async def test_mismatched_truncated_and_silent_streams_are_resumed(self):
+        """The client resumes on a new connection and returns the full answer.
 
-        The stand-in crosses a line, ends a stream early, or lets an open
-        connection go silent under way; each time the client resumes on a new
-        connection.
+        The faults are a line of another request, a truncated stream and an
+        open connection that stops sending.
         """
         client = await self.start()
         for name in ("cross_answers", "truncate"):
@@ -85,13 +84,13 @@
                 self.assertEqual(text, expected_answer(PROMPT, 200))
         with self.subTest("freeze_streams"):
             await self.set_faults()
-            begun = asyncio.Event()
+            started = asyncio.Event()
             task = asyncio.create_task(
                 client.generate(
-                    request("long", max_tokens=2000), lambda _: begun.set()
+                    request("long", max_tokens=2000), lambda _: started.set()
                 )
             )
-            await begun.wait()
+            await started.wait()
             await self.set_faults(freeze_streams=True)
             text = (await task).unwrap().text
             self.assertEqual(text, expected_answer(PROMPT, 2000))
@@ -101,25 +100,25 @@
         self.assertGreaterEqual(resumes, 3)
 
     async def test_a_marked_prompt_crashes_the_engine_for_all(self):
-        """Both callers see UPSTREAM_FAILED, later ones NO_UPSTREAM.
+        """A crash aborts other calls, drops the cache and refuses new calls.
 
-        A long call runs; a marked prompt crashes the engine, which loses its
-        cache, breaks both streams and refuses calls while it restarts.
+        Aborted calls fail with UPSTREAM_FAILED, calls during the restart with
+        NO_UPSTREAM.
         """
         client = await self.start(restart_ms=2000)
         before = (await client.health()).unwrap()
         await self.set_faults(crash_marker="boom")
-        begun = asyncio.Event()
-        innocent = asyncio.create_task(
+        started = asyncio.Event()
+        other = asyncio.create_task(
             client.generate(
-                request("r1", max_tokens=4000), lambda _: begun.set()
+                request("r1", max_tokens=4000), lambda _: started.set()
             )
         )
-        await begun.wait()
-        guilty = await client.generate(
+        await started.wait()
+        crashing = await client.generate(
             request("r2", ("boom",)), lambda chunk: None
         )
-        for outcome in (guilty, await innocent):
+        for outcome in (crashing, await other):
             self.assertIs(outcome.failure().kind, ErrorKind.UPSTREAM_FAILED)
         refused = await client.generate(request("r3"), lambda chunk: None)
         self.assertIs(refused.failure().kind, ErrorKind.NO_UPSTREAM)
@@ -134,7 +133,7 @@
 
     async def test_a_generation_outlives_its_connection_until_cancelled(self):
         client = await self.start()
-        begun = asyncio.Event()
+        started = asyncio.Event()
         body = {
             "request_id": "r1",
             "program_id": "prog",
@@ -145,7 +144,7 @@
             "fencing": 1,
         }
         async with self.admin.stream("POST", "/v1/generate", json=body):
-            begun.set()
+            started.set()
         resumed = self.admin.stream(
             "GET", "/v1/streams/r1", params={"offset": 0}
         )
@@ -156,9 +155,9 @@
         self.assertEqual(gone.status_code, 404)
 
     async def test_old_fencing_numbers_are_refused_where_obeyed(self):
-        for obeys, kind in ((True, ErrorKind.CONFLICT), (False, None)):
-            with self.subTest(obeys=obeys):
-                client = await self.start(obey_fencing=obeys)
+        for obeys_fencing, kind in ((True, ErrorKind.CONFLICT), (False, None)):
+            with self.subTest(obeys_fencing=obeys_fencing):
+                client = await self.start(obey_fencing=obeys_fencing)
                 (await client.order(Order(OrderKind.CHANGE_ROLE, "r", 2)))
                 old = await client.order(Order(OrderKind.CHANGE_ROLE, "r", 1))
                 failure = old.swap().value_or(None)
--- a/tools/standins/tests/test_main.py
+++ b/tools/standins/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Tests of the command."""
+"""Tests of the command ``mastic-standin``."""
 
 import pathlib
 import subprocess
--- a/tools/standins/tests/test_model.py
+++ b/tools/standins/tests/test_model.py
@@ -1,4 +1,4 @@
-"""Tests of the engine model, on a loop whose time is virtual."""
+"""Tests of the engine model on an event loop with virtual time."""
 
 import asyncio
 import selectors
@@ -16,7 +16,7 @@
 )
 
 
-class _NoWait(selectors.DefaultSelector):
+class _NonBlockingSelector(selectors.DefaultSelector):
     loop = None
 
     def select(self, timeout=None):
@@ -25,11 +25,11 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Jumps to the next timer instead of waiting for it."""
+    """An event loop that advances its clock to the next timer."""
 
     def __init__(self):
         self.now = 0.0
-        selector = _NoWait()
+        selector = _NonBlockingSelector()
         selector.loop = self
         super().__init__(selector)
 
@@ -43,7 +43,7 @@
 
 
 def run(scenario):
-    """Runs a scenario with a working model and returns its result."""
+    """Runs a scenario with a running model and returns its result."""
 
     async def main():
         model = EngineModel(SETTINGS)
--- a/tools/standins/tests/test_platform.py
+++ b/tools/standins/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the platform stand-in as a process, through the real client."""
+"""Tests of the fake platform as a process, through the production client."""
 
 import asyncio
 import unittest
@@ -55,10 +55,10 @@
         self.assertEqual(limit, 413)
 
     async def test_a_lost_answer_leaves_the_write_in_effect(self):
-        """The writer sees WRITE_UNKNOWN, whether or not the write took hold.
+        """A write that lost its connection fails with WRITE_UNKNOWN.
 
-        The stand-in writes and breaks the connection, then breaks it before
-        writing; only reading back tells the two apart.
+        The outcome is the same whether or not the write took effect; only a
+        read distinguishes the two.
         """
         client = await self.start()
         await self.set_faults(lose_write_answers=1)
@@ -70,7 +70,7 @@
         self.assertIs(dropped.failure().kind, ErrorKind.WRITE_UNKNOWN)
         self.assertIsNone((await client.read("j")).unwrap())
 
-    async def test_outage_and_call_budget_refuse_without_effect(self):
+    async def test_outage_and_rate_limit_refuse_calls(self):
         client = await self.start(writes_per_s=1, reads_per_s=0)
         outcomes = [await client.write(f"k{i}", b"", 0) for i in range(5)]
         kinds = {o.failure().kind for o in outcomes[1:] if o.swap().value_or(0)}
@@ -82,7 +82,7 @@
         self.assertEqual(stats["count_by_call"], {"write": 5, "read": 1})
         self.assertGreater(stats["refused"], 0)
 
-    async def test_the_list_shows_changes_after_its_lag(self):
+    async def test_the_host_list_shows_changes_after_its_lag(self):
         for lag_ms, shown in (
             (0, (ListedHost("h1", True), ListedHost("e1", False))),
             (
--- a/tools/standins/tests/test_service.py
+++ b/tools/standins/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Tests of the service stand-in as a process, through the real client."""
+"""Tests of the fake service as a process, through the production client."""
 
 import unittest
 
@@ -31,11 +31,10 @@
         listed = (await self.admin.get("/admin/executions")).json()
         return sum(e["count"] for e in listed if e["key"] == key)
 
-    async def test_each_fault_and_what_ran(self):
-        """The caller sees a kind that fits what the service recorded.
+    async def test_faults_match_recorded_executions(self):
+        """The error kind of each fault matches the recorded executions.
 
-        Each fault strikes one call under its own key: before it runs, after
-        it ran, or instead of its answer; then the lookup says what was done.
+        A lookup of the key then reports whether the operation ran.
         """
         client = await self.start()
         unknown = ErrorKind.OUTCOME_UNKNOWN
@@ -59,7 +58,7 @@
                 found = (await client.lookup(key)).unwrap()
                 self.assertEqual(found is not None, count == 1)
 
-    async def test_runs_again_unless_it_deduplicates(self):
+    async def test_a_repeated_key_runs_again_without_deduplication(self):
         for deduplicates, count in ((False, 2), (True, 1)):
             with self.subTest(deduplicates=deduplicates):
                 client = await self.start(deduplicates=deduplicates)
--- a/tools/standins/tests/test_testing.py
+++ b/tools/standins/tests/test_testing.py
@@ -1,4 +1,4 @@
-"""Tests of the helpers that start processes."""
+"""Tests of the reservation of ports."""
 
 import socket
 import subprocess
@@ -7,7 +7,7 @@
 
 from masticdale_standins.testing import free_port
 
-# Several times as many as all test files of a CI run ask for together.
+# Several times as many ports as a CI run uses.
 PORTS = 600
 ASK = f"""
 import sys
@@ -18,14 +18,10 @@
 
 
 class FreePortTest(unittest.TestCase):
-    """A process is not ready in time, now and then, and nothing is wrong.
+    """Guards against processes that fail with "address already in use".
 
-    Tests choose ports beforehand: they stand in the settings of several
-    processes, which bind them a second later, and again after a restart.
-    The kernel may meanwhile give the same port out once more, to the same
-    test or to one beside it. The process then ends with "address already in
-    use", seen in 2 of 60 starts of an entry host, six at a time; of 20,000
-    clusters of 13 ports each 122 held one port twice.
+    Tests choose ports before processes bind them. A port chosen twice, or given
+    to another listener by the kernel, fails an unrelated test.
     """
 
     def test_no_port_is_given_out_twice(self):
@@ -42,7 +38,7 @@
         self.assertEqual(len(set(ports)), 3 * PORTS)
 
     def test_the_kernel_gives_none_of_them_to_a_listener(self):
-        """A port of a process that is being restarted is taken by another."""
+        """Otherwise another listener could take the port during a restart."""
         ports = {free_port() for _ in range(PORTS)}
         listeners = [socket.create_server(("127.0.0.1", 0)) for _ in ports]
         taken = {listener.getsockname()[1] for listener in listeners}
