--- a/apps/masticdale_entry/tests/test_budgets.py
+++ b/apps/masticdale_entry/tests/test_budgets.py
@@ -71,7 +71,7 @@
 
         Each turn outlasts the arrival of all others.
         """
-        self.set_engines(event_s=0.4)
+        self.set_engines(event_interval_s=0.4)
         turns = [
             self.send_turn(
                 f"s{n}",
--- a/apps/masticdale_entry/tests/test_relaying.py
+++ b/apps/masticdale_entry/tests/test_relaying.py
@@ -99,7 +99,7 @@
             ReplicaFault.CLOSE_DELIMITED_RESET,
         ):
             with self.subTest(fault=fault):
-                self.set_unary_replicas(fault=fault, times=1_000)
+                self.set_unary_replicas(fault=fault, faulty_requests=1_000)
                 before = len(self.requests_seen(self.unary_replicas))
                 response = await self.send(NON_IDEMPOTENT, f"r-{fault.name}")
                 self.assertEqual(response.status_code, 502)
@@ -180,7 +180,7 @@
         The replica resets the connection inside an event. It still accepts
         connections, so the stream resumes there.
         """
-        self.set_engines(fault=ReplicaFault.TRUNCATED, times=1)
+        self.set_engines(fault=ReplicaFault.TRUNCATED, faulty_requests=1)
         response = await self.send_turn("r1", program="p")
         self.assertEqual(event_ids(response.text), [1, 2, 3, 4])
         self.assertNotIn("ha", response.text.replace("shard", ""))
@@ -188,7 +188,7 @@
         self.assertEqual(len(served), 1)
 
     async def test_a_stream_of_a_crashed_replica_resumes_elsewhere(self):
-        self.set_engines(event_s=0.1, events=8)
+        self.set_engines(event_interval_s=0.1, events=8)
         task = asyncio.create_task(self.send_turn("r1", program="p"))
         await asyncio.sleep(0.35)
         (first,) = (e for e in self.engines if e.received_requests)
@@ -197,7 +197,9 @@
         self.assertEqual(event_ids(response.text), list(range(1, 9)))
 
     async def test_a_stream_that_cannot_resume_does_not_look_complete(self):
-        self.set_engines(fault=ReplicaFault.TRUNCATED, cut_after=1, events=20)
+        self.set_engines(
+            fault=ReplicaFault.TRUNCATED, events_before_cut=1, events=20
+        )
         head = "\r\n".join(
             f"{k}: {v}" for k, v in turn_headers("r1", "p").items()
         )
@@ -222,7 +224,7 @@
 
         The replica's connection closes within half a second of the caller's.
         """
-        self.set_unary_replicas(work_s=3.0)
+        self.set_unary_replicas(processing_s=3.0)
         reader, writer = await asyncio.open_connection(
             "127.0.0.1", self.host.callers_port
         )
@@ -271,7 +273,7 @@
                 self.assertEqual(received[9:12], status)
 
     async def test_the_callers_deadline_ends_a_request(self):
-        self.set_unary_replicas(work_s=5.0)
+        self.set_unary_replicas(processing_s=5.0)
         began = asyncio.get_running_loop().time()
         response = await self.send(NON_IDEMPOTENT, "r1", Deadline_Ms="600")
         took = asyncio.get_running_loop().time() - began
--- a/apps/masticdale_entry/tests/test_stopping.py
+++ b/apps/masticdale_entry/tests/test_stopping.py
@@ -14,7 +14,7 @@
         served; their responses carry ``Connection: close``.
         """
         await self.wait_shards_owned()
-        self.set_engines(event_s=0.25, events=8)
+        self.set_engines(event_interval_s=0.25, events=8)
         stream = asyncio.create_task(self.send_turn("s", program="p"))
         await asyncio.sleep(0.3)
         self.host.stop_event.set()
@@ -34,7 +34,7 @@
         self.assertEqual(event_ids((await stream).text), list(range(1, 9)))
 
     async def test_a_stop_ends_within_its_grace(self):
-        self.set_unary_replicas(work_s=60.0)
+        self.set_unary_replicas(processing_s=60.0)
         slow = asyncio.create_task(
             send_raw(
                 self.host.callers_port,
--- a/tools/soak/src/masticdale_soak/environment.py
+++ b/tools/soak/src/masticdale_soak/environment.py
@@ -11,7 +11,11 @@
 from masticdale_soak.processes import HostProcess
 from masticdale_soak.proxies import LinkState, Proxy
 from masticdale_standins.objects import FakeObjectStore, StoreFault
-from masticdale_standins.replicas import Behaviour, FakeReplica, ReplicaFault
+from masticdale_standins.replicas import (
+    FakeReplica,
+    ReplicaBehaviour,
+    ReplicaFault,
+)
 
 HOST_HEADER = "soak.example"
 STREAM_PATH = "/turns/"
@@ -57,8 +61,10 @@
         self, service: str, is_stream: bool, store: FakeObjectStore
     ) -> None:
         self.fake = FakeReplica(service, is_stream)
-        self.fake.behaviour = Behaviour(
-            events=EVENTS, event_s=_EVENT_INTERVAL_S, work_s=_PROCESSING_S
+        self.fake.behaviour = ReplicaBehaviour(
+            events=EVENTS,
+            event_interval_s=_EVENT_INTERVAL_S,
+            processing_s=_PROCESSING_S,
         )
         self.proxy = Proxy()
         self.faults = FaultStack(ReplicaFault.NONE, self._set_fault)
--- a/tools/standins/src/masticdale_standins/replicas.py
+++ b/tools/standins/src/masticdale_standins/replicas.py
@@ -35,24 +35,24 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Behaviour:
+class ReplicaBehaviour:
     """How a replica responds.
 
     Attributes:
         fault: Fault of each request.
-        times: Number of requests that get the fault.
+        faulty_requests: Number of requests that get the fault.
         events: Number of events of a stream.
-        event_s: Interval between two events, in seconds.
-        work_s: Processing time before the response, in seconds.
-        cut_after: Number of events before a truncated stream ends.
+        event_interval_s: Interval between two events, in seconds.
+        processing_s: Processing time before the response, in seconds.
+        events_before_cut: Number of events before a truncated stream ends.
     """
 
     fault: ReplicaFault = ReplicaFault.NONE
-    times: int = 1_000_000
+    faulty_requests: int = 1_000_000
     events: int = 4
-    event_s: float = 0.0
-    work_s: float = 0.0
-    cut_after: int = 2
+    event_interval_s: float = 0.0
+    processing_s: float = 0.0
+    events_before_cut: int = 2
 
 
 class FakeReplica:
@@ -71,7 +71,7 @@
     def __init__(self, service: str, is_stream: bool) -> None:
         self.id = f"i-{next(_REPLICA_NUMBERS):08x}"
         self.service = service
-        self.behaviour = Behaviour()
+        self.behaviour = ReplicaBehaviour()
         self.received_requests: list[RawRequest] = []
         self.executed_requests: list[RawRequest] = []
         self.abandoned = 0
@@ -130,9 +130,9 @@
     ) -> None:
         behaviour = self.behaviour
         fault = ReplicaFault.NONE
-        if behaviour.times > 0:
+        if behaviour.faulty_requests > 0:
             fault = behaviour.fault
-            behaviour.times -= fault is not ReplicaFault.NONE
+            behaviour.faulty_requests -= fault is not ReplicaFault.NONE
         headers = self._headers(request)
         if fault in (
             ReplicaFault.OVERLOADED,
@@ -157,7 +157,7 @@
         elif self._is_stream:
             await self._send_stream(request, connection, headers, fault)
         else:
-            await asyncio.sleep(behaviour.work_s)
+            await asyncio.sleep(behaviour.processing_s)
             await self._send_unary(connection, headers, fault)
 
     def _headers(self, request: RawRequest) -> dict[str, str]:
@@ -225,7 +225,7 @@
         behaviour = self.behaviour
         if fault is ReplicaFault.UNSIGNED:
             del headers["Response-Seal"]
-        await asyncio.sleep(behaviour.work_s)
+        await asyncio.sleep(behaviour.processing_s)
         lines = "".join(f"{k}: {v}\r\n" for k, v in headers.items())
         await connection.write(
             f"HTTP/1.1 200 OK\r\n{lines}Content-Type: text/event-stream\r\n"
@@ -234,14 +234,14 @@
         begin = int(request.header_by_name.get("last-event-id", "0"))
         for number in range(begin + 1, behaviour.events + 1):
             if fault is ReplicaFault.TRUNCATED and (
-                number > begin + behaviour.cut_after
+                number > begin + behaviour.events_before_cut
             ):
                 await connection.write(_chunk(b"id: 99\ndata: ha"))
                 connection.reset()
                 return
             event = f"id: {number}\ndata: piece {number}\n\n".encode()
             await connection.write(_chunk(event))
-            await asyncio.sleep(behaviour.event_s)
+            await asyncio.sleep(behaviour.event_interval_s)
         await connection.write(b"0\r\n\r\n")
 
 
