--- a/tools/soak/src/masticdale_soak/checks.py
+++ b/tools/soak/src/masticdale_soak/checks.py
@@ -18,7 +18,7 @@
 from masticdale_soak.plans import Fault, Target
 from masticdale_soak.processes import GRACE_S, Incarnation
 
-# Statuses that promise that the request was not executed and never will be.
+# Statuses that guarantee that the request was not and will not be executed.
 _NOT_RUN_STATUSES = frozenset({402, 408, 421, 429, 503})
 # Seconds after which a draining replica gets no new requests: the guaranteed
 # 2 s and a tolerance for a busy machine.
--- a/tools/soak/src/masticdale_soak/main.py
+++ b/tools/soak/src/masticdale_soak/main.py
@@ -33,7 +33,7 @@
     """
     report = run_seed(seed, seconds, hosts)
     print(report.summary())
-    _write_reports([report], output)
+    _report_and_exit([report], output)
 
 
 def hunt(
@@ -74,7 +74,7 @@
             for future in done:
                 reports.append(future.result())
                 print(reports[-1].summary(), flush=True)
-    _write_reports(reports, output)
+    _report_and_exit(reports, output)
 
 
 def replay(report: str) -> None:
@@ -84,9 +84,9 @@
         report: Path of a file written by ``run`` or ``hunt``.
     """
     lines = pathlib.Path(report).read_text().splitlines()
-    old = [Report.model_validate_json(line) for line in lines]
-    broken = [r for r in old if not r.is_clean]
-    _write_reports([run_seed(r.seed, r.seconds, r.hosts) for r in broken], "")
+    reports = [Report.model_validate_json(line) for line in lines]
+    failed = [r for r in reports if not r.is_clean]
+    _report_and_exit([run_seed(r.seed, r.seconds, r.hosts) for r in failed], "")
 
 
 def plan(
@@ -121,18 +121,18 @@
     return time.monotonic() < deadline
 
 
-def _write_reports(reports: list[Report], output: str) -> None:
+def _report_and_exit(reports: list[Report], output: str) -> None:
     if output:
         lines = [report.model_dump_json() + "\n" for report in reports]
         pathlib.Path(output).write_text("".join(lines))
-    broken = [r for r in reports if not r.is_clean]
-    for report in broken:
+    failed = [r for r in reports if not r.is_clean]
+    for report in failed:
         print(f"seed {report.seed}:")
         for violation in report.violations:
             print("  {check}: {subject}: {detail}".format(**violation))
         for fault in report.faults:
             print(f"  {fault}")
         print(f"  logs: {report.logs}")
-    print(f"{len(reports)} seeds, {len(broken)} broken")
-    if broken:
+    print(f"{len(reports)} seeds, {len(failed)} broken")
+    if failed:
         sys.exit(_EXIT_VIOLATIONS)
--- a/tools/soak/src/masticdale_soak/proxies.py
+++ b/tools/soak/src/masticdale_soak/proxies.py
@@ -11,7 +11,15 @@
 
 
 class LinkFault(enum.Enum):
-    """What a proxy does to the bytes that it forwards."""
+    """What a proxy does to the bytes that it forwards.
+
+    Attributes:
+        NONE: Forwards them.
+        DELAY: Delays each chunk.
+        PARTITION: Blocks both directions.
+        REQUESTS_BLOCKED: Blocks the direction from client to server.
+        RESPONSES_BLOCKED: Blocks the direction from server to client.
+    """
 
     NONE = enum.auto()
     DELAY = enum.auto()
--- a/tools/soak/src/masticdale_soak/runs.py
+++ b/tools/soak/src/masticdale_soak/runs.py
@@ -53,10 +53,10 @@
 
     def summary(self) -> str:
         """Returns a summary in one line."""
-        broken = sorted({v["check"] for v in self.violations})
+        failed_checks = sorted({v["check"] for v in self.violations})
         return (
             f"seed {self.seed}: {self.attempts} requests, {self.served} served,"
-            f" {len(self.faults)} faults: {', '.join(broken) or 'clean'}"
+            f" {len(self.faults)} faults: {', '.join(failed_checks) or 'clean'}"
         )
 
 
--- a/tools/standins/src/masticdale_standins/objects.py
+++ b/tools/standins/src/masticdale_standins/objects.py
@@ -20,7 +20,14 @@
 
 
 class StoreFault(enum.Enum):
-    """Fault that the store applies to every call."""
+    """Fault that the store applies to every call.
+
+    Attributes:
+        NONE: No fault.
+        BUSY: Responds with 503.
+        UNRESPONSIVE: Never responds.
+        RESET: Resets the connection.
+    """
 
     NONE = enum.auto()
     BUSY = enum.auto()
@@ -106,7 +113,7 @@
         await self._server.reset_connections()
 
     def compact_history(self) -> None:
-        """Drops the history; watches from older revisions get 410."""
+        """Drops the history; watches from revisions so far get 410."""
         self._compacted_revision = self._revision + 1
         self._revision += 1
         self._notify_watchers()
--- a/tools/standins/src/masticdale_standins/replicas.py
+++ b/tools/standins/src/masticdale_standins/replicas.py
@@ -16,7 +16,24 @@
 
 
 class ReplicaFault(enum.Enum):
-    """Fault that a replica applies to a request."""
+    """Fault that a replica applies to a request.
+
+    Attributes:
+        NONE: No fault.
+        OVERLOADED: Refuses with 503 without executing.
+        OVERLOADED_TRUNCATED: Refuses likewise, with an incomplete body.
+        UNRESPONSIVE: Never responds.
+        RESET: Resets the connection.
+        UNSIGNED: Omits the seal.
+        ENCODED: Declares a content encoding.
+        WRONG_REQUEST: Sends the response of another request first.
+        EXTRA_RESPONSE: Sends the response of another request afterwards.
+        CLOSE_DELIMITED: Ends the body by closing the connection.
+        CLOSE_DELIMITED_RESET: Resets the connection after such a body.
+        TRUNCATED: Closes or resets the connection within the body.
+        MALFORMED: Sends bytes that are not HTTP.
+        SERVER_ERROR: Responds with 500.
+    """
 
     NONE = enum.auto()
     OVERLOADED = enum.auto()
