--- a/apps/masticdale_entry/tests/case.py
+++ b/apps/masticdale_entry/tests/case.py
@@ -7,8 +7,8 @@
 
 from masticdale_entry.entry import EntryHost
 from masticdale_entry.settings import Settings
-from masticdale_standins.objects import ObjectsStandIn
-from masticdale_standins.replicas import ReplicaStandIn
+from masticdale_standins.objects import FakeObjectStore
+from masticdale_standins.replicas import FakeReplica
 from masticdale_standins.testing import free_port
 
 HOST = "a.example"
@@ -149,11 +149,11 @@
         self.host = await self.add_host("host-1")
 
     async def start_stand_ins(self):
-        self.store = ObjectsStandIn()
+        self.store = FakeObjectStore()
         await self.store.start()
         self.hosts = []
-        self.engines = [ReplicaStandIn("engine", True) for _ in range(2)]
-        self.unary_replicas = [ReplicaStandIn("desk", False) for _ in range(2)]
+        self.engines = [FakeReplica("engine", True) for _ in range(2)]
+        self.unary_replicas = [FakeReplica("desk", False) for _ in range(2)]
         for replica in (*self.engines, *self.unary_replicas):
             await replica.start()
             self.store.put("servers", replica.id, replica.entry())
@@ -210,7 +210,7 @@
                 setattr(replica.behaviour, name, value)
 
     def requests_seen(self, replicas):
-        return [r for replica in replicas for r in replica.seen]
+        return [r for replica in replicas for r in replica.received_requests]
 
 
 async def send_raw(port, data, seconds=2.0):
--- a/tools/soak/src/masticdale_soak/main.py
+++ b/tools/soak/src/masticdale_soak/main.py
@@ -1,4 +1,4 @@
-"""Command ``mastic-soak``: randomized faults on real processes."""
+"""Command ``mastic-soak``: soak tests with random faults."""
 
 import concurrent.futures
 import pathlib
@@ -14,7 +14,7 @@
 _SECONDS = 20.0
 _HOSTS = 4
 _JOBS = 3
-_EXIT_BROKEN = 1
+_EXIT_VIOLATIONS = 1
 
 
 def run(
@@ -23,17 +23,17 @@
     hosts: int = _HOSTS,
     output: str = "",
 ) -> None:
-    """Plays the plan of one seed.
+    """Runs the plan of one seed.
 
     Args:
-        seed: The seed.
-        seconds: How long callers go on.
-        hosts: Entry hosts.
-        output: Where the JSON report goes; nowhere if empty.
+        seed: Seed of the plan.
+        seconds: Duration of the load in seconds.
+        hosts: Number of entry hosts.
+        output: File for the JSON report; none if empty.
     """
     report = run_seed(seed, seconds, hosts)
-    print(report.line())
-    _finish([report], output)
+    print(report.summary())
+    _report_and_exit([report], output)
 
 
 def hunt(
@@ -45,25 +45,25 @@
     jobs: int = _JOBS,
     output: str = "",
 ) -> None:
-    """Plays seed after seed, several at once.
+    """Runs consecutive seeds in parallel.
 
     Args:
-        minutes: No seed is begun after this.
-        seeds: How many seeds; until the time is over if 0.
-        first: The first seed, the others follow it; fresh ones if 0.
-        seconds: How long callers go on in each.
-        hosts: Entry hosts of each.
-        jobs: How many runs at once.
-        output: Where the JSON reports go, a line each; nowhere if empty.
+        minutes: Time limit for starting new runs, if seeds is 0.
+        seeds: Number of seeds; 0 to run until the time limit.
+        first: First seed; a random one if 0.
+        seconds: Duration of the load of each run in seconds.
+        hosts: Number of entry hosts of each run.
+        jobs: Number of parallel runs.
+        output: File for the JSON reports, one per line; none if empty.
     """
     begin = first or random.SystemRandom().randrange(1, 1_000_000)
-    ends_at = time.monotonic() + 60 * minutes
+    deadline = time.monotonic() + 60 * minutes
     reports: list[Report] = []
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
         waiting: set[concurrent.futures.Future[Report]] = set()
         number = 0
-        while waiting or _may_begin(number, seeds, ends_at):
-            while len(waiting) < jobs and _may_begin(number, seeds, ends_at):
+        while waiting or _may_start(number, seeds, deadline):
+            while len(waiting) < jobs and _may_start(number, seeds, deadline):
                 waiting.add(
                     pool.submit(run_seed, begin + number, seconds, hosts)
                 )
@@ -73,35 +73,36 @@
             )
             for future in done:
                 reports.append(future.result())
-                print(reports[-1].line(), flush=True)
-    _finish(reports, output)
+                print(reports[-1].summary(), flush=True)
+    _report_and_exit(reports, output)
 
 
 def replay(report: str) -> None:
-    """Plays the seeds of a file of reports again, those that were broken.
+    """Reruns the seeds with violations from a report file.
 
     Args:
-        report: Path of what ``run`` or ``hunt`` wrote.
+        report: Path of a file written by ``run`` or ``hunt``.
     """
     lines = pathlib.Path(report).read_text().splitlines()
-    old = [Report.model_validate_json(line) for line in lines]
-    broken = [r for r in old if not r.is_clean]
-    _finish([run_seed(r.seed, r.seconds, r.hosts) for r in broken], "")
+    reports = [Report.model_validate_json(line) for line in lines]
+    failed = [r for r in reports if not r.is_clean]
+    _report_and_exit([run_seed(r.seed, r.seconds, r.hosts) for r in failed], "")
 
 
 def plan(
     seed: int, seconds: float = _SECONDS, hosts: int = _HOSTS
 ) -> list[str]:
-    """Shows the plan of a seed and plays nothing.
+    """Prints the plan of a seed without running it.
 
     Args:
-        seed: The seed.
-        seconds: How long callers would go on.
-        hosts: Entry hosts.
+        seed: Seed of the plan.
+        seconds: Duration of the load in seconds.
+        hosts: Number of entry hosts.
     """
     steps = make_plan(seed, seconds, hosts).steps
     return [
-        f"{s.at_s:.2f} s, for {s.for_s:.2f} s: {s.fault.value}, place {s.place}"
+        f"{s.start_s:.2f} s, for {s.duration_s:.2f} s:"
+        f" {s.fault.value}, target {s.target_index}"
         for s in steps
     ]
 
@@ -114,24 +115,24 @@
     )
 
 
-def _may_begin(number: int, seeds: int, ends_at: float) -> bool:
+def _may_start(number: int, seeds: int, deadline: float) -> bool:
     if seeds:
         return number < seeds
-    return time.monotonic() < ends_at
+    return time.monotonic() < deadline
 
 
-def _finish(reports: list[Report], output: str) -> None:
+def _report_and_exit(reports: list[Report], output: str) -> None:
     if output:
         lines = [report.model_dump_json() + "\n" for report in reports]
         pathlib.Path(output).write_text("".join(lines))
-    broken = [r for r in reports if not r.is_clean]
-    for report in broken:
+    failed = [r for r in reports if not r.is_clean]
+    for report in failed:
         print(f"seed {report.seed}:")
         for violation in report.violations:
             print("  {check}: {subject}: {detail}".format(**violation))
         for fault in report.faults:
             print(f"  {fault}")
         print(f"  logs: {report.logs}")
-    print(f"{len(reports)} seeds, {len(broken)} broken")
-    if broken:
-        sys.exit(_EXIT_BROKEN)
+    print(f"{len(reports)} seeds, {len(failed)} broken")
+    if failed:
+        sys.exit(_EXIT_VIOLATIONS)
--- a/tools/standins/src/masticdale_standins/replicas.py
+++ b/tools/standins/src/masticdale_standins/replicas.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' platform's replicas, sound or not."""
+"""A fake of the platform's replicas, with faults."""
 
 import asyncio
 import dataclasses
@@ -9,94 +9,112 @@
     RawConnection,
     RawRequest,
     RawServer,
-    answer,
+    encode_response,
 )
 
-_NUMBERS = itertools.count(1)
+_REPLICA_NUMBERS = itertools.count(1)
 
 
 class ReplicaFault(enum.Enum):
-    """What a replica does to a request."""
+    """Fault that a replica applies to a request.
+
+    Attributes:
+        NONE: No fault.
+        OVERLOADED: Refuses with 503 without executing.
+        OVERLOADED_TRUNCATED: Refuses likewise, with an incomplete body.
+        UNRESPONSIVE: Never responds.
+        RESET: Resets the connection.
+        UNSIGNED: Omits the seal.
+        ENCODED: Declares a content encoding.
+        WRONG_REQUEST: Sends the response of another request first.
+        EXTRA_RESPONSE: Sends the response of another request afterwards.
+        CLOSE_DELIMITED: Ends the body by closing the connection.
+        CLOSE_DELIMITED_RESET: Resets the connection after such a body.
+        TRUNCATED: Closes or resets the connection within the body.
+        MALFORMED: Sends bytes that are not HTTP.
+        SERVER_ERROR: Responds with 500.
+    """
 
     NONE = enum.auto()
-    FULL = enum.auto()
-    FULL_CUT = enum.auto()
-    SILENT = enum.auto()
+    OVERLOADED = enum.auto()
+    OVERLOADED_TRUNCATED = enum.auto()
+    UNRESPONSIVE = enum.auto()
     RESET = enum.auto()
     UNSIGNED = enum.auto()
     ENCODED = enum.auto()
-    CROSSED = enum.auto()
-    EXTRA = enum.auto()
-    UNFRAMED = enum.auto()
-    UNFRAMED_RESET = enum.auto()
-    CUT_INSIDE = enum.auto()
-    GARBAGE = enum.auto()
-    FAILURE = enum.auto()
+    WRONG_REQUEST = enum.auto()
+    EXTRA_RESPONSE = enum.auto()
+    CLOSE_DELIMITED = enum.auto()
+    CLOSE_DELIMITED_RESET = enum.auto()
+    TRUNCATED = enum.auto()
+    MALFORMED = enum.auto()
+    SERVER_ERROR = enum.auto()
 
 
 @dataclasses.dataclass(slots=True)
-class Behaviour:
-    """How a replica answers.
+class ReplicaBehaviour:
+    """How a replica responds.
 
     Attributes:
-        fault: What goes wrong.
-        times: How many requests it goes wrong for.
-        events: Events of a stream.
-        event_s: Between two events.
-        work_s: Before the answer.
-        cut_after: Events before a cut.
+        fault: Fault of each request.
+        faulty_requests: Number of requests that get the fault.
+        events: Number of events of a stream.
+        event_interval_s: Interval between two events, in seconds.
+        processing_s: Processing time before the response, in seconds.
+        events_before_cut: Number of events before a truncated stream ends.
     """
 
     fault: ReplicaFault = ReplicaFault.NONE
-    times: int = 1_000_000
+    faulty_requests: int = 1_000_000
     events: int = 4
-    event_s: float = 0.0
-    work_s: float = 0.0
-    cut_after: int = 2
+    event_interval_s: float = 0.0
+    processing_s: float = 0.0
+    events_before_cut: int = 2
 
 
-class ReplicaStandIn:
-    """One replica.
+class FakeReplica:
+    """A fake replica.
 
     Attributes:
-        id: Its id.
-        service: What it serves.
-        behaviour: How it answers.
-        seen: Requests that reached it.
-        ran: Those of them that it began to run.
-        abandoned: Requests whose caller left while they ran.
+        id: Id of the replica.
+        service: Name of its service.
+        behaviour: How it responds.
+        received_requests: Requests received.
+        executed_requests: Received requests that it began to execute.
+        abandoned: Number of requests whose client disconnected before the
+            response was complete.
     """
 
     def __init__(self, service: str, is_stream: bool) -> None:
-        self.id = f"i-{next(_NUMBERS):08x}"
+        self.id = f"i-{next(_REPLICA_NUMBERS):08x}"
         self.service = service
-        self.behaviour = Behaviour()
-        self.seen: list[RawRequest] = []
-        self.ran: list[RawRequest] = []
+        self.behaviour = ReplicaBehaviour()
+        self.received_requests: list[RawRequest] = []
+        self.executed_requests: list[RawRequest] = []
         self.abandoned = 0
         self._is_stream = is_stream
         self._server = RawServer(self._handle)
 
     @property
     def port(self) -> int:
-        """Where it listens; 0 before the first start."""
+        """Listening port; 0 before the first start."""
         return self._server.port
 
     @property
     def connections(self) -> int:
-        """Connections accepted so far."""
+        """Number of accepted connections."""
         return self._server.connections
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts to listen, on the same port after a restart."""
         await self._server.start(self._server.port)
 
     async def stop(self) -> None:
-        """Ends as a crash does."""
+        """Stops listening and drops all connections, as a crash does."""
         await self._server.stop()
 
     def entry(self, **changes: object) -> dict[str, object]:
-        """Returns what it writes about itself into the store."""
+        """Returns its entry for the store, with changed fields."""
         return {
             "service": self.service,
             "address": f"127.0.0.1:{self._server.port}",
@@ -112,49 +130,52 @@
     async def _handle(
         self, request: RawRequest, connection: RawConnection
     ) -> None:
-        self.seen.append(request)
+        self.received_requests.append(request)
         expected = request.header_by_name.get("expect-instance", self.id)
         if expected != self.id:
             headers = {"Instance-Id": self.id}
-            await connection.write(answer(421, headers))
+            await connection.write(encode_response(421, headers))
             return
         try:
-            await self._answer(request, connection)
+            await self._respond(request, connection)
         except asyncio.CancelledError:
             self.abandoned += 1
             raise
 
-    async def _answer(
+    async def _respond(
         self, request: RawRequest, connection: RawConnection
     ) -> None:
         behaviour = self.behaviour
         fault = ReplicaFault.NONE
-        if behaviour.times > 0:
+        if behaviour.faulty_requests > 0:
             fault = behaviour.fault
-            behaviour.times -= fault is not ReplicaFault.NONE
+            behaviour.faulty_requests -= fault is not ReplicaFault.NONE
         headers = self._headers(request)
-        if fault in (ReplicaFault.FULL, ReplicaFault.FULL_CUT):
-            refusal = answer(503, {"Not-Executed": "1"}, b"full")
-            if fault is ReplicaFault.FULL:
+        if fault in (
+            ReplicaFault.OVERLOADED,
+            ReplicaFault.OVERLOADED_TRUNCATED,
+        ):
+            refusal = encode_response(503, {"Not-Executed": "1"}, b"full")
+            if fault is ReplicaFault.OVERLOADED:
                 await connection.write(refusal)
                 return
             await connection.write(refusal[:-1])
             connection.close()
             return
-        self.ran.append(request)
-        if fault is ReplicaFault.SILENT:
+        self.executed_requests.append(request)
+        if fault is ReplicaFault.UNRESPONSIVE:
             await asyncio.sleep(3600)
         elif fault is ReplicaFault.RESET:
             connection.reset()
-        elif fault is ReplicaFault.GARBAGE:
+        elif fault is ReplicaFault.MALFORMED:
             await connection.write(b"\x00\x01 not a response\r\n\r\n")
-        elif fault is ReplicaFault.FAILURE:
-            await connection.write(answer(500, headers, b"failed"))
+        elif fault is ReplicaFault.SERVER_ERROR:
+            await connection.write(encode_response(500, headers, b"failed"))
         elif self._is_stream:
-            await self._stream(request, connection, headers, fault)
+            await self._send_stream(request, connection, headers, fault)
         else:
-            await asyncio.sleep(behaviour.work_s)
-            await self._whole(connection, headers, fault)
+            await asyncio.sleep(behaviour.processing_s)
+            await self._send_unary(connection, headers, fault)
 
     def _headers(self, request: RawRequest) -> dict[str, str]:
         request_id = request.header_by_name.get("request-id", "")
@@ -164,7 +185,7 @@
             "Server-Load": "1,0,8",
         }
 
-    async def _whole(
+    async def _send_unary(
         self,
         connection: RawConnection,
         headers: dict[str, str],
@@ -175,22 +196,27 @@
             del headers["Response-Seal"]
         elif fault is ReplicaFault.ENCODED:
             headers["Content-Encoding"] = "gzip"
-        elif fault is ReplicaFault.CROSSED:
+        elif fault is ReplicaFault.WRONG_REQUEST:
             other = headers | {"Request-Id": "another"}
-            await connection.write(answer(200, other, b"of another"))
-        elif fault is ReplicaFault.CUT_INSIDE:
-            await connection.write(answer(200, headers, body)[:-3])
+            await connection.write(encode_response(200, other, b"of another"))
+        elif fault is ReplicaFault.TRUNCATED:
+            await connection.write(encode_response(200, headers, body)[:-3])
             connection.close()
             return
-        elif fault in (ReplicaFault.UNFRAMED, ReplicaFault.UNFRAMED_RESET):
-            await self._unframed(connection, headers, body, fault)
+        elif fault in (
+            ReplicaFault.CLOSE_DELIMITED,
+            ReplicaFault.CLOSE_DELIMITED_RESET,
+        ):
+            await self._send_close_delimited(connection, headers, body, fault)
             return
-        data = answer(200, headers, body)
-        if fault is ReplicaFault.EXTRA:
-            data += answer(200, headers | {"Request-Id": "another"}, b"more")
+        data = encode_response(200, headers, body)
+        if fault is ReplicaFault.EXTRA_RESPONSE:
+            data += encode_response(
+                200, headers | {"Request-Id": "another"}, b"more"
+            )
         await connection.write(data)
 
-    async def _unframed(
+    async def _send_close_delimited(
         self,
         connection: RawConnection,
         headers: dict[str, str],
@@ -200,13 +226,13 @@
         lines = "".join(f"{k}: {v}\r\n" for k, v in headers.items())
         head = f"HTTP/1.1 200 OK\r\n{lines}Connection: close\r\n\r\n"
         await connection.write(head.encode() + body)
-        if fault is ReplicaFault.UNFRAMED:
+        if fault is ReplicaFault.CLOSE_DELIMITED:
             connection.close()
             return
         await asyncio.sleep(0.05)
         connection.reset()
 
-    async def _stream(
+    async def _send_stream(
         self,
         request: RawRequest,
         connection: RawConnection,
@@ -216,7 +242,7 @@
         behaviour = self.behaviour
         if fault is ReplicaFault.UNSIGNED:
             del headers["Response-Seal"]
-        await asyncio.sleep(behaviour.work_s)
+        await asyncio.sleep(behaviour.processing_s)
         lines = "".join(f"{k}: {v}\r\n" for k, v in headers.items())
         await connection.write(
             f"HTTP/1.1 200 OK\r\n{lines}Content-Type: text/event-stream\r\n"
@@ -224,15 +250,15 @@
         )
         begin = int(request.header_by_name.get("last-event-id", "0"))
         for number in range(begin + 1, behaviour.events + 1):
-            if fault is ReplicaFault.CUT_INSIDE and (
-                number > begin + behaviour.cut_after
+            if fault is ReplicaFault.TRUNCATED and (
+                number > begin + behaviour.events_before_cut
             ):
                 await connection.write(_chunk(b"id: 99\ndata: ha"))
                 connection.reset()
                 return
             event = f"id: {number}\ndata: piece {number}\n\n".encode()
             await connection.write(_chunk(event))
-            await asyncio.sleep(behaviour.event_s)
+            await asyncio.sleep(behaviour.event_interval_s)
         await connection.write(b"0\r\n\r\n")
 
 
