--- a/libs/gateway/src/masticdale_gateway/callers.py
+++ b/libs/gateway/src/masticdale_gateway/callers.py
@@ -33,14 +33,14 @@
     Attributes:
         header_bytes: Maximum size of request line and headers.
         body_bytes: Maximum size of a body.
-        header_timeout_s: Maximum time from the first byte of a request to its
+        request_timeout_s: Maximum time from the first byte of a request to its
             last.
         idle_timeout_s: Maximum time between two requests.
     """
 
     header_bytes: int = 16_384
     body_bytes: int = 4 << 20
-    header_timeout_s: float = 10.0
+    request_timeout_s: float = 10.0
     idle_timeout_s: float = 60.0
 
 
@@ -240,7 +240,7 @@
 
     def _read_deadline(self) -> float:
         if self._message_began_at is not None:
-            return self._message_began_at + self.limits.header_timeout_s
+            return self._message_began_at + self.limits.request_timeout_s
         now = asyncio.get_running_loop().time()
         return now + self.limits.idle_timeout_s
 
--- a/libs/gateway/src/masticdale_gateway/codec.py
+++ b/libs/gateway/src/masticdale_gateway/codec.py
@@ -38,7 +38,7 @@
 
     Attributes:
         is_rejected: The replica states that it did not run the request.
-        is_genuine: The response comes from a replica, and is complete if its
+        is_usable: The response comes from a replica, and is complete if its
             body is.
         running: Requests running at the replica; None if unspecified.
         waiting: Requests queued at the replica.
@@ -46,7 +46,7 @@
     """
 
     is_rejected: bool
-    is_genuine: bool
+    is_usable: bool
     running: int | None = None
     waiting: int = 0
     retry_after_s: float | None = None
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -174,7 +174,7 @@
             head = await self._exchange(call, state, connection, options)
             metadata = self._codec.parse_response(head)
             self._record_load(state, metadata)
-            if metadata.is_genuine:
+            if metadata.is_usable:
                 exchange = Exchange(self, state, connection, head, metadata)
                 return Success(exchange)
             return Failed(
--- a/libs/gateway/src/masticdale_gateway/pools.py
+++ b/libs/gateway/src/masticdale_gateway/pools.py
@@ -87,7 +87,7 @@
         try:
             async with asyncio.timeout(_CONNECT_TIMEOUT_S):
                 _, connection = await loop.create_connection(
-                    UpstreamConnection, replica.host, replica.port
+                    UpstreamConnection, replica.address, replica.port
                 )
         except (OSError, TimeoutError) as error:
             raise ConnectFailedError(repr(error)) from error
@@ -95,7 +95,7 @@
 
 
 def _key(replica: Replica) -> _Key:
-    return (replica.id, replica.host, replica.port, replica.started_at_ms)
+    return (replica.id, replica.address, replica.port, replica.started_at_ms)
 
 
 def _is_fresh(connection: UpstreamConnection, now: float) -> bool:
--- a/libs/gateway/src/masticdale_gateway/relay.py
+++ b/libs/gateway/src/masticdale_gateway/relay.py
@@ -236,7 +236,7 @@
         return ReadLimits(
             limits.header_bytes,
             limits.body_bytes,
-            limits.header_timeout_s,
+            limits.request_timeout_s,
             limits.idle_timeout_s,
         )
 
--- a/libs/gateway/src/masticdale_gateway/streaming.py
+++ b/libs/gateway/src/masticdale_gateway/streaming.py
@@ -110,7 +110,7 @@
         run one request is limited. A replica that rejects the request or can't
         be reached is excluded.
         """
-        ids = {s.replica.id for s in self._fleet.usable(call.service.name)}
+        ids = {s.replica.id for s in self._fleet.eligible(call.service.name)}
         broke_off = last.ran is not Executed.NO
         if broke_off and state.replica.id in ids:
             return state
--- a/libs/gateway/src/masticdale_gateway/upstreams.py
+++ b/libs/gateway/src/masticdale_gateway/upstreams.py
@@ -36,7 +36,7 @@
         super().__init__()
         self.idle_since = 0.0
         self.keep_alive_s: float | None = None
-        self._is_dirty = False
+        self._must_close = False
         self._is_awaiting = False
         self._is_discarding = False
         self._is_close_delimited = False
@@ -53,7 +53,7 @@
     def is_reusable(self) -> bool:
         """Whether the connection may carry another request."""
         return not (
-            self._is_dirty
+            self._must_close
             or self._is_awaiting
             or self._items
             or self.lost.is_set()
@@ -74,13 +74,13 @@
             and not self._is_discarding
         ):
             self._end_message()
-        self._is_dirty = True
+        self._must_close = True
         return False
 
     def data_received(self, data: bytes) -> None:
         """See ``asyncio.Protocol``."""
         if not self._is_awaiting:
-            self._is_dirty = True
+            self._must_close = True
             self.abort()
             return
         try:
@@ -90,7 +90,7 @@
             httptools.HttpParserCallbackError,
             httptools.HttpParserUpgrade,
         ) as error:
-            self._is_dirty = True
+            self._must_close = True
             self._error = MalformedResponseError(str(error))
             self._arrived.set()
             self.abort()
@@ -171,12 +171,12 @@
             and status not in (204, 304)
         )
         keeps_alive = self._parser.should_keep_alive()
-        self._is_dirty = self._is_dirty or not keeps_alive
+        self._must_close = self._must_close or not keeps_alive
         self.keep_alive_s = _keep_alive_s(headers)
         head = ResponseHead(status, headers, keeps_alive)
         self._is_discarding = not self._matches(head)
         if self._is_discarding:
-            self._is_dirty = True
+            self._must_close = True
             return
         self._put(head)
 
@@ -202,7 +202,7 @@
         if not self._is_awaiting:
             # A second response arrived in the same read as the end of the
             # first.
-            self._is_dirty = True
+            self._must_close = True
             return
         self._items.append(item)
         self._arrived.set()
--- a/libs/routing/src/masticdale_routing/fleet.py
+++ b/libs/routing/src/masticdale_routing/fleet.py
@@ -33,7 +33,7 @@
     Attributes:
         id: Changes with each start, unless ``started_at_ms`` changes instead.
         service: Name of its service.
-        host: Its IP address.
+        address: Its IP address.
         port: Its port.
         failure_domain: Its failure domain.
         slots: Requests that it runs concurrently.
@@ -44,7 +44,7 @@
 
     id: str
     service: str
-    host: str
+    address: str
     port: int
     failure_domain: str
     slots: int
@@ -139,7 +139,7 @@
         if self._state_by_id.pop(replica_id, None) is not None:
             self._rebuild_index()
 
-    def usable(
+    def eligible(
         self, service: str, excluded: Iterable[str] = ()
     ) -> list[ReplicaState]:
         """Returns the service's replicas that are not draining or excluded."""
@@ -171,7 +171,7 @@
         Returns:
             The chosen replica, or None if the service has no usable one.
         """
-        states = self.usable(service, excluded)
+        states = self.eligible(service, excluded)
         # If all circuits are open, they are ignored: refusing every request
         # would also refuse those that some replica can serve.
         healthy = [s for s in states if s.circuit.allows(now)] or states
@@ -214,7 +214,7 @@
 
 
 def _is_restarted(old: Replica, new: Replica) -> bool:
-    return old.started_at_ms != new.started_at_ms or (old.host, old.port) != (
-        new.host,
+    return old.started_at_ms != new.started_at_ms or (old.address, old.port) != (
+        new.address,
         new.port,
     )
--- a/libs/routing/src/masticdale_routing/queues.py
+++ b/libs/routing/src/masticdale_routing/queues.py
@@ -271,7 +271,7 @@
             return 0.0
         # Running calls are assumed to end evenly spread over a mean call, so
         # that the next slot frees up after 1/limit of it.
-        next_slot_s = self.speed.mean_service_s() if free <= 0 else 0.0
+        next_slot_s = self.speed.decode_only_service_s() if free <= 0 else 0.0
         return (ahead_s + next_slot_s) / max(1, self.limit)
 
     def _max_wait_s(self, priority: int) -> float:
--- a/libs/routing/src/masticdale_routing/routes.py
+++ b/libs/routing/src/masticdale_routing/routes.py
@@ -34,7 +34,7 @@
 
     Attributes:
         name: Name, unique in a configuration.
-        host: Value of the Host header, in lowercase.
+        virtual_host: Value of the Host header, in lowercase.
         path_prefix: Path prefix that starts and ends with a slash.
         kind: Whether and how requests may be repeated.
         timeout_s: Time after which the caller gets its final response.
@@ -46,7 +46,7 @@
     """
 
     name: str
-    host: str
+    virtual_host: str
     path_prefix: str
     kind: RouteKind
     timeout_s: float
@@ -91,7 +91,7 @@
     def __init__(self, routes: Iterable[Route]) -> None:
         self._route_by_prefix_by_host: dict[str, dict[str, Route]] = {}
         for route in routes:
-            by_prefix = self._route_by_prefix_by_host.setdefault(route.host, {})
+            by_prefix = self._route_by_prefix_by_host.setdefault(route.virtual_host, {})
             by_prefix[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
@@ -115,13 +115,13 @@
     Attributes:
         header_bytes: Maximum size of the request line and headers.
         body_bytes: Maximum size of a body.
-        header_timeout_s: Time from the first byte of a request to its end.
+        request_timeout_s: Time from the first byte of a request to its end.
         idle_timeout_s: Time between two requests of a connection.
     """
 
     header_bytes: int
     body_bytes: int
-    header_timeout_s: float
+    request_timeout_s: float
     idle_timeout_s: float
 
 
--- a/libs/routing/src/masticdale_routing/speeds.py
+++ b/libs/routing/src/masticdale_routing/speeds.py
@@ -37,7 +37,7 @@
             generated = min(generated, float(ticket.max_tokens))
         return self._predict(ticket.uncached_tokens, generated)
 
-    def mean_service_s(self) -> float:
+    def decode_only_service_s(self) -> float:
         """Returns the expected service time of a call with a cached prompt."""
         return self._predict(0, self.generated_tokens)
 
--- a/libs/routing/tests/test_routes.py
+++ b/libs/routing/tests/test_routes.py
@@ -16,7 +16,7 @@
 def route(prefix, host="h.example", services=ONE_SERVICE):
     return Route(
         name=prefix,
-        host=host,
+        virtual_host=host,
         path_prefix=prefix,
         kind=RouteKind.IDEMPOTENT,
         timeout_s=1.0,
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -37,7 +37,7 @@
     read = PlatformHeaderCodec.parse_response
 
     def parse_response(self, head):
-        return dataclasses.replace(read(self, head), is_genuine=True)
+        return dataclasses.replace(read(self, head), is_usable=True)
 
     PlatformHeaderCodec.parse_response = parse_response
 
@@ -91,14 +91,14 @@
 
 
 def ignore_drains():
-    usable = Fleet.usable
+    eligible = Fleet.eligible
 
     def all_replicas(self, service, excluded=()):
         del excluded
         ids = self._ids_by_service.get(service, ())
-        return [self._state_by_id[i] for i in ids] or usable(self, service)
+        return [self._state_by_id[i] for i in ids] or eligible(self, service)
 
-    Fleet.usable = all_replicas
+    Fleet.eligible = all_replicas
 
 
 def hang_at_stop():
