--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -63,7 +63,7 @@
 _WATCH_TIMEOUT_S = 28.0
 # Pause after a change of the list of replicas; a draining replica must get no
 # new work two seconds after it announces that.
-_REPLICAS_SETTLE_S = 0.3
+_REPLICAS_DEBOUNCE_S = 0.3
 # How often a host whose watches are shared checks that the store responds.
 # Short enough that, with the timeout of the check and the failover of the hosts
 # that share the watches, a change takes effect within two seconds.
@@ -235,7 +235,7 @@
                 REPLICA_PREFIX,
                 _WATCH_TIMEOUT_S,
                 self._replicas.apply,
-                _REPLICAS_SETTLE_S,
+                _REPLICAS_DEBOUNCE_S,
             )
         )
         self._start_watch(
--- a/apps/masticdale_entry/src/masticdale_entry/main.py
+++ b/apps/masticdale_entry/src/masticdale_entry/main.py
@@ -52,7 +52,7 @@
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, _reload, path)
+    loop.add_signal_handler(signal.SIGHUP, _check_settings, path)
     logs.write("started", role=settings.role, store=str(settings.store))
     if settings.role is Role.ENTRY:
         from masticdale_entry.entry import EntryHost
@@ -72,7 +72,7 @@
     gc.enable()
 
 
-def _reload(path: str) -> None:
+def _check_settings(path: str) -> None:
     outcome = settings_files.load(pathlib.Path(path), Settings)
     failure = str(outcome.failure()) if isinstance(outcome, Failed) else ""
     logs.write("reloaded", path=path, failure=failure)
--- a/apps/masticdale_entry/src/masticdale_entry/watching.py
+++ b/apps/masticdale_entry/src/masticdale_entry/watching.py
@@ -25,14 +25,14 @@
         wait_s: Maximum duration of one watch.
         apply: Called with each batch and whether it is the first one after the
             store was unavailable.
-        settle_s: Pause after changes, so that a burst, as at the start of a
+        debounce_s: Pause after changes, so that a burst, as at the start of a
             fleet, costs one call and not one for each change.
     """
 
     prefix: str
     wait_s: float
     apply: Callable[[WatchBatch, bool], None]
-    settle_s: float = 0.0
+    debounce_s: float = 0.0
 
 
 class Watcher:
@@ -90,7 +90,7 @@
         after_outage, self._after_outage = self._after_outage, False
         self._target.apply(batch, after_outage)
         if batch.changed or batch.deleted_keys:
-            await asyncio.sleep(self._target.settle_s)
+            await asyncio.sleep(self._target.debounce_s)
 
     async def _back_off(self) -> None:
         await self._pause_after_failure(
--- a/libs/gateway/src/masticdale_gateway/calls.py
+++ b/libs/gateway/src/masticdale_gateway/calls.py
@@ -113,11 +113,11 @@
         non_retriable_max_idle_s: A request that must not run twice is not
             sent on a connection that was idle for longer; if that connection
             was dropped meanwhile, the outcome would be unknown.
-        max_sends: Maximum number of sends of one request.
+        max_total_attempts: Maximum number of attempts of one request.
     """
 
     first_event_timeout_s: float = 1.5
     next_event_timeout_s: float = 1.0
     retriable_response_timeout_s: float = 0.4
     non_retriable_max_idle_s: float = 1.0
-    max_sends: int = 5
+    max_total_attempts: int = 5
--- a/libs/gateway/src/masticdale_gateway/client.py
+++ b/libs/gateway/src/masticdale_gateway/client.py
@@ -70,7 +70,7 @@
             connection.close()
         self._idle.clear()
 
-    async def send(self, call: HttpRequest) -> HttpResponse:
+    async def send(self, request: HttpRequest) -> HttpResponse:
         """Sends a request and waits for its response.
 
         Raises:
@@ -79,12 +79,12 @@
         """
         connection = await self._acquire()
         try:
-            connection.send(self._encode(call), matches_any)
+            connection.send(self._encode(request), matches_any)
         except ConnectionLostError as error:
             connection.abort()
             raise NotSentError("connection closed before sending") from error
         try:
-            async with asyncio.timeout(call.timeout_s):
+            async with asyncio.timeout(request.timeout_s):
                 head = await connection.read_head()
                 response = HttpResponse(
                     head.status, await _read_body(connection)
@@ -102,14 +102,17 @@
                 connection.abort()
         return response
 
-    def _encode(self, call: HttpRequest) -> bytes:
+    def _encode(self, request: HttpRequest) -> bytes:
         fields: list[Header] = [
             (b"Host", f"{self._host}:{self._port}".encode())
         ]
-        if call.body:
+        if request.body:
             fields.append((b"Content-Type", b"application/json"))
         return encode_request(
-            call.method.encode(), call.target.encode(), fields, call.body
+            request.method.encode(),
+            request.target.encode(),
+            fields,
+            request.body,
         )
 
     async def _acquire(self) -> UpstreamConnection:
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendFailure:
+class AttemptFailure:
     """A send without a usable response.
 
     Attributes:
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendOptions:
+class AttemptOptions:
     """Options of one send of a call.
 
     Attributes:
@@ -156,8 +156,8 @@
         self._metrics = metrics
 
     async def send(
-        self, call: Call, state: ReplicaState, options: SendOptions
-    ) -> Result[Exchange, SendFailure]:
+        self, call: Call, state: ReplicaState, options: AttemptOptions
+    ) -> Result[Exchange, AttemptFailure]:
         """Sends a call and waits for the head of its response.
 
         On success the caller must close the exchange.
@@ -203,7 +203,7 @@
         call: Call,
         state: ReplicaState,
         connection: UpstreamConnection,
-        options: SendOptions,
+        options: AttemptOptions,
     ) -> ResponseHead:
         request = call.request
         fields = self._codec.request_headers(
@@ -242,7 +242,7 @@
         connection: UpstreamConnection,
         metadata: ResponseMetadata,
         head: ResponseHead,
-    ) -> SendFailure:
+    ) -> AttemptFailure:
         if not metadata.is_rejected:
             state.circuit.record_failure(asyncio.get_running_loop().time())
             return self._failure(
@@ -286,7 +286,7 @@
         ran: Executed,
         reason: str,
         retry_after_s: float | None = None,
-    ) -> SendFailure:
+    ) -> AttemptFailure:
         self._metrics.count("upstream_failures_total", ran=ran.value)
         logs.write_bounded(
             "send_failed",
@@ -296,7 +296,7 @@
             ran=ran.value,
             reason=reason,
         )
-        return SendFailure(state.replica.id, ran, reason, retry_after_s)
+        return AttemptFailure(state.replica.id, ran, reason, retry_after_s)
 
 
 def _reason(error: BaseException) -> str:
--- a/libs/gateway/src/masticdale_gateway/relay.py
+++ b/libs/gateway/src/masticdale_gateway/relay.py
@@ -219,9 +219,12 @@
     def _send_error(
         self, writer: ResponseWriter, request_id: str, failure: Failure
     ) -> None:
-        come_back_ms = failure.effective_retry_after_ms
+        effective_retry_after_ms = failure.effective_retry_after_ms
         fields = self._dependencies.codec.error_headers(
-            request_id, None if come_back_ms is None else come_back_ms / 1000
+            request_id,
+            None
+            if effective_retry_after_ms is None
+            else effective_retry_after_ms / 1000,
         )
         body = json.dumps(
             {"error": failure.kind.value, "message": str(failure)}
--- a/libs/gateway/src/masticdale_gateway/streaming.py
+++ b/libs/gateway/src/masticdale_gateway/streaming.py
@@ -15,10 +15,10 @@
     OversizedEventError,
 )
 from masticdale_gateway.exchanges import (
+    AttemptFailure,
+    AttemptOptions,
     Exchange,
     Sender,
-    SendFailure,
-    SendOptions,
 )
 from masticdale_gateway.unary import BufferedResponse, no_upstream_failure
 from masticdale_routing.fleet import Fleet, ReplicaState
@@ -63,11 +63,11 @@
         """
         stream = _Stream(call, writer)
         excluded: set[str] = set()
-        last: SendFailure | None = None
+        last: AttemptFailure | None = None
         state = self._choose(call, excluded)
-        sends = 0
+        attempts = 0
         while state is not None and call.remaining_s > 0:
-            sends += 1
+            attempts += 1
             outcome = await self._sender.send(
                 call, state, self._options(call, stream)
             )
@@ -80,10 +80,10 @@
                 result = await self._forward(stream, exchange)
                 if not isinstance(result, _Interrupted):
                     return result
-                last = SendFailure(
+                last = AttemptFailure(
                     state.replica.id, Executed.YES, result.reason
                 )
-            if sends >= self._settings.max_sends:
+            if attempts >= self._settings.max_total_attempts:
                 break
             if last.ran is not Executed.NO and not call.is_retriable:
                 break
@@ -100,7 +100,7 @@
         self,
         call: Call,
         state: ReplicaState,
-        last: SendFailure,
+        last: AttemptFailure,
         excluded: set[str],
     ) -> ReplicaState | None:
         """Returns the replica for the next send.
@@ -111,14 +111,14 @@
         be reached is excluded.
         """
         ids = {s.replica.id for s in self._fleet.eligible(call.service.name)}
-        broke_off = last.ran is not Executed.NO
-        if broke_off and state.replica.id in ids:
+        is_interrupted = last.ran is not Executed.NO
+        if is_interrupted and state.replica.id in ids:
             return state
         excluded.add(state.replica.id)
         return self._choose(call, excluded)
 
-    def _options(self, call: Call, stream: "_Stream") -> SendOptions:
-        return SendOptions(
+    def _options(self, call: Call, stream: "_Stream") -> AttemptOptions:
+        return AttemptOptions(
             response_timeout_s=self._settings.first_event_timeout_s,
             max_idle_s=_MAX_IDLE_S if not stream.may_have_executed else 0.0,
             last_event_id=stream.last_event_id,
@@ -173,7 +173,7 @@
                 wait_s = self._settings.next_event_timeout_s
 
     def _fail(
-        self, call: Call, stream: "_Stream", last: SendFailure | None
+        self, call: Call, stream: "_Stream", last: AttemptFailure | None
     ) -> Failure | None:
         reason = last.reason if last else "no replica"
         if stream.has_started:
--- a/libs/gateway/src/masticdale_gateway/unary.py
+++ b/libs/gateway/src/masticdale_gateway/unary.py
@@ -9,10 +9,10 @@
 from masticdale_common import ErrorKind, Executed, Failure
 from masticdale_gateway.calls import Call, RelaySettings
 from masticdale_gateway.exchanges import (
+    AttemptFailure,
+    AttemptOptions,
     Exchange,
     Sender,
-    SendFailure,
-    SendOptions,
 )
 from masticdale_gateway.messages import ResponseHead
 from masticdale_routing.fleet import Fleet, ReplicaState
@@ -30,7 +30,7 @@
 
 
 def no_upstream_failure(
-    call: Call, failure: SendFailure | None, retry_after_s: float
+    call: Call, failure: AttemptFailure | None, retry_after_s: float
 ) -> Failure:
     """Returns the error for a call that no replica has run.
 
@@ -64,9 +64,9 @@
     async def run(self, call: Call) -> BufferedResponse | Failure:
         """Returns a replica's complete response, or the failure."""
         excluded: set[str] = set()
-        last: SendFailure | None = None
-        possible_runs = 0
-        for _ in range(self._settings.max_sends):
+        last: AttemptFailure | None = None
+        possible_executions = 0
+        for _ in range(self._settings.max_total_attempts):
             if call.remaining_s <= 0:
                 break
             state = self._choose(call, excluded)
@@ -79,13 +79,13 @@
             excluded.add(last.replica_id)
             if last.ran is Executed.NO:
                 continue
-            possible_runs += 1
+            possible_executions += 1
             if (
                 not call.is_retriable
-                or possible_runs >= call.route.max_attempts
+                or possible_executions >= call.route.max_attempts
             ):
                 break
-        if possible_runs == 0:
+        if possible_executions == 0:
             return no_upstream_failure(call, last, self._RETRY_AFTER_S)
         if call.remaining_s <= 0:
             return Failure(ErrorKind.TIMED_OUT)
@@ -97,10 +97,10 @@
 
     async def _attempt(
         self, call: Call, state: ReplicaState
-    ) -> Result[BufferedResponse, SendFailure]:
+    ) -> Result[BufferedResponse, AttemptFailure]:
         settings = self._settings
         retriable = call.is_retriable
-        options = SendOptions(
+        options = AttemptOptions(
             response_timeout_s=(
                 settings.retriable_response_timeout_s
                 if retriable and call.route.max_attempts > 1
@@ -118,7 +118,7 @@
 
 async def _buffer_response(
     call: Call, exchange: Exchange
-) -> Result[BufferedResponse, SendFailure]:
+) -> Result[BufferedResponse, AttemptFailure]:
     try:
         body = await exchange.read_body(call.deadline_at)
     finally:
@@ -126,7 +126,7 @@
     return body.map(
         lambda content: BufferedResponse(exchange.head, content)
     ).alt(
-        lambda reason: SendFailure(
+        lambda reason: AttemptFailure(
             exchange.replica_id, Executed.UNKNOWN, reason
         )
     )
--- a/libs/routing/src/masticdale_routing/fleet.py
+++ b/libs/routing/src/masticdale_routing/fleet.py
@@ -214,7 +214,10 @@
 
 
 def _is_restarted(old: Replica, new: Replica) -> bool:
-    return old.started_at_ms != new.started_at_ms or (old.address, old.port) != (
+    return old.started_at_ms != new.started_at_ms or (
+        old.address,
+        old.port,
+    ) != (
         new.address,
         new.port,
     )
--- a/libs/routing/src/masticdale_routing/routes.py
+++ b/libs/routing/src/masticdale_routing/routes.py
@@ -91,7 +91,9 @@
     def __init__(self, routes: Iterable[Route]) -> None:
         self._route_by_prefix_by_host: dict[str, dict[str, Route]] = {}
         for route in routes:
-            by_prefix = self._route_by_prefix_by_host.setdefault(route.virtual_host, {})
+            by_prefix = self._route_by_prefix_by_host.setdefault(
+                route.virtual_host, {}
+            )
             by_prefix[route.path_prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -60,8 +60,8 @@
     Edit(
         "go on at the same replica",
         f"{_GATEWAY}/streaming.py",
-        "if broke_off and state.replica.id in ids:",
-        "if False and broke_off and state.replica.id in ids:",
+        "if is_interrupted and state.replica.id in ids:",
+        "if False and is_interrupted and state.replica.id in ids:",
     ),
     Edit(
         "lapse grace",
@@ -102,8 +102,8 @@
     Edit(
         "pause after changes of replicas",
         f"{_ENTRY}/entry.py",
-        "_REPLICAS_SETTLE_S = 0.3",
-        "_REPLICAS_SETTLE_S = 0.0",
+        "_REPLICAS_DEBOUNCE_S = 0.3",
+        "_REPLICAS_DEBOUNCE_S = 0.0",
     ),
     Edit(
         "half spent after a loss",
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -17,7 +17,7 @@
 from masticdale_entry.watched_state import ActiveConfiguration
 from masticdale_entry.watching import Watcher
 from masticdale_gateway import Relay
-from masticdale_gateway.exchanges import Sender, SendFailure
+from masticdale_gateway.exchanges import AttemptFailure, Sender
 from masticdale_gateway.streaming import _Stream
 from masticdale_ledger import LedgerClient
 from masticdale_ledger.accounts import Account, BudgetExceeded
@@ -27,7 +27,9 @@
 def call_everything_not_run():
     def failure(self, call, state, ran, reason, retry_after_s=None):
         del self, call, ran
-        return SendFailure(state.replica.id, Executed.NO, reason, retry_after_s)
+        return AttemptFailure(
+            state.replica.id, Executed.NO, reason, retry_after_s
+        )
 
     Sender._failure = failure
 
