--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -100,20 +100,22 @@
             settings.failure_domain,
         )
         seen = LiveHosts(identity.host_address)
-        self._direct = PlatformObjectStore(
+        self._direct_store = PlatformObjectStore(
             str(settings.store.ip), settings.store.port, self._metrics
         )
         self._shard_map = ShardMap()
-        self._peers = PeerClients(self._shard_map, settings, self._metrics)
-        leaders = self._peers.leaders()
+        self._peer_clients = PeerClients(
+            self._shard_map, settings, self._metrics
+        )
+        leaders = self._peer_clients.leaders()
         shared = None if leaders else SharedWatches()
         self._store = FallbackStore(
-            self._direct,
-            self._peers.all,
+            self._direct_store,
+            self._peer_clients.all,
             self._metrics,
             leaders,
             shared,
-            self._direct.ping,
+            self._direct_store.ping,
         )
         self._fleet = Fleet(settings.failure_domain)
         self._configuration = ActiveConfiguration(
@@ -127,7 +129,7 @@
             self._shard_map,
             self._owner,
             identity.host_address,
-            self._peers.client,
+            self._peer_clients.client,
             self._metrics,
         )
         self._copies = StandbyCopies()
@@ -139,7 +141,7 @@
             self._owner,
             self._lease,
             self._ledger,
-            self._peers,
+            self._peer_clients,
             seen,
         )
         acting = StandbyFailover(
@@ -149,7 +151,7 @@
             self._lease,
             self._copies,
             claims,
-            self._peers,
+            self._peer_clients,
         )
         self._keeper = ShardReconciler(
             identity,
@@ -160,7 +162,7 @@
             self._ledger,
             claims,
             acting,
-            self._peers,
+            self._peer_clients,
             lambda: self._store.is_unreachable,
             seen,
         )
@@ -169,7 +171,7 @@
             self._keeper,
             acting,
             self._copies,
-            self._direct,
+            self._direct_store,
             seen,
             shared,
         )
@@ -301,7 +303,7 @@
 
     async def _close_idle(self) -> None:
         self._relay.pool.close_idle()
-        self._peers.close_idle()
+        self._peer_clients.close_idle()
 
     async def _stop(self) -> None:
         started_at = time.monotonic()
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -84,8 +84,8 @@
     Edit(
         "watches through seeds",
         f"{_ENTRY}/entry.py",
-        "leaders = self._peers.leaders()",
-        "leaders = self._peers.leaders()[:0]",
+        "leaders = self._peer_clients.leaders()",
+        "leaders = self._peer_clients.leaders()[:0]",
     ),
     Edit(
         "records one turn ahead",
