--- a/libs/routing/tests/test_fleet.py
+++ b/libs/routing/tests/test_fleet.py
@@ -10,7 +10,7 @@
     fields = {
         "id": name,
         "service": "engine",
-        "host": "127.0.0.1",
+        "address": "127.0.0.1",
         "port": 1000,
         "failure_domain": "a",
         "slots": 10,
