--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -58,11 +58,11 @@
 # Size of the accept queue. It must hold a burst of some hundred callers, since
 # a connection that finds it full is retried only after a second.
 _BACKLOG = 1024
-# Close to the longest watch that the store allows, since each watch is a priced
+# Close to the longest watch that the store allows, since each watch is a billed
 # call. TCP keep-alive detects a dead connection sooner.
 _WATCH_TIMEOUT_S = 28.0
-# Pause after a change of the list of replicas; a draining replica must get no
-# new work two seconds after it announces that.
+# Pause after a change of the list of replicas. Short, because a replica must
+# get no new work two seconds after it announces that it drains.
 _REPLICAS_DEBOUNCE_S = 0.3
 # How often a host whose watches are shared checks that the store responds.
 # Short enough that, with the timeout of the check and the failover of the hosts
--- a/apps/masticdale_entry/src/masticdale_entry/main.py
+++ b/apps/masticdale_entry/src/masticdale_entry/main.py
@@ -67,12 +67,20 @@
 
 
 def _enable_gc() -> None:
-    """Enables garbage collection, excluding the objects loaded so far."""
+    """Enables garbage collection, excluding the objects loaded so far.
+
+    ``deploy/start.py`` disables it while modules are imported, since collection
+    finds little garbage then and delays the start.
+    """
     gc.freeze()
     gc.enable()
 
 
 def _check_settings(path: str) -> None:
+    """Checks the settings file on SIGHUP and logs the result.
+
+    The process keeps the settings that it started with.
+    """
     outcome = settings_files.load(pathlib.Path(path), Settings)
     failure = str(outcome.failure()) if isinstance(outcome, Failed) else ""
     logs.write("reloaded", path=path, failure=failure)
--- a/apps/masticdale_entry/src/masticdale_entry/peers.py
+++ b/apps/masticdale_entry/src/masticdale_entry/peers.py
@@ -68,6 +68,7 @@
             peer = PeerSettings(
                 name=f"{address}:{port}",
                 address=Address.model_validate({"ip": address, "port": port}),
+                # Required by PeerSettings; the client does not use it.
                 domain="unknown",
             )
             client = RpcClient(peer, None, _POOL_LIMITS, self._metrics, LEDGER)
--- a/apps/masticdale_entry/src/masticdale_entry/starting.py
+++ b/apps/masticdale_entry/src/masticdale_entry/starting.py
@@ -6,9 +6,9 @@
 def ignore_hang_up() -> None:
     """Ignores SIGHUP until its handler is installed.
 
-    SIGHUP requests a reload of the settings, but by default it terminates the
-    process. A process that is still importing modules would end without a log
-    line, and has no settings to reload yet.
+    SIGHUP makes a running process check its settings file, but by default it
+    terminates the process. One that is still importing modules would end
+    without a log line.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
--- a/apps/masticdale_entry/src/masticdale_entry/watched_state.py
+++ b/apps/masticdale_entry/src/masticdale_entry/watched_state.py
@@ -14,8 +14,9 @@
 ReadConfiguration = Callable[[bytes], Result[Configuration, Failure]]
 ReadReplica = Callable[[str, bytes], Result[Replica, Failure]]
 
-# Replicas rewrite entries that lapsed in an outage of the store within about
-# two seconds of its recovery.
+# Time after the store's recovery for which a replica that is missing from its
+# list is kept, so that the replica can renew an entry that lapsed in the
+# outage.
 _LAPSED_GRACE_S = 1.9
 
 
--- a/apps/masticdale_entry/src/masticdale_entry/watching.py
+++ b/apps/masticdale_entry/src/masticdale_entry/watching.py
@@ -25,8 +25,8 @@
         wait_s: Maximum duration of one watch.
         apply: Called with each batch and whether it is the first one after the
             store was unavailable.
-        debounce_s: Pause after changes, so that a burst, as at the start of a
-            fleet, costs one call and not one for each change.
+        debounce_s: Pause after a batch of changes, so that a burst, as at the
+            start of a fleet, takes few watches and not one for each change.
     """
 
     prefix: str
