--- a/libs/gateway/src/masticdale_gateway/callers.py
+++ b/libs/gateway/src/masticdale_gateway/callers.py
@@ -21,8 +21,8 @@
 
 # Parsed requests queued on one connection before reading pauses.
 _MAX_PIPELINED = 2
-# Time in which a closing connection must flush its write buffer; longer than
-# any round trip between failure domains.
+# Time in which a closing connection must flush its write buffer. A shorter one
+# could drop the end of a response on its way to another failure domain.
 _LINGER_S = 1.0
 
 
--- a/libs/gateway/src/masticdale_gateway/calls.py
+++ b/libs/gateway/src/masticdale_gateway/calls.py
@@ -20,7 +20,7 @@
         request: The caller's request.
         metadata: The values of its headers.
         route: The route that it matches.
-        service: The service that runs it.
+        service: The service that executes it.
         deadline_at: Deadline of the complete response, in loop seconds.
         replica_ids: Replicas that it was sent to, in order.
         events: Number of stream events forwarded to the caller.
@@ -46,7 +46,7 @@
 
     @property
     def is_retriable(self) -> bool:
-        """Whether the request may run more than once."""
+        """Whether the request may be executed more than once."""
         if self.is_stream:
             return self.route.is_resumable
         return self.route.kind is RouteKind.IDEMPOTENT
@@ -66,7 +66,8 @@
 
     Attributes:
         program_id: The program.
-        request_id: Idempotency key: a repeated claim reserves nothing more.
+        request_id: Id of the caller's request. A claim repeated under it while
+            the turn is in flight reserves nothing more.
         budget_tokens: Total budget of the program.
         turn_tokens: Maximum number of tokens that the turn uses.
     """
@@ -85,7 +86,7 @@
     ) -> Result[None, Failure]:
         """Reserves the tokens that a turn may use.
 
-        A turn that is not admitted must not run.
+        A turn that is not admitted must not be sent to a replica.
 
         Returns:
             None, or BUDGET_EXCEEDED if the budget is spent, or
@@ -103,16 +104,16 @@
     """Limits of the data path.
 
     Attributes:
-        first_event_timeout_s: A stream without a first event for this long is
-            requested again on a new connection, since a connection can go
-            silent while its replica works. Shorter than the 2 to 3 s that
-            callers wait.
+        first_event_timeout_s: Time limit for the first event of an attempt.
+            The stream is then requested again on a new connection, since a
+            connection can go silent while its replica works. Must be shorter
+            than callers wait for the first event, 2 to 3 s.
         next_event_timeout_s: The same limit between two events.
-        retriable_response_timeout_s: A retriable unary request without a
-            response for this long is sent again.
-        non_retriable_max_idle_s: A request that must not run twice is not
-            sent on a connection that was idle for longer; if that connection
-            was dropped meanwhile, the outcome would be unknown.
+        retriable_response_timeout_s: Time limit for the head of the response to
+            a unary request that may be sent again.
+        non_retriable_max_idle_s: Maximum idle time of a connection for a
+            request that must not be executed twice. If the connection was
+            dropped meanwhile, the outcome of the request is unknown.
         max_total_attempts: Maximum number of attempts of one request.
     """
 
--- a/libs/gateway/src/masticdale_gateway/codec.py
+++ b/libs/gateway/src/masticdale_gateway/codec.py
@@ -12,7 +12,8 @@
     """The values of a caller's request headers.
 
     Attributes:
-        request_id: Id of this attempt; empty if the caller sent none.
+        request_id: Id of the caller's request; all attempts that this host
+            makes for it carry the same id. Empty if the caller sent none.
         deadline_s: Seconds that the caller waits; None if unspecified.
         program_id: The agent program it belongs to; empty for none.
         prefix_key: Key of the first part of its prompt; empty for none.
@@ -37,9 +38,9 @@
     """The values of a replica's response headers.
 
     Attributes:
-        is_rejected: The replica states that it did not run the request.
-        is_usable: The response comes from a replica, and is complete if its
-            body is.
+        is_rejected: The replica states that it does not execute the request.
+        is_usable: The response is a replica's, and may be forwarded if its body
+            is complete.
         running: Requests running at the replica; None if unspecified.
         waiting: Requests queued at the replica.
         retry_after_s: Delay before the next attempt; None if unspecified.
@@ -57,7 +58,7 @@
     """The values to set in a request forwarded to a replica.
 
     Attributes:
-        replica_id: The only replica that may run the request.
+        replica_id: The only replica that may execute the request.
         remaining_s: Seconds until the deadline.
         last_event_id: Event after which a stream resumes; empty to keep the
             caller's.
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -31,11 +31,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptFailure:
-    """A send without a usable response.
+    """An attempt without a usable response.
 
     Attributes:
         replica_id: The replica that it was sent to.
-        ran: NO if the replica certainly never runs the call, else UNKNOWN.
+        ran: NO if the replica certainly never executes the call, YES if the
+            response to a stream had begun, else UNKNOWN.
         reason: Short description for logs.
         retry_after_s: Delay that the replica asked for; None if unspecified.
     """
@@ -48,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptOptions:
-    """Options of one send of a call.
+    """Options of one attempt at a call.
 
     Attributes:
         response_timeout_s: Time limit for the head of the response.
@@ -63,7 +64,7 @@
 
 
 class Exchange:
-    """A send whose response has begun.
+    """An attempt whose response has begun.
 
     Attributes:
         head: Status and headers of the response.
@@ -98,7 +99,7 @@
 
         Returns:
             Bytes, None at the end of a complete body, or the reason for which
-            the body was cut off.
+            the body was interrupted.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -163,6 +164,8 @@
         On success the caller must close the exchange.
         """
         loop = asyncio.get_running_loop()
+        # The result is ignored: ``Fleet.choose`` has decided already, and
+        # chooses a replica with an open circuit if there is no other.
         state.circuit.try_acquire(loop.time())
         state.in_flight += 1
         connection: UpstreamConnection | None = None
@@ -260,8 +263,8 @@
                 while await connection.read_chunk() is not None:
                     pass
         except _CONNECTION_ERRORS:
-            # The head alone proves that the request did not run, so it may be
-            # sent elsewhere; only the connection can't be reused.
+            # The head alone proves that the request was not executed, so it may
+            # be sent elsewhere; only the connection can't be reused.
             connection.abort()
         return self._failure(
             call,
--- a/libs/gateway/src/masticdale_gateway/streaming.py
+++ b/libs/gateway/src/masticdale_gateway/streaming.py
@@ -1,4 +1,4 @@
-"""Event streams: forwarded as they arrive, resumed if cut off."""
+"""Event streams: forwarded as they arrive, resumed if interrupted."""
 
 import asyncio
 import dataclasses
@@ -23,22 +23,22 @@
 from masticdale_gateway.unary import BufferedResponse, no_upstream_failure
 from masticdale_routing.fleet import Fleet, ReplicaState
 
-# A connection that was idle for longer may have been dropped on the network,
-# and a new one is cheap compared with a turn.
+# A connection that was idle for longer may have been dropped on the network. A
+# request sent on it would get no response until the attempt times out.
 _MAX_IDLE_S = 10.0
-# Retry delay for callers if all engines reject; a few steps of an engine.
+# Retry delay for callers if no replica accepts the request or names one.
 _RETRY_AFTER_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Interrupted:
-    """A response that was cut off."""
+    """A response that was interrupted."""
 
     reason: str
 
 
 class StreamRelay:
-    """Forwards streams; one that is cut off resumes after its last event."""
+    """Forwards streams; an interrupted one resumes after its last event."""
 
     def __init__(
         self,
@@ -103,12 +103,13 @@
         last: AttemptFailure,
         excluded: set[str],
     ) -> ReplicaState | None:
-        """Returns the replica for the next send.
+        """Returns the replica for the next attempt.
 
-        A stream that was cut off resumes at the same replica while that one is
-        usable: it holds the prompt, and the number of replicas that may
-        run one request is limited. A replica that rejects the request or can't
-        be reached is excluded.
+        If the last attempt may have been executed, the same replica is used
+        again while it is eligible, since its cache holds the prompt. A replica
+        that rejects the request or can't be reached is excluded. The number of
+        attempts is limited by ``RelaySettings.max_total_attempts``, whatever
+        the replicas; ``Route.max_attempts`` does not apply to streams.
         """
         ids = {s.replica.id for s in self._fleet.eligible(call.service.name)}
         is_interrupted = last.ran is not Executed.NO
@@ -199,7 +200,8 @@
         call: The call.
         writer: Writes the response to the caller.
         has_started: Whether the head has been sent.
-        may_have_executed: Whether any replica may have begun to run the call.
+        may_have_executed: Whether any replica may have executed the call, even
+            in part.
         last_event_id: Id of the last event forwarded; empty before that.
     """
 
--- a/libs/gateway/src/masticdale_gateway/unary.py
+++ b/libs/gateway/src/masticdale_gateway/unary.py
@@ -17,7 +17,8 @@
 from masticdale_gateway.messages import ResponseHead
 from masticdale_routing.fleet import Fleet, ReplicaState
 
-# Retriable requests may use any connection that the pool still keeps.
+# Retriable requests may use any idle connection that the pool keeps, since they
+# are sent again if it was dropped on the network.
 _RETRIABLE_MAX_IDLE_S = 60.0
 
 
@@ -32,11 +33,11 @@
 def no_upstream_failure(
     call: Call, failure: AttemptFailure | None, retry_after_s: float
 ) -> Failure:
-    """Returns the error for a call that no replica has run.
+    """Returns the error for a call that no replica has executed.
 
     Args:
         call: The call.
-        failure: The last failed send, if any.
+        failure: The last failed attempt, if any.
         retry_after_s: Delay before a retry if the replica named none.
     """
     requested_s = failure.retry_after_s if failure else None
@@ -51,7 +52,7 @@
 class UnaryRelay:
     """Sends unary requests, with retries on other replicas."""
 
-    # Full replicas of a unary service free a slot within tens of milliseconds.
+    # Retry delay for callers if no replica accepts the request or names one.
     _RETRY_AFTER_S = 0.1
 
     def __init__(
--- a/libs/gateway/src/masticdale_gateway/upstreams.py
+++ b/libs/gateway/src/masticdale_gateway/upstreams.py
@@ -21,7 +21,7 @@
 
 
 class UpstreamConnection(TransportProtocol):
-    """One connection to a replica.
+    """A connection to one server: a replica, or the server of an HttpClient.
 
     A response is read as a sequence: its head, the chunks of its body, its
     end. Bytes that arrive while no response is awaited belong to no request;
@@ -29,7 +29,7 @@
 
     Attributes:
         idle_since: End of the last exchange, in loop seconds.
-        keep_alive_s: The replica's keep-alive timeout; None if unspecified.
+        keep_alive_s: The server's keep-alive timeout; None if unspecified.
     """
 
     def __init__(self) -> None:
@@ -127,7 +127,7 @@
         """Waits for the next chunk of the body; None after the last one.
 
         Raises:
-            ConnectionLostError: The body was cut off.
+            ConnectionLostError: The connection closed inside the body.
             MalformedResponseError: The bytes are not a valid response.
         """
         item = await self._next_item()
