--- a/libs/routing/src/masticdale_routing/evictions.py
+++ b/libs/routing/src/masticdale_routing/evictions.py
@@ -4,7 +4,11 @@
 
 
 class EvictionRate:
-    """Tokens evicted per second; recorded tokens decay linearly to zero."""
+    """Tokens evicted per second.
+
+    The recorded tokens decay linearly to zero over twice the window. Each
+    record restarts the decay of the remaining sum.
+    """
 
     def __init__(self) -> None:
         self._tokens = 0.0
--- a/libs/routing/src/masticdale_routing/fleet.py
+++ b/libs/routing/src/masticdale_routing/fleet.py
@@ -7,10 +7,9 @@
 from masticdale_common import hashing
 from masticdale_routing.retries import CircuitBreaker, CircuitBreakerSettings
 
-# Share of a replica's slots busy with requests of this host at which a request
-# with a key may spill over to the key's second replica. Below it, batching
-# slows each token only slightly, whereas a program that moves has its whole
-# prompt computed again.
+# Utilization of a key's first replica at which a request may spill over to the
+# key's second replica. Below it, batching slows each token only slightly,
+# whereas a program that moves has its whole prompt computed again.
 _SPILL_SHARE = 0.5
 # Utilization added to a replica in another failure domain when replicas are
 # compared for requests without a key; it stands for the network latency.
@@ -88,7 +87,11 @@
         self._load = load
 
     def utilization(self, now: float) -> float:
-        """Returns the estimated share of busy slots; may exceed 1."""
+        """Returns the estimated share of busy slots; may exceed 1.
+
+        It is based on the larger of this host's requests and the replica's own
+        report, if recent, plus a penalty during warm-up.
+        """
         busy = self.in_flight
         if (
             self._load is not None
@@ -169,7 +172,7 @@
             excluded: Ids of replicas to skip.
 
         Returns:
-            The chosen replica, or None if the service has no usable one.
+            The chosen replica, or None if the service has no eligible one.
         """
         states = self.eligible(service, excluded)
         # If all circuits are open, they are ignored: refusing every request
--- a/libs/routing/src/masticdale_routing/inflight.py
+++ b/libs/routing/src/masticdale_routing/inflight.py
@@ -6,11 +6,16 @@
 from masticdale_routing.tickets import LoadObservation
 
 _MIN_LIMIT = 1.0
+# Decay of the best mean speed per finished call. Without it, the limit of a
+# replica that has become slower for good would stay at the floor.
 _BEST_DECAY = 0.999
 _SMOOTHING = 0.1
 _MIN_SHARE_OF_INITIAL = 0.5
 _DECREASE_FACTOR = 0.9
+# Time for which the limit stays capped after calls waited inside the engine.
 _CEILING_HOLD_S = 30.0
+# Foreign calls are forgotten this long after the last load report, or an engine
+# that stops reporting would keep slots blocked.
 _REPORT_MAX_AGE_S = 10.0
 _MAX_RECENT_CALLS = 512
 
@@ -95,17 +100,18 @@
         if self._finishes_until_decrease > 0:
             return
         self._finishes_until_decrease = self.limit
-        # The floor keeps batches possible: at a limit of 1, reached through
-        # noise, no call would show how fast a larger batch runs.
+        # Decreases by speed stop at the floor: at a limit of 1, reached through
+        # noise, no call would show how fast a larger batch runs. The cap of
+        # ``record_load`` may be lower.
         self._limit = max(self._floor, self._limit * _DECREASE_FACTOR)
 
 
 class ForeignLoad:
-    """Estimates the calls at a replica that this queue did not send.
+    """Estimates the foreign calls at a replica (see ``tickets``).
 
-    After a change of home, or while two hosts both act as home, the engine
-    runs calls that this queue does not know. Load reports lag, so each is
-    compared with the calls that this queue had in flight at its time.
+    They occur after a failover of the replica's home, or while two hosts both
+    act as home. Load reports lag, so each is compared with the calls that this
+    queue had in flight at its time.
     """
 
     def __init__(self) -> None:
--- a/libs/routing/src/masticdale_routing/pauses.py
+++ b/libs/routing/src/masticdale_routing/pauses.py
@@ -7,6 +7,7 @@
 _SAMPLES = 64
 _MAX_KEYS = 2_000
 _DEFAULT_PAUSE_S = 10.0
+# Stands for an unlimited time or cost.
 _UNBOUNDED_S = 1e9
 
 
@@ -40,7 +41,7 @@
     """Cost of holding tokens in a replica's cache.
 
     Attributes:
-        residence_s: Time until an unused token is evicted; infinite
+        residence_s: Time until an unused token is evicted; ``_UNBOUNDED_S``
             while the cache has room.
         prefill_tokens_per_s: Speed of computing a prompt.
         export_tokens_per_s: Speed of exports and imports; 0 if unsupported.
--- a/libs/routing/src/masticdale_routing/placement.py
+++ b/libs/routing/src/masticdale_routing/placement.py
@@ -103,9 +103,10 @@
     """Least expected time for waiting, prefill and generation.
 
     Attributes:
-        margin_s: A branch moves only if that saves more time than this.
-        margin_share: And more than this share of the cost of staying, because
-            the moved prefix also displaces prefixes of other programs.
+        margin_s: A branch moves only if that saves more than the sum of this
+            and ``margin_share`` of the cost of staying, because the moved
+            prefix also displaces prefixes of other programs.
+        margin_share: See ``margin_s``.
         tie_s: Candidates within this of the least cost are compared by the
             calls in flight.
     """
--- a/libs/routing/src/masticdale_routing/prefixes.py
+++ b/libs/routing/src/masticdale_routing/prefixes.py
@@ -8,7 +8,11 @@
 import dataclasses
 
 _DEFAULT_MAX_BRANCHES = 50_000
+# Share of a prefix that counts as still cached, per gap in the cache events
+# since its last confirmation; the lost events may be its eviction.
 _GAP_DISCOUNT = 0.7
+# Events that arrive this soon after a branch's last call may concern an earlier
+# call, and must not shrink its prefix.
 _EVENT_LAG_S = 2.0
 
 
--- a/libs/routing/src/masticdale_routing/queues.py
+++ b/libs/routing/src/masticdale_routing/queues.py
@@ -1,4 +1,4 @@
-"""The queue of one replica, kept by the replica's home."""
+"""The queue of one replica, held by the replica's home (see ``tickets``)."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -22,6 +22,8 @@
 )
 from masticdale_routing.waiting import QueueOrder, WaitingTickets
 
+# Time after its deadline at which a granted ticket that was neither finished
+# nor withdrawn gives up its slot.
 _RUNNING_GRACE_S = 30.0
 _MIN_RETRY_S = 0.1
 
@@ -106,7 +108,7 @@
         return len(self._waiting)
 
     def in_flight(self, now: float) -> int:
-        """Returns the calls at the replica, including those of other homes."""
+        """Returns the calls at the replica, including foreign ones."""
         return len(self._running_by_id) + self._foreign.count(now)
 
     def running(self) -> tuple[Ticket, ...]:
@@ -256,8 +258,8 @@
         wait_s = self._drain_s(self._waiting.backlog(ticket, service_s), now)
         if len(self._waiting) >= self._settings.max_waiting:
             return _overloaded(wait_s / 2)
-        # Only new programs are shed: refusing a program under way would waste
-        # the service it has had.
+        # The bound on the wait applies to new programs only: refusing a program
+        # under way would waste the service it has had.
         if ticket.attained_s > 0:
             return None
         allowed_s = self._max_wait_s(ticket.priority)
@@ -269,8 +271,8 @@
         free = self.limit - self.in_flight(now)
         if free > len(self._waiting):
             return 0.0
-        # Running calls are assumed to end evenly spread over a mean call, so
-        # that the next slot frees up after 1/limit of it.
+        # Running calls are assumed to end evenly spread over the decode time of
+        # a mean call, so that the next slot frees up after 1/limit of it.
         next_slot_s = self.speed.decode_only_service_s() if free <= 0 else 0.0
         return (ahead_s + next_slot_s) / max(1, self.limit)
 
@@ -315,8 +317,8 @@
 
     def _expire(self, now: float) -> None:
         self._waiting.expire(now)
-        # Origins cancel calls at their deadline. If the release is lost, the
-        # slot would stay taken and the replica idle.
+        # Origins finish or withdraw a ticket by its deadline. If that message
+        # is lost, the slot would stay taken and the replica idle.
         while first := self._running_by_deadline.peek():
             if first[0] + _RUNNING_GRACE_S > now:
                 return
--- a/libs/routing/src/masticdale_routing/routes.py
+++ b/libs/routing/src/masticdale_routing/routes.py
@@ -41,8 +41,10 @@
         latency_objective_s: Latency within which a response is on time.
         priority: Priority class; 0 is the most urgent.
         services: Services of the route; at least one.
-        max_attempts: Maximum number of replicas that run one request.
-        is_resumable: Whether a broken stream may resume at another replica.
+        max_attempts: Maximum number of attempts at a unary request that may
+            have been executed; streams ignore it.
+        is_resumable: Whether an interrupted stream may resume, at the same or
+            another replica.
     """
 
     name: str
--- a/libs/routing/src/masticdale_routing/speeds.py
+++ b/libs/routing/src/masticdale_routing/speeds.py
@@ -5,7 +5,10 @@
 from masticdale_routing.tickets import Ticket, TicketResult
 
 _LEARNING_RATE = 0.2
+# Bound of the ratio of actual to predicted duration in one update, so that a
+# single outlier can't distort the estimates.
 _MAX_RATIO = 8.0
+# Avoids division by zero for a call without tokens.
 _MIN_PREDICTED_S = 1e-4
 
 
@@ -38,7 +41,7 @@
         return self._predict(ticket.uncached_tokens, generated)
 
     def decode_only_service_s(self) -> float:
-        """Returns the expected service time of a call with a cached prompt."""
+        """Returns the expected decode time of a call of mean answer length."""
         return self._predict(0, self.generated_tokens)
 
     def decode_speed(self, result: TicketResult) -> float | None:
@@ -55,8 +58,9 @@
     def observe(self, result: TicketResult) -> None:
         """Updates the estimates after a finished call.
 
-        Only the total duration is known; its error is split between prefill
-        and decode in proportion to their predicted durations.
+        The time to the first token may be unknown, so only the total duration
+        is used. Its error is split between prefill and decode in proportion to
+        their predicted durations.
         """
         if result.service_s <= 0 or result.crashed:
             return
--- a/libs/routing/src/masticdale_routing/suspects.py
+++ b/libs/routing/src/masticdale_routing/suspects.py
@@ -1,8 +1,8 @@
 """Quarantines requests that crash the replicas that run them.
 
-Callers retry under new request ids, so a request is identified by a digest of
-its content. Content that has never succeeded runs one copy at a time. After a
-crash, all content that was in flight runs exclusively. A request thus crashes
+A caller may retry under a new request id, so content is identified by its
+digest. Content that has never succeeded runs one copy at a time. After a crash,
+all content that was in flight runs exclusively. The same content thus crashes
 at most two replicas: in one shared and in one exclusive run.
 """
 
@@ -14,6 +14,8 @@
 _CRASHES_TO_REFUSE = 2
 _MAX_SUCCEEDED = 20_000
 _MAX_RECORDS = 10_000
+# A run that was never ended, as by a host that died, counts for this long. It
+# must exceed the duration of a run, or two copies could run at once.
 _RUN_LEASE_S = 900.0
 
 
@@ -68,7 +70,7 @@
     """Admits runs, counts crashes and clears content that succeeds.
 
     The bound of two crashes holds only if one registry sees all runs of a
-    digest, so the daemon keeps it at the digest's home.
+    digest, so one host must hold the registry for a digest (its home).
     """
 
     def __init__(self) -> None:
--- a/libs/routing/src/masticdale_routing/tickets.py
+++ b/libs/routing/src/masticdale_routing/tickets.py
@@ -1,4 +1,8 @@
-"""Tickets, which stand for model or service calls in a replica's queue."""
+"""Tickets, which stand for model or service calls in a replica's queue.
+
+The home of a replica is the host that holds its queue. A call is foreign to a
+queue if it runs at the replica but that queue did not grant it.
+"""
 
 import dataclasses
 
--- a/libs/routing/src/masticdale_routing/waiting.py
+++ b/libs/routing/src/masticdale_routing/waiting.py
@@ -12,6 +12,8 @@
 from masticdale_routing.heaps import LazyHeap
 from masticdale_routing.tickets import Ticket
 
+# Ranks are grouped by powers of two, so that the work ahead of a ticket is a
+# sum over few buckets; the last one holds all higher ranks.
 _RANK_BUCKETS = 24
 _HIGHEST_RANK = float(2**_RANK_BUCKETS)
 _DEFAULT_WEIGHT = 1.0
