--- a/libs/gateway/src/masticdale_gateway/codec.py
+++ b/libs/gateway/src/masticdale_gateway/codec.py
@@ -80,7 +80,7 @@
         """Parses the headers of a response."""
         ...
 
-    def answers_request(self, head: ResponseHead, request_id: str) -> bool:
+    def matches_request(self, head: ResponseHead, request_id: str) -> bool:
         """Returns whether a response belongs to a request."""
         ...
 
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -164,8 +164,8 @@
         On success the caller must close the exchange.
         """
         loop = asyncio.get_running_loop()
-        # The result is ignored: ``Fleet.choose`` has decided already, and
-        # chooses a replica with an open circuit if there is no other.
+        # The result is ignored. The relay may choose a replica whose circuit is
+        # open: because there is no other, or to resume a stream there.
         state.circuit.try_acquire(loop.time())
         state.in_flight += 1
         connection: UpstreamConnection | None = None
@@ -232,7 +232,7 @@
             encode_request(
                 request.method, request.target, fields, request.body
             ),
-            lambda head: self._codec.answers_request(head, request_id),
+            lambda head: self._codec.matches_request(head, request_id),
         )
         wait_s = min(options.response_timeout_s, call.remaining_s)
         async with asyncio.timeout(wait_s):
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -35,7 +35,7 @@
 
 
 def take_any_answer():
-    PlatformHeaderCodec.answers_request = lambda self, head, request_id: True
+    PlatformHeaderCodec.matches_request = lambda self, head, request_id: True
     read = PlatformHeaderCodec.parse_response
 
     def parse_response(self, head):
