--- a/apps/masticdale_entry/tests/test_relaying.py
+++ b/apps/masticdale_entry/tests/test_relaying.py
@@ -64,7 +64,7 @@
             self.assertEqual(response.status_code, 200)
 
     async def test_a_refusal_that_breaks_off_passes_the_request_on(self):
-        """Guards against treating a rejected request as one that may have run.
+        """Guards against treating a rejected request as possibly executed.
 
         The head of the response states the rejection; the connection closes
         inside the body.
@@ -83,10 +83,10 @@
         self.assertLess(asyncio.get_running_loop().time() - began, 0.5)
 
     async def test_what_must_not_run_twice_is_sent_once(self):
-        """Guards against running a non-idempotent request twice.
+        """Guards against executing a non-idempotent request twice.
 
-        The replica runs the request, but its response is lost or unusable. The
-        caller gets 502, which does not claim that the request did not run.
+        The replica executes the request, but its response is lost or unusable.
+        The caller gets 502, which leaves open whether it was executed.
         """
         for fault in (
             ReplicaFault.RESET,
@@ -147,7 +147,7 @@
         self.assertIn("response-seal", response.headers)
 
     async def test_a_replica_at_a_reused_address_runs_nothing(self):
-        """Guards against the wrong service running a request.
+        """Guards against the wrong service executing a request.
 
         The list still names a replica whose address now belongs to another
         one, which rejects the request by its expected replica id.
--- a/apps/masticdale_entry/tests/test_watched_state.py
+++ b/apps/masticdale_entry/tests/test_watched_state.py
@@ -174,7 +174,7 @@
     async def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while(self):
         """Guards against losing the whole fleet in an outage of the store.
 
-        Entries that lapsed in the outage are kept for two seconds after it;
+        Entries that lapsed in the outage are kept for a grace period after it;
         those not renewed by then are removed.
         """
         lapsed, renewed = self.unary_replicas
--- a/libs/routing/src/masticdale_routing/evictions.py
+++ b/libs/routing/src/masticdale_routing/evictions.py
@@ -7,7 +7,8 @@
     """Tokens evicted per second.
 
     The recorded tokens decay linearly to zero over twice the window. Each
-    record restarts the decay of the remaining sum.
+    record restarts the decay of the remaining sum, so at a steady rate the sum
+    approaches the tokens of two windows.
     """
 
     def __init__(self) -> None:
--- a/libs/routing/src/masticdale_routing/limits.py
+++ b/libs/routing/src/masticdale_routing/limits.py
@@ -1,9 +1,9 @@
 """Workspace limits that are enforced across all hosts.
 
 Each host enforces its own share, so that hosts need not communicate per call.
-The shares of all live hosts add up to the limits of concurrent turns and of the
-rate. Each share's burst is at least one turn, or a host could never start one;
-the bursts may therefore add up to more than the workspace's.
+While hosts agree on which of them are live, their shares add up to the limits
+of concurrent turns and of the rate. The burst of a share is at least one turn,
+or its host could never start one; bursts may add up to more than the limit.
 """
 
 import dataclasses
--- a/libs/routing/src/masticdale_routing/prefixes.py
+++ b/libs/routing/src/masticdale_routing/prefixes.py
@@ -125,7 +125,7 @@
     def record_finished(
         self, branch: BranchKey, tokens: int, now: float
     ) -> None:
-        """Records the context length, including the answer, after a call."""
+        """Records the context length, including the response, after a call."""
         prefix = self._prefix_by_branch.get(branch)
         template = prefix.template if prefix else ""
         self._store(branch, tokens, template, now)
--- a/libs/routing/src/masticdale_routing/queues.py
+++ b/libs/routing/src/masticdale_routing/queues.py
@@ -76,8 +76,8 @@
 class ReplicaQueue:
     """Decides which calls run at one replica, and when.
 
-    Every operation is idempotent by ticket id, because owners retry after lost
-    answers and after a move of the queue to another host.
+    Every operation is idempotent by ticket id, because origins retry after lost
+    replies and after a failover of the queue to another host.
     """
 
     def __init__(
--- a/libs/routing/src/masticdale_routing/retries.py
+++ b/libs/routing/src/masticdale_routing/retries.py
@@ -75,10 +75,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GiveUp:
-    """Do not retry; answer the caller now.
+    """Do not retry; return the failure to the caller.
 
     Attributes:
-        failure: The failure to answer with.
+        failure: The failure to return.
     """
 
     failure: Failure
--- a/libs/routing/src/masticdale_routing/speeds.py
+++ b/libs/routing/src/masticdale_routing/speeds.py
@@ -13,12 +13,12 @@
 
 
 class EngineSpeed:
-    """Estimates prefill speed, decode speed and answer length.
+    """Estimates prefill speed, decode speed and response length.
 
     Attributes:
         prefill_tokens_per_s: Speed of computing a prompt.
         decode_tokens_per_s: Generation speed of one call at the current load.
-        generated_tokens: Mean length of an answer in tokens.
+        generated_tokens: Mean length of a response in tokens.
         is_learned: Whether any call has been observed.
     """
 
@@ -41,7 +41,7 @@
         return self._predict(ticket.uncached_tokens, generated)
 
     def decode_only_service_s(self) -> float:
-        """Returns the expected decode time of a call of mean answer length."""
+        """Returns the expected decode time of a response of mean length."""
         return self._predict(0, self.generated_tokens)
 
     def decode_speed(self, result: TicketResult) -> float | None:
--- a/libs/routing/tests/test_queues.py
+++ b/libs/routing/tests/test_queues.py
@@ -200,8 +200,8 @@
         q.finish("s", TicketResult(), 0.0)
         self.assertIsInstance(q.offer(ticket("b"), 0.0), Granted)
 
-    def test_lost_release_frees_its_slot_after_the_deadline(self):
-        """The owner dies between a grant and its release.
+    def test_lost_finish_frees_the_slot_after_the_deadline(self):
+        """The origin neither finishes nor withdraws a granted ticket.
 
         The slot is freed a grace period after the call's deadline; otherwise
         the replica would idle.
