--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -64,9 +64,9 @@
 # Pause after a change of the list of replicas. Short, because a replica must
 # get no new work two seconds after it announces that it drains.
 _REPLICAS_DEBOUNCE_S = 0.3
-# How often a host whose watches are shared checks that the store responds.
-# Short enough that, with the timeout of the check and the failover of the hosts
-# that share the watches, a change takes effect within two seconds.
+# Interval at which a host whose watches are shared checks that the store
+# responds. If it does not, the hosts that share them must fail over early
+# enough for a change to take effect within two seconds.
 _STORE_CHECK_INTERVAL_S = 0.5
 # Time from SIGTERM until the balancer sends no more connections: it probes
 # readiness every second and removes a host after two failures.
--- a/apps/masticdale_entry/tests/test_budgets.py
+++ b/apps/masticdale_entry/tests/test_budgets.py
@@ -122,7 +122,7 @@
             host.start()
         for host in self.hosts:
             await host.wait_ready()
-        await self.until_answered("p")
+        await self.wait_until_admitted("p")
         statuses, tokens_after = await self.run_turns("p", 10, first=200)
         self.assertEqual(statuses[-1], 402)
         self.assertLessEqual(tokens + tokens_after, 400 + 100)
@@ -150,7 +150,7 @@
         self.assertEqual(response.status_code, 503)
         self.assertGreater(float(response.headers["retry-after"]), 0)
 
-    async def test_lost_answers_of_the_store_write_nothing_twice(self):
+    async def test_lost_replies_of_the_store_write_nothing_twice(self):
         self.store.faults.lose_answers = 1
         statuses, tokens = await self.run_turns("p", 30)
         self.assertEqual(statuses[-1], 402)
@@ -245,7 +245,7 @@
                 return tokens
         raise AssertionError("never served")
 
-    async def until_answered(self, program):
+    async def wait_until_admitted(self, program):
         for number in range(60):
             statuses, _ = await self.run_turns(program, 1, first=2000 + number)
             if statuses != [503]:
--- a/apps/masticdale_entry/tests/test_relaying.py
+++ b/apps/masticdale_entry/tests/test_relaying.py
@@ -120,7 +120,7 @@
                     response = await self.send(IDEMPOTENT, f"{fault.name}-{n}")
                     self.assertEqual(response.status_code, 200)
 
-    async def test_a_late_answer_to_another_request_is_skipped(self):
+    async def test_a_late_response_to_another_request_is_skipped(self):
         """Guards against delivering a response to the wrong caller.
 
         The replica first sends a response with another request's id.
@@ -129,13 +129,13 @@
         response = await self.send(NON_IDEMPOTENT, "r1")
         self.assertEqual(response.content, b"body of r1")
 
-    async def test_bytes_after_an_answer_reach_nobody(self):
+    async def test_bytes_after_a_response_are_discarded(self):
         self.set_unary_replicas(fault=ReplicaFault.EXTRA)
         for n in range(6):
             response = await self.send(IDEMPOTENT, f"r{n}")
             self.assertEqual(response.content, f"body of r{n}".encode())
 
-    async def test_an_answer_without_length_ends_with_its_connection(self):
+    async def test_a_response_without_length_ends_with_its_connection(self):
         self.set_unary_replicas(fault=ReplicaFault.UNFRAMED)
         response = await self.send(NON_IDEMPOTENT, "r1")
         self.assertEqual(response.content, b"body of r1")
--- a/apps/masticdale_entry/tests/test_stopping.py
+++ b/apps/masticdale_entry/tests/test_stopping.py
@@ -21,7 +21,7 @@
         await asyncio.sleep(0.1)
         page = await self.host.fetch(self.host.ports[1], "/api/ready")
         self.assertEqual(page.status_code, 503)
-        # The balancer may route callers here for two more seconds.
+        # The balancer may route callers to this host for two more seconds.
         loop = asyncio.get_running_loop()
         end = loop.time() + 1.8
         n = 0
--- a/libs/gateway/src/masticdale_gateway/streaming.py
+++ b/libs/gateway/src/masticdale_gateway/streaming.py
@@ -108,8 +108,8 @@
         If the last attempt may have been executed, the same replica is used
         again while it is eligible, since its cache holds the prompt. A replica
         that rejects the request or can't be reached is excluded. The number of
-        attempts is limited by ``RelaySettings.max_total_attempts``, whatever
-        the replicas; ``Route.max_attempts`` does not apply to streams.
+        attempts is limited by ``RelaySettings.max_total_attempts``;
+        ``Route.max_attempts`` does not apply to streams.
         """
         ids = {s.replica.id for s in self._fleet.eligible(call.service.name)}
         is_interrupted = last.ran is not Executed.NO
@@ -194,7 +194,7 @@
 
 
 class _Stream:
-    """What has been forwarded of a stream so far.
+    """Progress of forwarding one stream.
 
     Attributes:
         call: The call.
--- a/libs/routing/src/masticdale_routing/limits.py
+++ b/libs/routing/src/masticdale_routing/limits.py
@@ -15,6 +15,7 @@
 from masticdale_common import ErrorKind, Failure, hashing
 
 _CONCURRENCY_RETRY_MS = 500
+# Avoids division by zero for a rate of zero.
 _MIN_RATE = 1e-9
 
 
--- a/libs/routing/src/masticdale_routing/queues.py
+++ b/libs/routing/src/masticdale_routing/queues.py
@@ -170,7 +170,7 @@
         return granted
 
     def adopt(self, ticket: Ticket, now: float) -> None:
-        """Takes over a call granted by a previous home, whatever the limit.
+        """Takes over a call granted by a previous home, even above the limit.
 
         Args:
             ticket: Ticket of a call running at the replica.
--- a/libs/routing/src/masticdale_routing/suspects.py
+++ b/libs/routing/src/masticdale_routing/suspects.py
@@ -134,7 +134,7 @@
         return self._update_record(digest, SuspectState.CLEARED, 0)
 
     def end_run(self, digest: str, run_id: str) -> None:
-        """Ends a run without a verdict, such as a cancelled one.
+        """Ends a run without an outcome, such as a cancelled one.
 
         An unknown run is ignored.
         """
--- a/libs/routing/tests/test_fleet.py
+++ b/libs/routing/tests/test_fleet.py
@@ -62,7 +62,7 @@
         }
         self.assertEqual(chosen, {"r2"})
 
-    def test_without_usable_replicas_none_is_chosen(self):
+    def test_without_eligible_replicas_none_is_chosen(self):
         fleet = fleet_of(replica("r1", is_draining=True))
         self.assertIsNone(fleet.choose("engine", "p", 0.0))
         self.assertIsNone(fleet.choose("other", "p", 0.0))
--- a/libs/routing/tests/test_queues.py
+++ b/libs/routing/tests/test_queues.py
@@ -279,9 +279,9 @@
                 exclusive=number == 7,
             )
             if name in ("offer", "repeat"):
-                answer = q.offer(each, now)
+                outcome = q.offer(each, now)
                 held.add(each.ticket_id)
-                if isinstance(answer, Granted):
+                if isinstance(outcome, Granted):
                     granted.add(each.ticket_id)
             if name == "finish":
                 q.finish(each.ticket_id, TicketResult(), now)
--- a/libs/routing/tests/test_suspects.py
+++ b/libs/routing/tests/test_suspects.py
@@ -15,12 +15,12 @@
         One copy at a time runs: the first shared, the second exclusive.
         """
         registry = SuspectRegistry()
-        answers = [registry.admit("bad", f"r{i}", 0.0) for i in range(10)]
-        self.assertEqual(answers, [Admission.RUN, *[Admission.WAIT] * 9])
+        admissions = [registry.admit("bad", f"r{i}", 0.0) for i in range(10)]
+        self.assertEqual(admissions, [Admission.RUN, *[Admission.WAIT] * 9])
         registry.record_crash(["bad"])
-        answers = [registry.admit("bad", f"r{i}", 1.0) for i in range(10)]
+        admissions = [registry.admit("bad", f"r{i}", 1.0) for i in range(10)]
         self.assertEqual(
-            answers, [Admission.RUN_EXCLUSIVE, *[Admission.WAIT] * 9]
+            admissions, [Admission.RUN_EXCLUSIVE, *[Admission.WAIT] * 9]
         )
         (record,) = registry.record_crash(["bad"])
         self.assertIs(record.state, SuspectState.REFUSED)
