--- a/libs/gateway/src/masticdale_gateway/streaming.py
+++ b/libs/gateway/src/masticdale_gateway/streaming.py
@@ -26,7 +26,7 @@
 # A connection that was idle for longer may have been dropped on the network. A
 # request sent on it would get no response until the attempt times out.
 _MAX_IDLE_S = 10.0
-# Retry delay for callers if no replica accepts the request or names one.
+# Delay before a caller retries, unless a rejecting replica names one.
 _RETRY_AFTER_S = 0.2
 
 
--- a/libs/gateway/src/masticdale_gateway/unary.py
+++ b/libs/gateway/src/masticdale_gateway/unary.py
@@ -52,7 +52,7 @@
 class UnaryRelay:
     """Sends unary requests, with retries on other replicas."""
 
-    # Retry delay for callers if no replica accepts the request or names one.
+    # Delay before a caller retries, unless a rejecting replica names one.
     _RETRY_AFTER_S = 0.1
 
     def __init__(
