--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -58,15 +58,15 @@
 # Size of the accept queue. It must hold a burst of some hundred callers, since
 # a connection that finds it full is retried only after a second.
 _BACKLOG = 1024
-# Close to the longest watch that the store allows, since each watch is a priced
+# Close to the longest watch that the store allows, since each watch is a billed
 # call. TCP keep-alive detects a dead connection sooner.
 _WATCH_TIMEOUT_S = 28.0
-# Pause after a change of the list of replicas; a draining replica must get no
-# new work two seconds after it announces that.
-_REPLICAS_SETTLE_S = 0.3
-# How often a host whose watches are shared checks that the store responds.
-# Short enough that, with the timeout of the check and the failover of the hosts
-# that share the watches, a change takes effect within two seconds.
+# Pause after a change of the list of replicas. Short, because a replica must
+# get no new work two seconds after it announces that it drains.
+_REPLICAS_DEBOUNCE_S = 0.3
+# Interval at which a host whose watches are shared checks that the store
+# responds. If it does not, the hosts that share them must fail over early
+# enough for a change to take effect within two seconds.
 _STORE_CHECK_INTERVAL_S = 0.5
 # Time from SIGTERM until the balancer sends no more connections: it probes
 # readiness every second and removes a host after two failures.
@@ -100,20 +100,22 @@
             settings.failure_domain,
         )
         seen = LiveHosts(identity.host_address)
-        self._direct = PlatformObjectStore(
+        self._direct_store = PlatformObjectStore(
             str(settings.store.ip), settings.store.port, self._metrics
         )
         self._shard_map = ShardMap()
-        self._peers = PeerClients(self._shard_map, settings, self._metrics)
-        leaders = self._peers.leaders()
+        self._peer_clients = PeerClients(
+            self._shard_map, settings, self._metrics
+        )
+        leaders = self._peer_clients.leaders()
         shared = None if leaders else SharedWatches()
         self._store = FallbackStore(
-            self._direct,
-            self._peers.all,
+            self._direct_store,
+            self._peer_clients.all,
             self._metrics,
             leaders,
             shared,
-            self._direct.ping,
+            self._direct_store.ping,
         )
         self._fleet = Fleet(settings.failure_domain)
         self._configuration = ActiveConfiguration(
@@ -127,7 +129,7 @@
             self._shard_map,
             self._owner,
             identity.host_address,
-            self._peers.client,
+            self._peer_clients.client,
             self._metrics,
         )
         self._copies = StandbyCopies()
@@ -139,7 +141,7 @@
             self._owner,
             self._lease,
             self._ledger,
-            self._peers,
+            self._peer_clients,
             seen,
         )
         acting = StandbyFailover(
@@ -149,7 +151,7 @@
             self._lease,
             self._copies,
             claims,
-            self._peers,
+            self._peer_clients,
         )
         self._keeper = ShardReconciler(
             identity,
@@ -160,7 +162,7 @@
             self._ledger,
             claims,
             acting,
-            self._peers,
+            self._peer_clients,
             lambda: self._store.is_unreachable,
             seen,
         )
@@ -169,7 +171,7 @@
             self._keeper,
             acting,
             self._copies,
-            self._direct,
+            self._direct_store,
             seen,
             shared,
         )
@@ -235,7 +237,7 @@
                 REPLICA_PREFIX,
                 _WATCH_TIMEOUT_S,
                 self._replicas.apply,
-                _REPLICAS_SETTLE_S,
+                _REPLICAS_DEBOUNCE_S,
             )
         )
         self._start_watch(
@@ -301,7 +303,7 @@
 
     async def _close_idle(self) -> None:
         self._relay.pool.close_idle()
-        self._peers.close_idle()
+        self._peer_clients.close_idle()
 
     async def _stop(self) -> None:
         started_at = time.monotonic()
--- a/libs/gateway/src/masticdale_gateway/exchanges.py
+++ b/libs/gateway/src/masticdale_gateway/exchanges.py
@@ -30,12 +30,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendFailure:
-    """A send without a usable response.
+class AttemptFailure:
+    """An attempt without a usable response.
 
     Attributes:
         replica_id: The replica that it was sent to.
-        ran: NO if the replica certainly never runs the call, else UNKNOWN.
+        ran: NO if the replica certainly never executes the call, YES if the
+            response to a stream had begun, else UNKNOWN.
         reason: Short description for logs.
         retry_after_s: Delay that the replica asked for; None if unspecified.
     """
@@ -47,8 +48,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendOptions:
-    """Options of one send of a call.
+class AttemptOptions:
+    """Options of one attempt at a call.
 
     Attributes:
         response_timeout_s: Time limit for the head of the response.
@@ -63,7 +64,7 @@
 
 
 class Exchange:
-    """A send whose response has begun.
+    """An attempt whose response has begun.
 
     Attributes:
         head: Status and headers of the response.
@@ -98,7 +99,7 @@
 
         Returns:
             Bytes, None at the end of a complete body, or the reason for which
-            the body was cut off.
+            the body was interrupted.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -156,13 +157,15 @@
         self._metrics = metrics
 
     async def send(
-        self, call: Call, state: ReplicaState, options: SendOptions
-    ) -> Result[Exchange, SendFailure]:
+        self, call: Call, state: ReplicaState, options: AttemptOptions
+    ) -> Result[Exchange, AttemptFailure]:
         """Sends a call and waits for the head of its response.
 
         On success the caller must close the exchange.
         """
         loop = asyncio.get_running_loop()
+        # The result is ignored. The relay may choose a replica whose circuit is
+        # open: because there is no other, or to resume a stream there.
         state.circuit.try_acquire(loop.time())
         state.in_flight += 1
         connection: UpstreamConnection | None = None
@@ -174,7 +177,7 @@
             head = await self._exchange(call, state, connection, options)
             metadata = self._codec.parse_response(head)
             self._record_load(state, metadata)
-            if metadata.is_genuine:
+            if metadata.is_usable:
                 exchange = Exchange(self, state, connection, head, metadata)
                 return Success(exchange)
             return Failed(
@@ -203,7 +206,7 @@
         call: Call,
         state: ReplicaState,
         connection: UpstreamConnection,
-        options: SendOptions,
+        options: AttemptOptions,
     ) -> ResponseHead:
         request = call.request
         fields = self._codec.request_headers(
@@ -229,7 +232,7 @@
             encode_request(
                 request.method, request.target, fields, request.body
             ),
-            lambda head: self._codec.answers_request(head, request_id),
+            lambda head: self._codec.matches_request(head, request_id),
         )
         wait_s = min(options.response_timeout_s, call.remaining_s)
         async with asyncio.timeout(wait_s):
@@ -242,7 +245,7 @@
         connection: UpstreamConnection,
         metadata: ResponseMetadata,
         head: ResponseHead,
-    ) -> SendFailure:
+    ) -> AttemptFailure:
         if not metadata.is_rejected:
             state.circuit.record_failure(asyncio.get_running_loop().time())
             return self._failure(
@@ -260,8 +263,8 @@
                 while await connection.read_chunk() is not None:
                     pass
         except _CONNECTION_ERRORS:
-            # The head alone proves that the request did not run, so it may be
-            # sent elsewhere; only the connection can't be reused.
+            # The head alone proves that the request was not executed, so it may
+            # be sent elsewhere; only the connection can't be reused.
             connection.abort()
         return self._failure(
             call,
@@ -286,7 +289,7 @@
         ran: Executed,
         reason: str,
         retry_after_s: float | None = None,
-    ) -> SendFailure:
+    ) -> AttemptFailure:
         self._metrics.count("upstream_failures_total", ran=ran.value)
         logs.write_bounded(
             "send_failed",
@@ -296,7 +299,7 @@
             ran=ran.value,
             reason=reason,
         )
-        return SendFailure(state.replica.id, ran, reason, retry_after_s)
+        return AttemptFailure(state.replica.id, ran, reason, retry_after_s)
 
 
 def _reason(error: BaseException) -> str:
--- a/libs/routing/src/masticdale_routing/fleet.py
+++ b/libs/routing/src/masticdale_routing/fleet.py
@@ -7,10 +7,9 @@
 from masticdale_common import hashing
 from masticdale_routing.retries import CircuitBreaker, CircuitBreakerSettings
 
-# Share of a replica's slots busy with requests of this host at which a request
-# with a key may spill over to the key's second replica. Below it, batching
-# slows each token only slightly, whereas a program that moves has its whole
-# prompt computed again.
+# Utilization of a key's first replica at which a request may spill over to the
+# key's second replica. Below it, batching slows each token only slightly,
+# whereas a program that moves has its whole prompt computed again.
 _SPILL_SHARE = 0.5
 # Utilization added to a replica in another failure domain when replicas are
 # compared for requests without a key; it stands for the network latency.
@@ -33,7 +32,7 @@
     Attributes:
         id: Changes with each start, unless ``started_at_ms`` changes instead.
         service: Name of its service.
-        host: Its IP address.
+        address: Its IP address.
         port: Its port.
         failure_domain: Its failure domain.
         slots: Requests that it runs concurrently.
@@ -44,7 +43,7 @@
 
     id: str
     service: str
-    host: str
+    address: str
     port: int
     failure_domain: str
     slots: int
@@ -88,7 +87,11 @@
         self._load = load
 
     def utilization(self, now: float) -> float:
-        """Returns the estimated share of busy slots; may exceed 1."""
+        """Returns the estimated share of busy slots; may exceed 1.
+
+        It is based on the larger of this host's requests and the replica's own
+        report, if recent, plus a penalty during warm-up.
+        """
         busy = self.in_flight
         if (
             self._load is not None
@@ -139,7 +142,7 @@
         if self._state_by_id.pop(replica_id, None) is not None:
             self._rebuild_index()
 
-    def usable(
+    def eligible(
         self, service: str, excluded: Iterable[str] = ()
     ) -> list[ReplicaState]:
         """Returns the service's replicas that are not draining or excluded."""
@@ -169,9 +172,9 @@
             excluded: Ids of replicas to skip.
 
         Returns:
-            The chosen replica, or None if the service has no usable one.
+            The chosen replica, or None if the service has no eligible one.
         """
-        states = self.usable(service, excluded)
+        states = self.eligible(service, excluded)
         # If all circuits are open, they are ignored: refusing every request
         # would also refuse those that some replica can serve.
         healthy = [s for s in states if s.circuit.allows(now)] or states
@@ -214,7 +217,10 @@
 
 
 def _is_restarted(old: Replica, new: Replica) -> bool:
-    return old.started_at_ms != new.started_at_ms or (old.host, old.port) != (
-        new.host,
+    return old.started_at_ms != new.started_at_ms or (
+        old.address,
+        old.port,
+    ) != (
+        new.address,
         new.port,
     )
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -17,7 +17,7 @@
 from masticdale_entry.watched_state import ActiveConfiguration
 from masticdale_entry.watching import Watcher
 from masticdale_gateway import Relay
-from masticdale_gateway.exchanges import Sender, SendFailure
+from masticdale_gateway.exchanges import AttemptFailure, Sender
 from masticdale_gateway.streaming import _Stream
 from masticdale_ledger import LedgerClient
 from masticdale_ledger.accounts import Account, BudgetExceeded
@@ -27,17 +27,19 @@
 def report_all_failures_as_not_run():
     def create_failure(self, call, state, ran, reason, retry_after_s=None):
         del self, call, ran
-        return SendFailure(state.replica.id, Executed.NO, reason, retry_after_s)
+        return AttemptFailure(
+            state.replica.id, Executed.NO, reason, retry_after_s
+        )
 
     Sender._failure = create_failure
 
 
 def accept_any_response():
-    PlatformHeaderCodec.answers_request = lambda self, head, request_id: True
+    PlatformHeaderCodec.matches_request = lambda self, head, request_id: True
     original = PlatformHeaderCodec.parse_response
 
     def parse_response(self, head):
-        return dataclasses.replace(original(self, head), is_genuine=True)
+        return dataclasses.replace(original(self, head), is_usable=True)
 
     PlatformHeaderCodec.parse_response = parse_response
 
@@ -91,14 +93,14 @@
 
 
 def ignore_drains():
-    usable = Fleet.usable
+    eligible = Fleet.eligible
 
     def all_replicas(self, service, excluded=()):
         del excluded
         ids = self._ids_by_service.get(service, ())
-        return [self._state_by_id[i] for i in ids] or usable(self, service)
+        return [self._state_by_id[i] for i in ids] or eligible(self, service)
 
-    Fleet.usable = all_replicas
+    Fleet.eligible = all_replicas
 
 
 def hang_on_stop():
