--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -32,9 +32,9 @@
 from masticdale_ledger import (
     LEASE_CHECK_INTERVAL_S,
     LEDGER,
+    LEDGER_SHARD_COUNT,
     RECONCILE_INTERVAL_S,
     REPLICATION_INTERVAL_S,
-    SHARD_COUNT,
     SHARD_PREFIX,
     FallbackStore,
     Identity,
@@ -99,19 +99,19 @@
             peers_address.port,
             settings.failure_domain,
         )
-        seen = LiveHosts(identity.host_address)
+        live_hosts = LiveHosts(identity.host_address)
         self._direct = PlatformObjectStore(
             str(settings.store.ip), settings.store.port, self._metrics
         )
         self._shard_map = ShardMap()
         self._peers = PeerClients(self._shard_map, settings, self._metrics)
-        leaders = self._peers.leaders()
-        shared = None if leaders else SharedWatches()
+        watch_sources = self._peers.watch_sources()
+        shared = None if watch_sources else SharedWatches()
         self._store = FallbackStore(
             self._direct,
             self._peers.all,
             self._metrics,
-            leaders,
+            watch_sources,
             shared,
             self._direct.ping,
         )
@@ -120,7 +120,9 @@
             CONFIGURATION_KEY, read_configuration
         )
         self._replicas = ReplicaList(REPLICA_PREFIX, read_replica, self._fleet)
-        self._lease = Lease(is_store_lost=lambda: self._store.is_unreachable)
+        self._lease = Lease(
+            is_store_unreachable=lambda: self._store.is_store_unreachable
+        )
         records = ProgramRecords(self._store, incarnation)
         self._owner = ShardOwner(records, self._lease, self._metrics)
         self._ledger = LedgerClient(
@@ -140,9 +142,9 @@
             self._lease,
             self._ledger,
             self._peers,
-            seen,
+            live_hosts,
         )
-        acting = StandbyFailover(
+        failover = StandbyFailover(
             identity,
             self._shard_map,
             self._owner,
@@ -151,7 +153,7 @@
             claims,
             self._peers,
         )
-        self._keeper = ShardReconciler(
+        self._reconciler = ShardReconciler(
             identity,
             self._store,
             self._shard_map,
@@ -159,18 +161,18 @@
             self._lease,
             self._ledger,
             claims,
-            acting,
+            failover,
             self._peers,
-            lambda: self._store.is_unreachable,
-            seen,
+            lambda: self._store.is_store_unreachable,
+            live_hosts,
         )
         service = LedgerService(
             self._owner,
-            self._keeper,
-            acting,
+            self._reconciler,
+            failover,
             self._copies,
             self._direct,
-            seen,
+            live_hosts,
             shared,
         )
         self._ledger.admit_locally = service.admit
@@ -208,7 +210,7 @@
 
     def shard_of(self, program_id: str) -> int:
         """Returns the ledger shard of a program."""
-        return hashing.shard_of(program_id, SHARD_COUNT)
+        return hashing.shard_of(program_id, LEDGER_SHARD_COUNT)
 
     async def abort(self) -> None:
         """Stops immediately, without draining or handing over shards."""
@@ -243,8 +245,8 @@
         )
         self._tasks.append(asyncio.create_task(self._ledger.run()))
         for name, period_s, callback in (
-            ("shards", RECONCILE_INTERVAL_S, self._keeper.reconcile),
-            ("lease", LEASE_CHECK_INTERVAL_S, self._keeper.renew_lease),
+            ("shards", RECONCILE_INTERVAL_S, self._reconciler.reconcile),
+            ("lease", LEASE_CHECK_INTERVAL_S, self._reconciler.renew_lease),
             ("copies", REPLICATION_INTERVAL_S, self._owner.replicate_changes),
             ("store", _STORE_CHECK_INTERVAL_S, self._store.check),
             ("idle-connections", _CLOSE_IDLE_INTERVAL_S, self._close_idle),
@@ -297,7 +299,9 @@
         if is_first and self._shard_map.is_loaded:
             # After the loss of all hosts, programs wait until shards are
             # claimed; the timer would run this only a period later.
-            self._tasks.append(asyncio.create_task(self._keeper.reconcile()))
+            self._tasks.append(
+                asyncio.create_task(self._reconciler.reconcile())
+            )
 
     async def _close_idle(self) -> None:
         self._relay.pool.close_idle()
@@ -313,7 +317,7 @@
         self._ledger.is_stopping = True
         self._copies.is_stopping = True
         logs.write("stopping", busy=self._relay.active_requests)
-        await self._keeper.hand_over_all()
+        await self._reconciler.hand_over_all()
         while time.monotonic() < started_at + _BALANCER_DRAIN_S:
             await asyncio.sleep(_POLL_INTERVAL_S)
         while self._relay.active_requests and time.monotonic() < drain_deadline:
--- a/apps/masticdale_entry/src/masticdale_entry/peers.py
+++ b/apps/masticdale_entry/src/masticdale_entry/peers.py
@@ -28,7 +28,7 @@
         """Returns the clients of all other known hosts."""
         return [self.client(*address) for address in self.candidates()]
 
-    def leaders(self) -> list[RpcClient]:
+    def watch_sources(self) -> list[RpcClient]:
         """Returns the hosts whose store watches this host may share.
 
         These are the seeds, in random order to spread the load. A seed watches
--- a/libs/ledger/src/masticdale_ledger/__init__.py
+++ b/libs/ledger/src/masticdale_ledger/__init__.py
@@ -4,7 +4,7 @@
 """
 
 from masticdale_ledger.claims import ShardClaims
-from masticdale_ledger.client import SHARD_COUNT, LedgerClient
+from masticdale_ledger.client import LEDGER_SHARD_COUNT, LedgerClient
 from masticdale_ledger.failover import StandbyFailover
 from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.leases import Lease, boot_time_s
@@ -25,9 +25,9 @@
 __all__ = [
     "LEASE_CHECK_INTERVAL_S",
     "LEDGER",
+    "LEDGER_SHARD_COUNT",
     "RECONCILE_INTERVAL_S",
     "REPLICATION_INTERVAL_S",
-    "SHARD_COUNT",
     "SHARD_PREFIX",
     "FallbackStore",
     "Hosts",
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -26,10 +26,10 @@
 from masticdale_ledger.peer_selector import PeerSelector
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
-    PreviousOwner,
+    PreviousOwnerState,
     ShardMap,
     ShardRecord,
-    ShardView,
+    VersionedShardRecord,
     parse_shard,
     shard_key,
 )
@@ -56,7 +56,7 @@
             claim is written; its accounts then replace these.
     """
 
-    previous: PreviousOwner
+    previous: PreviousOwnerState
     accounts: tuple[AccountState, ...] = ()
     incomplete_for_s: float = 0.0
     predecessor: str = ""
@@ -64,7 +64,7 @@
 
 
 # Returning programs count as half spent, or as spent up to their records.
-LOST_ACCOUNTS = TakeoverState(PreviousOwner.ENDED, (), RECOVERY_WINDOW_S)
+LOST_ACCOUNTS = TakeoverState(PreviousOwnerState.ENDED, (), RECOVERY_WINDOW_S)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -156,7 +156,7 @@
             if written.failure().kind is ErrorKind.WRITE_UNKNOWN:
                 self._unconfirmed_by_shard[number] = unconfirmed
             return written
-        view = ShardView(record, written.unwrap())
+        view = VersionedShardRecord(record, written.unwrap())
         started = await self._start_owning(number, view, takeover)
         if isinstance(started, Failed):
             # The claim is written although the shard isn't owned yet. The
@@ -177,12 +177,12 @@
             else:
                 self._unconfirmed_by_shard.pop(number, None)
 
-    async def resume(self, number: int, view: ShardView) -> None:
+    async def resume(self, number: int, view: VersionedShardRecord) -> None:
         """Continues a shard whose record this process has written."""
         await self._resume(number, view, LOST_ACCOUNTS)
 
     async def _resume(
-        self, number: int, view: ShardView, takeover: TakeoverState
+        self, number: int, view: VersionedShardRecord, takeover: TakeoverState
     ) -> None:
         with self._try_lock(number) as locked:
             if not locked:
@@ -192,7 +192,7 @@
                 self._unconfirmed_by_shard.pop(number, None)
 
     async def _start_owning(
-        self, number: int, view: ShardView, takeover: TakeoverState
+        self, number: int, view: VersionedShardRecord, takeover: TakeoverState
     ) -> Result[None, Failure]:
         record = view.record
         # Read only after the claim is written. Later record writes of the
@@ -224,12 +224,12 @@
     def _install(
         self,
         number: int,
-        view: ShardView,
+        view: VersionedShardRecord,
         accounts: Accounts,
         takeover: TakeoverState,
     ) -> None:
         incomplete_s = takeover.incomplete_for_s
-        if takeover.previous is PreviousOwner.LOST:
+        if takeover.previous is PreviousOwnerState.LOST:
             # The previous owner may admit programs until its lease expires;
             # they are unknown here.
             incomplete_s = LEASE_S + RECOVERY_WINDOW_S
@@ -249,7 +249,9 @@
         value = view.record.model_dump_json().encode()
         self._map.put(StoredObject(shard_key(number), view.version, value))
 
-    def _new_record(self, epoch: int, previous: PreviousOwner) -> ShardRecord:
+    def _new_record(
+        self, epoch: int, previous: PreviousOwnerState
+    ) -> ShardRecord:
         standby = self.partners.choose_standby() or ("", 0)
         arbiter = self.partners.choose_arbiter(standby) or ("", 0)
         return ShardRecord(
@@ -347,7 +349,7 @@
         await self.ask_arbiter(shard)
         old = shard.view.record
         self.partners.mark_failed(old.standby_address, old.standby_port)
-        record = self._new_record(old.epoch + 1, PreviousOwner.ENDED)
+        record = self._new_record(old.epoch + 1, PreviousOwnerState.ENDED)
         written = await self._write(shard.number, record, shard.view.version)
         logs.write_bounded(
             "standby_replaced",
@@ -368,7 +370,7 @@
         accounts.restore(
             [account_from_state(state) for state in takeover.accounts]
         )
-        view = ShardView(record, written.unwrap())
+        view = VersionedShardRecord(record, written.unwrap())
         self._install(shard.number, view, accounts, takeover)
         return None
 
@@ -393,7 +395,10 @@
                 for s in states
             )
         return TakeoverState(
-            PreviousOwner.ENDED, states, incomplete_for_s, shard.predecessor
+            PreviousOwnerState.ENDED,
+            states,
+            incomplete_for_s,
+            shard.predecessor,
         )
 
     def _isolate(self, shard: OwnedShard) -> None:
--- a/libs/ledger/src/masticdale_ledger/client.py
+++ b/libs/ledger/src/masticdale_ledger/client.py
@@ -25,7 +25,7 @@
 
 # Shards of the ledger. With four, the loss of one host usually affects a
 # quarter of the programs.
-SHARD_COUNT = 4
+LEDGER_SHARD_COUNT = 4
 # Timeout of one call to an owner, in seconds: some hundred round trips between
 # failure domains. A host that is short of CPU time answers within some tens of
 # milliseconds.
@@ -115,7 +115,7 @@
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         retry_until = min(deadline_at, started_at + _ADMIT_TIMEOUT_S)
-        shard = hashing.shard_of(claim.program_id, SHARD_COUNT)
+        shard = hashing.shard_of(claim.program_id, LEDGER_SHARD_COUNT)
         failure = Failure(
             ErrorKind.LEDGER_UNAVAILABLE, "the deadline expired before any call"
         )
@@ -150,7 +150,7 @@
 
     def settle(self, claim: TurnClaim, used_tokens: int) -> None:
         """See ``BudgetLedger.settle``."""
-        shard = hashing.shard_of(claim.program_id, SHARD_COUNT)
+        shard = hashing.shard_of(claim.program_id, LEDGER_SHARD_COUNT)
         settlement = Settlement(
             shard, claim.program_id, claim.request_id, used_tokens
         )
--- a/libs/ledger/src/masticdale_ledger/failover.py
+++ b/libs/ledger/src/masticdale_ledger/failover.py
@@ -19,7 +19,11 @@
     SettleRequest,
 )
 from masticdale_ledger.owner import OwnedShard, ShardOwner
-from masticdale_ledger.shards import PreviousOwner, ShardMap, ShardView
+from masticdale_ledger.shards import (
+    PreviousOwnerState,
+    ShardMap,
+    VersionedShardRecord,
+)
 from masticdale_ledger.standby import StandbyCopies
 from masticdale_ledger.states import account_from_state
 
@@ -94,7 +98,7 @@
         outcome = await self._claims.claim(
             shard.number,
             shard.view.version,
-            TakeoverState(PreviousOwner.ENDED, acting_shard=shard),
+            TakeoverState(PreviousOwnerState.ENDED, acting_shard=shard),
         )
         if not isinstance(outcome, Failed):
             return
@@ -160,7 +164,7 @@
         self._pinged_at_by_shard[number] = now
         return True
 
-    def _can_take_over(self, number: int, view: ShardView) -> bool:
+    def _can_take_over(self, number: int, view: VersionedShardRecord) -> bool:
         record = view.record
         own_endpoint = (self._identity.address, self._identity.port)
         return (
@@ -170,7 +174,7 @@
         )
 
     def _take_over(
-        self, number: int, view: ShardView, *, has_decision: bool
+        self, number: int, view: VersionedShardRecord, *, has_decision: bool
     ) -> OwnedShard:
         record = view.record
         self._claims.partners.mark_failed(record.address, record.port)
--- a/libs/ledger/src/masticdale_ledger/leases.py
+++ b/libs/ledger/src/masticdale_ledger/leases.py
@@ -24,17 +24,17 @@
     def __init__(
         self,
         now: Callable[[], float] = boot_time_s,
-        is_store_lost: Callable[[], bool] = lambda: False,
+        is_store_unreachable: Callable[[], bool] = lambda: False,
     ) -> None:
         """Starts without a renewal.
 
         Args:
             now: Clock in seconds that includes time spent suspended.
-            is_store_lost: Whether the store was unreachable, directly and
-                through other hosts, when last called.
+            is_store_unreachable: Whether the store was unreachable, directly
+                and through other hosts, when last called.
         """
         self._now = now
-        self._is_store_lost = is_store_lost
+        self._is_store_unreachable = is_store_unreachable
         self._renewed_at: float | None = None
 
     def now(self) -> float:
@@ -53,9 +53,9 @@
             self._renewed_at = sent_at
 
     @property
-    def is_store_lost(self) -> bool:
+    def is_store_unreachable(self) -> bool:
         """Whether the store was unreachable by any path when last called."""
-        return self._is_store_lost()
+        return self._is_store_unreachable()
 
     @property
     def age_s(self) -> float | None:
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -22,7 +22,7 @@
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import AccountState, Settlement
 from masticdale_ledger.records import ProgramRecords, record_name
-from masticdale_ledger.shards import ShardView
+from masticdale_ledger.shards import VersionedShardRecord
 from masticdale_ledger.states import account_to_state
 
 # Interval at which settled turns are replicated to standbys, in seconds; the
@@ -62,7 +62,7 @@
     def __init__(
         self,
         number: int,
-        view: ShardView,
+        view: VersionedShardRecord,
         accounts: Accounts,
         incomplete_for_s: float,
         lease: Lease,
@@ -136,7 +136,7 @@
     @property
     def needs_replication(self) -> bool:
         """Whether the standby lacks changes or the state of the store."""
-        has_store = not self._lease.is_store_lost
+        has_store = not self._lease.is_store_unreachable
         return self.copier is not None and self.copier.has_pending(
             owner_has_store=has_store
         )
@@ -188,7 +188,7 @@
             self.number,
             self.view.record.epoch,
             self.incomplete_for_s,
-            owner_has_store=not self._lease.is_store_lost,
+            owner_has_store=not self._lease.is_store_unreachable,
         )
         return await self.copier.send(state, self)
 
--- a/libs/ledger/src/masticdale_ledger/reconciler.py
+++ b/libs/ledger/src/masticdale_ledger/reconciler.py
@@ -13,7 +13,7 @@
     ShardClaims,
     TakeoverState,
 )
-from masticdale_ledger.client import SHARD_COUNT, LedgerClient
+from masticdale_ledger.client import LEDGER_SHARD_COUNT, LedgerClient
 from masticdale_ledger.failover import StandbyFailover
 from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.isolation import charge_owner_quota
@@ -30,10 +30,10 @@
 from masticdale_ledger.owner import OwnedShard, ShardOwner
 from masticdale_ledger.shards import (
     SHARD_PREFIX,
-    PreviousOwner,
+    PreviousOwnerState,
     ShardMap,
     ShardRecord,
-    ShardView,
+    VersionedShardRecord,
 )
 from masticdale_platform import MUST_NOT_EXIST, ObjectStore
 from masticdale_rpc import was_sent
@@ -98,7 +98,7 @@
             return
         # Concurrently, so that a dead standby does not delay other shards.
         await asyncio.gather(
-            *(self._reconcile_shard(n) for n in range(SHARD_COUNT))
+            *(self._reconcile_shard(n) for n in range(LEDGER_SHARD_COUNT))
         )
 
     async def _reconcile_shard(self, number: int) -> None:
@@ -147,7 +147,7 @@
         if failure is not None:
             return HandOverReply(failure)
         takeover = TakeoverState(
-            PreviousOwner.ENDED,
+            PreviousOwnerState.ENDED,
             offer.accounts,
             offer.incomplete_for_s,
             self._incarnation_of(offer.shard, offer.version),
@@ -197,44 +197,46 @@
                 continue
             self._drop(number, known)
 
-    def _drop(self, number: int, view: ShardView) -> None:
+    def _drop(self, number: int, view: VersionedShardRecord) -> None:
         self._owner.drop(number)
         logs.write("shard_lost", shard=number, new_owner=view.record.owner)
 
-    def _previous_owner_if_vacant(self, number: int) -> PreviousOwner | None:
+    def _previous_owner_if_vacant(
+        self, number: int
+    ) -> PreviousOwnerState | None:
         """Returns the state of a vacant shard's owner; None if not vacant."""
         view = self._map.get(number)
         if view is None:
-            return PreviousOwner.NONE
+            return PreviousOwnerState.NONE
         if number in self._owner.owned():
             return None
         record = view.record
         if record.owner == self._identity.host:
             # Only one process of a host runs, so the owning one has ended.
-            return PreviousOwner.ENDED
+            return PreviousOwnerState.ENDED
         lost = self._client.unreachable_by_shard.get(number)
         if lost is None or lost.version != view.version:
             return None
         now = asyncio.get_running_loop().time()
         is_lost = lost.last_failed_at - lost.first_failed_at >= _OWNER_TIMEOUT_S
         is_recent = now - lost.last_failed_at < _FAILURE_MAX_AGE_S
-        return PreviousOwner.LOST if is_lost and is_recent else None
+        return PreviousOwnerState.LOST if is_lost and is_recent else None
 
-    def _is_claim_due(self, number: int, previous: PreviousOwner) -> bool:
-        if previous is PreviousOwner.ENDED:
+    def _is_claim_due(self, number: int, previous: PreviousOwnerState) -> bool:
+        if previous is PreviousOwnerState.ENDED:
             return True
         now = asyncio.get_running_loop().time()
         # Hosts that own shards wait longer, so that shards spread over hosts
         # and the loss of one host affects fewer programs.
         max_delay_s = _CLAIM_JITTER_S * (2 if self._owner.owned() else 1)
-        if previous is PreviousOwner.LOST:
+        if previous is PreviousOwnerState.LOST:
             max_delay_s /= 4
         due_at = self._claim_due_at_by_shard.setdefault(
             number, now + self._random.uniform(0, max_delay_s)
         )
         return now >= due_at
 
-    async def _claim(self, number: int, previous: PreviousOwner) -> None:
+    async def _claim(self, number: int, previous: PreviousOwnerState) -> None:
         self._claim_due_at_by_shard.pop(number, None)
         # Claims need the store. Sealing the standby without it would stop the
         # only host that may still serve the shard.
@@ -255,12 +257,15 @@
             )
 
     async def _fence_previous_owner(
-        self, number: int, view: ShardView | None, previous: PreviousOwner
+        self,
+        number: int,
+        view: VersionedShardRecord | None,
+        previous: PreviousOwnerState,
     ) -> TakeoverState:
         """Seals the previous owner's standby; returns what is known."""
         if view is None:
-            return TakeoverState(PreviousOwner.NONE)
-        if previous is PreviousOwner.LOST:
+            return TakeoverState(PreviousOwnerState.NONE)
+        if previous is PreviousOwnerState.LOST:
             self._claims.partners.mark_failed(
                 view.record.address, view.record.port
             )
@@ -268,7 +273,9 @@
         if reply is None:
             return TakeoverState(previous, (), RECOVERY_WINDOW_S)
         if not reply.held:
-            return TakeoverState(PreviousOwner.ENDED, (), RECOVERY_WINDOW_S)
+            return TakeoverState(
+                PreviousOwnerState.ENDED, (), RECOVERY_WINDOW_S
+            )
         accounts = reply.accounts
         if not reply.acted:
             holder = await self._claims.allowance_holder(number, view.record)
@@ -276,7 +283,7 @@
                 charge_owner_quota(state, holder) for state in accounts
             )
         return TakeoverState(
-            PreviousOwner.ENDED,
+            PreviousOwnerState.ENDED,
             accounts,
             reply.incomplete_for_s,
             view.record.incarnation,
@@ -356,7 +363,7 @@
         can't act. If sealing fails, its share counts as spent.
         """
         exact = TakeoverState(
-            PreviousOwner.ENDED, shard.states(None), shard.incomplete_for_s
+            PreviousOwnerState.ENDED, shard.states(None), shard.incomplete_for_s
         )
         if shard.copier is None and not shard.is_acting:
             return exact
--- a/libs/ledger/src/masticdale_ledger/shards.py
+++ b/libs/ledger/src/masticdale_ledger/shards.py
@@ -13,7 +13,7 @@
 SHARD_PREFIX = "ledger-shards/"
 
 
-class PreviousOwner(enum.StrEnum):
+class PreviousOwnerState(enum.StrEnum):
     """State of a shard's previous owner when the shard is claimed.
 
     Attributes:
@@ -53,7 +53,7 @@
     address: str
     port: int
     epoch: int
-    previous: PreviousOwner
+    previous: PreviousOwnerState
     standby_address: str = ""
     standby_port: int = 0
     arbiter_address: str = ""
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ShardView:
+class VersionedShardRecord:
     """A shard's record and its version in the store."""
 
     record: ShardRecord
@@ -73,7 +73,7 @@
     return f"{SHARD_PREFIX}shard-{shard}"
 
 
-def parse_shard(stored: StoredObject) -> ShardView | None:
+def parse_shard(stored: StoredObject) -> VersionedShardRecord | None:
     """Parses a shard's record; returns None if it is invalid."""
     try:
         record = ShardRecord.model_validate_json(stored.value)
@@ -82,7 +82,7 @@
             "shard_record_unreadable", key=stored.key, error=str(error)
         )
         return None
-    return ShardView(record, stored.version)
+    return VersionedShardRecord(record, stored.version)
 
 
 class ShardMap:
@@ -94,14 +94,14 @@
 
     def __init__(self) -> None:
         self.is_loaded = False
-        self._view_by_shard: dict[int, ShardView] = {}
+        self._view_by_shard: dict[int, VersionedShardRecord] = {}
         self._changed = asyncio.Event()
 
-    def get(self, shard: int) -> ShardView | None:
+    def get(self, shard: int) -> VersionedShardRecord | None:
         """Returns the latest known record of a shard, or None."""
         return self._view_by_shard.get(shard)
 
-    def views(self) -> dict[int, ShardView]:
+    def views(self) -> dict[int, VersionedShardRecord]:
         """Returns every known shard by number."""
         return dict(self._view_by_shard)
 
--- a/libs/ledger/src/masticdale_ledger/store_relay.py
+++ b/libs/ledger/src/masticdale_ledger/store_relay.py
@@ -183,7 +183,7 @@
         self._last_position_by_prefix: dict[str, int] = {}
 
     @property
-    def is_unreachable(self) -> bool:
+    def is_store_unreachable(self) -> bool:
         """Whether the last direct and the last relayed call both failed."""
         return not self._direct_path.is_reachable and self._relay_failed
 
@@ -312,7 +312,7 @@
     async def _call_with_fallback(
         self, call: StoreCall[T]
     ) -> Result[T, Failure]:
-        if self.is_unreachable:
+        if self.is_store_unreachable:
             # Fail fast; only watches go on probing the store.
             return _UNREACHABLE
         if not self._direct_path.is_reachable:
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -443,7 +443,7 @@
         mock.patch("masticdale_ledger.owner._RESERVATION_WAIT_S", 0.0),
         mock.patch("masticdale_ledger.reconciler._CLAIM_JITTER_S", 0.0),
         mock.patch("masticdale_ledger.standby.boot_time_s", world.clock),
-        mock.patch("masticdale_ledger.reconciler.SHARD_COUNT", 1),
+        mock.patch("masticdale_ledger.reconciler.LEDGER_SHARD_COUNT", 1),
     ):
         yield
 
--- a/libs/ledger/tests/test_admissions.py
+++ b/libs/ledger/tests/test_admissions.py
@@ -17,7 +17,11 @@
 from masticdale_ledger.messages import CopyReply
 from masticdale_ledger.owner import OwnedShard, ShardOwner
 from masticdale_ledger.records import ProgramRecords
-from masticdale_ledger.shards import PreviousOwner, ShardRecord, ShardView
+from masticdale_ledger.shards import (
+    PreviousOwnerState,
+    ShardRecord,
+    VersionedShardRecord,
+)
 from masticdale_platform.testing import MemoryStore
 
 SHARD = 1
@@ -74,12 +78,12 @@
             address="127.0.0.1",
             port=1,
             epoch=1,
-            previous=PreviousOwner.NONE,
+            previous=PreviousOwnerState.NONE,
         )
         copier = Copier(peer) if peer else None
         shard = OwnedShard(
             SHARD,
-            ShardView(record, 1),
+            VersionedShardRecord(record, 1),
             Accounts(),
             0.0,
             lease,
--- a/libs/ledger/tests/test_client.py
+++ b/libs/ledger/tests/test_client.py
@@ -15,7 +15,7 @@
 from masticdale_ledger.owner import ShardOwner
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
-    PreviousOwner,
+    PreviousOwnerState,
     ShardMap,
     ShardRecord,
     shard_key,
@@ -31,7 +31,7 @@
     address="127.0.0.1",
     port=2,
     epoch=1,
-    previous=PreviousOwner.NONE,
+    previous=PreviousOwnerState.NONE,
 )
 TIMED_OUT = Failed(unavailable("b", "timed out", sent=True))
 
--- a/libs/ledger/tests/test_failover.py
+++ b/libs/ledger/tests/test_failover.py
@@ -23,7 +23,7 @@
 from masticdale_ledger.reconciler import ShardReconciler
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
-    PreviousOwner,
+    PreviousOwnerState,
     ShardMap,
     ShardRecord,
     shard_key,
@@ -42,7 +42,7 @@
     address="127.0.0.1",
     port=1,
     epoch=1,
-    previous=PreviousOwner.NONE,
+    previous=PreviousOwnerState.NONE,
     standby_address="127.0.0.1",
     standby_port=2,
 )
--- a/libs/ledger/tests/test_isolation.py
+++ b/libs/ledger/tests/test_isolation.py
@@ -22,7 +22,11 @@
 from masticdale_ledger.messages import SealRequest
 from masticdale_ledger.owner import OwnedShard, ShardOwner
 from masticdale_ledger.records import ProgramRecords, record_name
-from masticdale_ledger.shards import PreviousOwner, ShardRecord, ShardView
+from masticdale_ledger.shards import (
+    PreviousOwnerState,
+    ShardRecord,
+    VersionedShardRecord,
+)
 from masticdale_ledger.standby import StandbyCopies
 from masticdale_ledger.states import account_from_state
 from masticdale_platform.testing import MemoryStore
@@ -88,11 +92,11 @@
             address="127.0.0.1",
             port=1,
             epoch=self.epoch,
-            previous=PreviousOwner.NONE,
+            previous=PreviousOwnerState.NONE,
         )
         shard = OwnedShard(
             SHARD,
-            ShardView(record, self.epoch),
+            VersionedShardRecord(record, self.epoch),
             accounts,
             incomplete_s,
             self.lease,
--- a/libs/ledger/tests/test_reconciler.py
+++ b/libs/ledger/tests/test_reconciler.py
@@ -15,10 +15,10 @@
 from masticdale_ledger.reconciler import ShardReconciler
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
-    PreviousOwner,
+    PreviousOwnerState,
     ShardMap,
     ShardRecord,
-    ShardView,
+    VersionedShardRecord,
     shard_key,
 )
 from masticdale_platform import StoredObject
@@ -68,7 +68,7 @@
         address="127.0.0.1",
         port=port,
         epoch=1,
-        previous=PreviousOwner.NONE,
+        previous=PreviousOwnerState.NONE,
     )
 
 
@@ -87,7 +87,7 @@
         lease = Lease()
         lease.renew(lease.now())
         owner = ShardOwner(ProgramRecords(store, "a"), lease, Metrics())
-        view = ShardView(record("a", 1), 1)
+        view = VersionedShardRecord(record("a", 1), 1)
         owner.take(OwnedShard(0, view, Accounts(), 0.0, lease, None))
         shard_map = ShardMap()
         value = record(other_owner, 2).model_dump_json().encode()
--- a/libs/ledger/tests/test_store_relay.py
+++ b/libs/ledger/tests/test_store_relay.py
@@ -79,7 +79,7 @@
         self.direct.faults.down = True
         self.peer.store.faults.down = True
         await self.store.read("a/x")
-        self.assertTrue(self.store.is_unreachable)
+        self.assertTrue(self.store.is_store_unreachable)
         self.direct.faults.delay_s = self.peer.store.faults.delay_s = 5.0
         async with asyncio.timeout(0.5):
             kind = (await self.store.read("a/x")).failure().kind
@@ -91,7 +91,7 @@
         await self.store.read("a/x")
         self.direct.faults.down = False
         async with asyncio.timeout(3.0):
-            while self.store.is_unreachable:
+            while self.store.is_store_unreachable:
                 await self.store.watch("a/", 0, 0.1)
                 await asyncio.sleep(0.1)
         (await self.store.write("a/x", b"{}", 0)).unwrap()
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -84,8 +84,8 @@
     Edit(
         "watches through seeds",
         f"{_ENTRY}/entry.py",
-        "leaders = self._peers.leaders()",
-        "leaders = self._peers.leaders()[:0]",
+        "watch_sources = self._peers.watch_sources()",
+        "watch_sources = self._peers.watch_sources()[:0]",
     ),
     Edit(
         "records one turn ahead",
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -110,7 +110,7 @@
 
 def drop_callers_at_stop():
     async def stop(self):
-        await self._keeper.hand_over_all()
+        await self._reconciler.hand_over_all()
         await self.abort()
 
     EntryHost._stop = stop
