--- a/libs/ledger/src/masticdale_ledger/admissions.py
+++ b/libs/ledger/src/masticdale_ledger/admissions.py
@@ -25,9 +25,9 @@
 class Admissions:
     """Pending admission decisions; a repeated request joins its decision."""
 
-    def __init__(self, owner: ShardOwner, acting: StandbyFailover) -> None:
+    def __init__(self, owner: ShardOwner, failover: StandbyFailover) -> None:
         self._owner = owner
-        self._acting = acting
+        self._failover = failover
         self._pending_by_request: dict[
             tuple[str, str], asyncio.Task[Result[None, Failure]]
         ] = {}
@@ -60,7 +60,7 @@
         outcome = await self._owner.admit(shard, claim)
         if not _is_not_owner(outcome):
             return outcome
-        await self._acting.fail_over(shard)
+        await self._failover.fail_over(shard)
         return await self._owner.admit(shard, claim)
 
 
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -16,8 +16,8 @@
 from masticdale_ledger.isolation import (
     Isolation,
     IsolationQuota,
-    charge_first_step,
     charge_peer_quotas,
+    charge_unrecorded_limit,
     isolation_quotas,
 )
 from masticdale_ledger.leases import LEASE_S, Lease
@@ -50,8 +50,8 @@
         accounts: Accounts of the shard's programs.
         incomplete_for_s: Seconds for which earlier programs may still be
             missing from the accounts.
-        predecessor: Incarnation of the process whose accounts these are
-            exactly; empty if they may lack changes of the previous owner.
+        predecessor_incarnation: The process whose accounts these are exactly;
+            empty if they may lack changes of the previous owner.
         acting_shard: The shard for which this host acts as standby until the
             claim is written; its accounts then replace these.
     """
@@ -59,7 +59,7 @@
     previous: PreviousOwnerState
     accounts: tuple[AccountState, ...] = ()
     incomplete_for_s: float = 0.0
-    predecessor: str = ""
+    predecessor_incarnation: str = ""
     acting_shard: OwnedShard | None = None
 
 
@@ -86,8 +86,8 @@
     """Claims shards for this host and assigns their standbys.
 
     Attributes:
-        partners: Chooses the standbys and arbiters.
-        arbitration: Asks the arbiters.
+        peer_selector: Chooses the standbys and arbiters.
+        arbiter_client: Asks the arbiters.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         lease: Lease,
         client: LedgerClient,
         hosts: Hosts,
-        seen: LiveHosts,
+        live_hosts: LiveHosts,
     ) -> None:
         self._identity = identity
         self._store = store
@@ -112,8 +112,10 @@
         self._hosts = hosts
         self._locked_shards: set[int] = set()
         self._unconfirmed_by_shard: dict[int, UnconfirmedClaim] = {}
-        self.arbitration = ArbiterClient(hosts)
-        self.partners = PeerSelector(identity, shard_map, lease, hosts, seen)
+        self.arbiter_client = ArbiterClient(hosts)
+        self.peer_selector = PeerSelector(
+            identity, shard_map, lease, hosts, live_hosts
+        )
 
     async def refresh(self, number: int) -> bool:
         """Reads a shard's record; returns whether the store answered."""
@@ -141,10 +143,10 @@
         """
         with self._try_lock(number) as locked:
             if locked:
-                return await self._write_record(number, version, takeover)
+                return await self._claim_locked(number, version, takeover)
         return Failed(Failure(ErrorKind.CONFLICT, "another claim in progress"))
 
-    async def _write_record(
+    async def _claim_locked(
         self, number: int, version: int, takeover: TakeoverState
     ) -> Result[None, Failure]:
         known = self._map.get(number)
@@ -241,19 +243,19 @@
                 incomplete_s,
                 self._lease,
                 self._copier(view.record),
-                takeover.predecessor,
+                takeover.predecessor_incarnation,
             )
         )
         self._client.unreachable_by_shard.pop(number, None)
-        self.arbitration.appoint(number, view.record)
+        self.arbiter_client.appoint(number, view.record)
         value = view.record.model_dump_json().encode()
         self._map.put(StoredObject(shard_key(number), view.version, value))
 
     def _new_record(
         self, epoch: int, previous: PreviousOwnerState
     ) -> ShardRecord:
-        standby = self.partners.choose_standby() or ("", 0)
-        arbiter = self.partners.choose_arbiter(standby) or ("", 0)
+        standby = self.peer_selector.choose_standby() or ("", 0)
+        arbiter = self.peer_selector.choose_arbiter(standby) or ("", 0)
         return ShardRecord(
             owner=self._identity.host,
             incarnation=self._identity.incarnation,
@@ -294,7 +296,7 @@
             return
         if isinstance(copied, Failed):
             failure = await self._write_standby(shard)
-            if _is_store_unavailable(failure) and shard.isolation is None:
+            if _is_store_unreachable(failure) and shard.isolation is None:
                 self._isolate(shard)
             return
         shard.isolation = None
@@ -326,14 +328,14 @@
 
     async def ask_arbiter(self, shard: OwnedShard) -> None:
         """Asks the arbiter if the standby may have admitted new programs."""
-        if shard.won_arbitration or not shard.standby_may_admit_new:
+        if shard.won_arbitration or not shard.standby_may_have_admitted_unknown:
             return
-        side = await self.arbitration.decide(
+        side = await self.arbiter_client.decide(
             Side.OWNER, shard.number, shard.view.record
         )
         shard.won_arbitration = side is Side.OWNER
 
-    async def allowance_holder(self, number: int, record: ShardRecord) -> Side:
+    async def remainder_side(self, number: int, record: ShardRecord) -> Side:
         """Returns the side that may have used an allowance of a single turn.
 
         Serves the takeover of a shard whose standby has not acted. Afterwards
@@ -341,14 +343,14 @@
         """
         if not record.arbiter_address:
             return Side.STANDBY
-        side = await self.arbitration.decide(Side.SUCCESSOR, number, record)
+        side = await self.arbiter_client.decide(Side.SUCCESSOR, number, record)
         return Side.OWNER if side in (None, Side.OWNER) else Side.STANDBY
 
     async def _write_standby(self, shard: OwnedShard) -> Failure | None:
         """Writes another standby; returns the failure, or None."""
         await self.ask_arbiter(shard)
         old = shard.view.record
-        self.partners.mark_failed(old.standby_address, old.standby_port)
+        self.peer_selector.mark_failed(old.standby_address, old.standby_port)
         record = self._new_record(old.epoch + 1, PreviousOwnerState.ENDED)
         written = await self._write(shard.number, record, shard.view.version)
         logs.write_bounded(
@@ -385,26 +387,28 @@
         if shard.isolation is not None:
             states = shard.states_with_peer_spending()
         elif shard.standby_may_act and not shard.is_standby_leaving:
-            states = charge_peer_quotas(states, _owner_shares(shard))
+            states = charge_peer_quotas(states, _owner_quotas(shard))
         incomplete_for_s = shard.incomplete_for_s
-        if shard.standby_may_admit_new:
+        if shard.standby_may_have_admitted_unknown:
             incomplete_for_s = max(incomplete_for_s, RECOVERY_WINDOW_S)
             unacknowledged = shard.unacknowledged_program_ids()
             states = tuple(
-                charge_first_step(s) if s.program_id in unacknowledged else s
+                charge_unrecorded_limit(s)
+                if s.program_id in unacknowledged
+                else s
                 for s in states
             )
         return TakeoverState(
             PreviousOwnerState.ENDED,
             states,
             incomplete_for_s,
-            shard.predecessor,
+            shard.predecessor_incarnation,
         )
 
     def _isolate(self, shard: OwnedShard) -> None:
-        shares = _owner_shares(shard)
-        shard.isolation = Isolation(shares, admits_unknown=False)
-        logs.write("shard_alone", shard=shard.number, programs=len(shares))
+        quotas = _owner_quotas(shard)
+        shard.isolation = Isolation(quotas, admits_unknown=False)
+        logs.write("shard_alone", shard=shard.number, programs=len(quotas))
 
     async def _write(
         self, number: int, record: ShardRecord, version: int
@@ -436,10 +440,10 @@
         return outcome
 
 
-def _owner_shares(shard: OwnedShard) -> dict[str, IsolationQuota]:
-    holder = Side.OWNER if shard.won_arbitration else Side.STANDBY
+def _owner_quotas(shard: OwnedShard) -> dict[str, IsolationQuota]:
+    remainder_side = Side.OWNER if shard.won_arbitration else Side.STANDBY
     return isolation_quotas(
-        shard.accounts.all(), is_standby=False, remainder_side=holder
+        shard.accounts.all(), is_standby=False, remainder_side=remainder_side
     )
 
 
@@ -449,7 +453,7 @@
     )
 
 
-def _is_store_unavailable(failure: Failure | None) -> bool:
+def _is_store_unreachable(failure: Failure | None) -> bool:
     return failure is not None and failure.kind in (
         ErrorKind.PLATFORM_UNAVAILABLE,
         ErrorKind.WRITE_UNKNOWN,
--- a/libs/ledger/src/masticdale_ledger/failover.py
+++ b/libs/ledger/src/masticdale_ledger/failover.py
@@ -81,12 +81,14 @@
         answer = await owner.call(SETTLE, SettleRequest(()), _PING_TIMEOUT_S)
         if not isinstance(answer, Failed):
             return
-        side = await self._claims.arbitration.decide(
+        side = await self._claims.arbiter_client.decide(
             Side.STANDBY, number, record
         )
         if not self._can_take_over(number, view):
             return
-        shard = self._take_over(number, view, has_decision=side is Side.STANDBY)
+        shard = self._take_over(
+            number, view, won_arbitration=side is Side.STANDBY
+        )
         task = asyncio.create_task(self.claim(shard))
         self._claim_tasks.add(task)
         task.add_done_callback(self._claim_tasks.discard)
@@ -174,10 +176,10 @@
         )
 
     def _take_over(
-        self, number: int, view: VersionedShardRecord, *, has_decision: bool
+        self, number: int, view: VersionedShardRecord, *, won_arbitration: bool
     ) -> OwnedShard:
         record = view.record
-        self._claims.partners.mark_failed(record.address, record.port)
+        self._claims.peer_selector.mark_failed(record.address, record.port)
         copy = self._copies.seal(SealRequest(number, record.epoch))
         accounts = Accounts()
         accounts.restore([account_from_state(state) for state in copy.accounts])
@@ -191,12 +193,12 @@
             record.incarnation,
         )
         shard.is_acting = True
-        shard.won_arbitration = has_decision
-        gets_remainder = has_decision or not record.arbiter_address
+        shard.won_arbitration = won_arbitration
+        is_remainder_side = won_arbitration or not record.arbiter_address
         quotas = isolation_quotas(
             accounts.all(),
             is_standby=True,
-            remainder_side=Side.STANDBY if gets_remainder else Side.OWNER,
+            remainder_side=Side.STANDBY if is_remainder_side else Side.OWNER,
         )
         shard.isolation = Isolation(quotas, admits_unknown=False)
         self._owner.take(shard)
@@ -206,6 +208,6 @@
             epoch=record.epoch,
             owner=record.owner,
             accounts=len(copy.accounts),
-            has_decision=has_decision,
+            has_decision=won_arbitration,
         )
         return shard
--- a/libs/ledger/src/masticdale_ledger/isolation.py
+++ b/libs/ledger/src/masticdale_ledger/isolation.py
@@ -71,7 +71,9 @@
     }
 
 
-def _isolation_quota(account: Account, gets_remainder: bool) -> IsolationQuota:
+def _isolation_quota(
+    account: Account, is_remainder_side: bool
+) -> IsolationQuota:
     if account.bound is not None:
         # A record leaves room for at most two turns. Half of that may not
         # cover a turn, yet would count as spent after each loss of an owner.
@@ -86,15 +88,15 @@
         unspent_tokens = 0
     return IsolationQuota(
         limit_tokens=account.spent_tokens
-        + _split_tokens(unspent_tokens, turn_tokens, gets_remainder),
+        + _split_tokens(unspent_tokens, turn_tokens, is_remainder_side),
         peer_tokens=_split_tokens(
-            peer_unspent_tokens, turn_tokens, not gets_remainder
+            peer_unspent_tokens, turn_tokens, not is_remainder_side
         ),
     )
 
 
 def _split_tokens(
-    unspent_tokens: int, turn_tokens: int, gets_remainder: bool
+    unspent_tokens: int, turn_tokens: int, is_remainder_side: bool
 ) -> int:
     """Returns half of the tokens, or a whole turn if half is less than one.
 
@@ -105,7 +107,7 @@
     larger_part = (
         half if half >= turn_tokens else min(unspent_tokens, turn_tokens)
     )
-    return larger_part if gets_remainder else unspent_tokens - larger_part
+    return larger_part if is_remainder_side else unspent_tokens - larger_part
 
 
 def charge_owner_quota(
@@ -136,7 +138,7 @@
     return dataclasses.replace(state, spent_tokens=spent)
 
 
-def charge_first_step(state: AccountState) -> AccountState:
+def charge_unrecorded_limit(state: AccountState) -> AccountState:
     """Charges an account with the first step of its budget.
 
     For a program whose account exists here only because a turn was rejected.
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -51,7 +51,7 @@
         view: Its record in the store, by which it is owned.
         accounts: The accounts of its programs.
         copier: Replicates accounts to the standby; None without a standby.
-        predecessor: Incarnation of the process whose accounts were taken over
+        predecessor_incarnation: The process whose accounts were taken over
             exactly; empty if they may lack changes of the previous owner.
         is_handing_over: Whether it is being handed over.
         is_acting: Whether this host is the standby acting for the owner.
@@ -67,7 +67,7 @@
         incomplete_for_s: float,
         lease: Lease,
         copier: Copier | None,
-        predecessor: str = "",
+        predecessor_incarnation: str = "",
     ) -> None:
         """Creates the state of an owned shard.
 
@@ -79,13 +79,13 @@
                 had turns under an earlier owner; 0 if it is certainly new.
             lease: Lease of this host, whose clock measures that time.
             copier: Replicates accounts to the standby.
-            predecessor: See the attribute.
+            predecessor_incarnation: See the attribute.
         """
         self.number = number
         self.view = view
         self.accounts = accounts
         self.copier = copier
-        self.predecessor = predecessor
+        self.predecessor_incarnation = predecessor_incarnation
         self.is_handing_over = False
         self.is_acting = False
         self.isolation: Isolation | None = None
@@ -97,8 +97,8 @@
         """Returns whether an isolated shard must refuse a turn for now."""
         if self.isolation is None:
             return False
-        share = self.isolation.quota_by_program_id.get(claim.program_id)
-        if share is None:
+        quota = self.isolation.quota_by_program_id.get(claim.program_id)
+        if quota is None:
             return not self.isolation.admits_unknown
         account = self.accounts.get(claim.program_id)
         if account is None:
@@ -106,7 +106,7 @@
         if claim.request_id in account.reserved_by_request_id:
             return False
         needed = account.committed_tokens + claim.turn_tokens
-        return needed > share.limit_tokens
+        return needed > quota.limit_tokens
 
     @property
     def incomplete_for_s(self) -> float:
@@ -142,7 +142,7 @@
         )
 
     @property
-    def standby_may_admit_new(self) -> bool:
+    def standby_may_have_admitted_unknown(self) -> bool:
         """Whether the standby may have admitted programs unknown here."""
         if self.copier is None or not self.copier.standby_may_hold_copy:
             return False
@@ -171,8 +171,10 @@
 
     def states_with_peer_spending(self) -> tuple[AccountState, ...]:
         """Returns all accounts, with what the other host may have granted."""
-        shares = self.isolation.quota_by_program_id if self.isolation else {}
-        return charge_peer_quotas(self.states(None), shares)
+        quota_by_program_id = (
+            self.isolation.quota_by_program_id if self.isolation else {}
+        )
+        return charge_peer_quotas(self.states(None), quota_by_program_id)
 
     async def replicate(self) -> Result[None, Failure]:
         """Replicates all changes, unless isolated or without a standby."""
@@ -184,13 +186,13 @@
         """Replicates all changes, also while the shard is isolated."""
         if self.copier is None:
             return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, "no standby"))
-        state = CopyHeader(
+        header = CopyHeader(
             self.number,
             self.view.record.epoch,
             self.incomplete_for_s,
             owner_has_store=not self._lease.is_store_unreachable,
         )
-        return await self.copier.send(state, self)
+        return await self.copier.send(header, self)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -270,7 +272,7 @@
                 # Raising the bound would make tokens that the other host may
                 # have granted count as unspent.
                 return _isolated_failure(number)
-            written = await self._write_record(shard, claim, account)
+            written = await self._raise_stored_bound(shard, claim, account)
             if isinstance(written, Failed):
                 return written
         return Failed(
@@ -340,7 +342,7 @@
         detail = f"standby of shard {shard.number}: {copied.failure()}"
         return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
 
-    async def _write_record(
+    async def _raise_stored_bound(
         self, shard: OwnedShard, claim: TurnClaim, account: Account
     ) -> Result[None, Failure]:
         async with self._write_lock_by_program[claim.program_id]:
@@ -371,7 +373,10 @@
         account.counts_from_start = False
         # A write of the predecessor may have been in flight when it handed its
         # accounts over. It then admitted no turn under that bound.
-        is_known = written is not None and written.writer == shard.predecessor
+        is_known = (
+            written is not None
+            and written.writer_incarnation == shard.predecessor_incarnation
+        )
         if written is not None and not is_known:
             account.spent_tokens = max(
                 account.spent_tokens, written.bound.tokens
@@ -380,7 +385,7 @@
             "ledger_bound_of_another_owner",
             program_id=claim.program_id,
             bound_tokens=written.bound.tokens if written else 0,
-            writer=written.writer if written else "",
+            writer=written.writer_incarnation if written else "",
             counts_as_spent=not is_known,
         )
         return Success(None)
--- a/libs/ledger/src/masticdale_ledger/reconciler.py
+++ b/libs/ledger/src/masticdale_ledger/reconciler.py
@@ -71,10 +71,10 @@
         lease: Lease,
         client: LedgerClient,
         claims: ShardClaims,
-        acting: StandbyFailover,
+        failover: StandbyFailover,
         hosts: Hosts,
-        is_store_lost: Callable[[], bool],
-        seen: LiveHosts,
+        is_store_unreachable: Callable[[], bool],
+        live_hosts: LiveHosts,
     ) -> None:
         self.is_stopping = False
         self._identity = identity
@@ -84,10 +84,10 @@
         self._lease = lease
         self._client = client
         self._claims = claims
-        self._acting = acting
+        self._failover = failover
         self._hosts = hosts
-        self._is_store_lost = is_store_lost
-        self._seen = seen
+        self._is_store_unreachable = is_store_unreachable
+        self._live_hosts = live_hosts
         self._random = random.Random(identity.incarnation)
         self._claim_due_at_by_shard: dict[int, float] = {}
 
@@ -143,7 +143,7 @@
         """Takes over a shard that its owner hands over."""
         if self.is_stopping or not self._map.is_loaded:
             return HandOverReply(Failure(ErrorKind.STOPPING))
-        failure = await self._check_offer(offer)
+        failure = await self._prepare_for_offer(offer)
         if failure is not None:
             return HandOverReply(failure)
         takeover = TakeoverState(
@@ -157,7 +157,7 @@
             return HandOverReply(claimed.failure())
         return HandOverReply()
 
-    async def _check_offer(self, offer: HandOver) -> Failure | None:
+    async def _prepare_for_offer(self, offer: HandOver) -> Failure | None:
         """Returns why an offered shard can't be taken over, or None.
 
         A former owner that has not learned of its replacement drops the shard
@@ -266,7 +266,7 @@
         if view is None:
             return TakeoverState(PreviousOwnerState.NONE)
         if previous is PreviousOwnerState.LOST:
-            self._claims.partners.mark_failed(
+            self._claims.peer_selector.mark_failed(
                 view.record.address, view.record.port
             )
         reply = await self._seal(number, view.record)
@@ -278,9 +278,11 @@
             )
         accounts = reply.accounts
         if not reply.acted:
-            holder = await self._claims.allowance_holder(number, view.record)
+            remainder_side = await self._claims.remainder_side(
+                number, view.record
+            )
             accounts = tuple(
-                charge_owner_quota(state, holder) for state in accounts
+                charge_owner_quota(state, remainder_side) for state in accounts
             )
         return TakeoverState(
             PreviousOwnerState.ENDED,
@@ -296,10 +298,10 @@
         return view.record.incarnation
 
     async def _claim_acting(self, shard: OwnedShard) -> None:
-        if self._is_store_lost():
-            self._acting.admit_unknown_programs(shard)
+        if self._is_store_unreachable():
+            self._failover.admit_unknown_programs(shard)
         else:
-            await self._acting.claim(shard)
+            await self._failover.claim(shard)
 
     async def _seal(self, number: int, record: ShardRecord) -> SealReply | None:
         """Seals the standby's copy; returns None if it can't be reached."""
@@ -308,7 +310,7 @@
         request = SealRequest(number, record.epoch)
         here = (self._identity.address, self._identity.port)
         if (record.standby_address, record.standby_port) == here:
-            return self._acting.seal(request)
+            return self._failover.seal(request)
         peer = self._hosts.client(record.standby_address, record.standby_port)
         outcome = await peer.call(SEAL, request, _CALL_TIMEOUT_S)
         if isinstance(outcome, Failed):
@@ -337,12 +339,12 @@
             return True
         return (
             shard.copier is None
-            and self._claims.partners.choose_standby() is not None
+            and self._claims.peer_selector.choose_standby() is not None
         )
 
     async def _hand_over(self, shard: OwnedShard) -> None:
         """Offers a shard to one host after another until one takes it."""
-        if self._is_store_lost():
+        if self._is_store_unreachable():
             # No host could write its claim. The standby acknowledges turns
             # until this host ends, and acts for it afterwards.
             return
@@ -418,7 +420,9 @@
         shards_by_address: collections.Counter[tuple[str, int]] = (
             collections.Counter()
         )
-        host_by_address = {(h.address, h.port): h for h in self._seen.live()}
+        host_by_address = {
+            (h.address, h.port): h for h in self._live_hosts.live()
+        }
         for view in self._map.views().values():
             record = view.record
             if record.owner == self._identity.host:
--- a/libs/ledger/src/masticdale_ledger/records.py
+++ b/libs/ledger/src/masticdale_ledger/records.py
@@ -46,25 +46,25 @@
 
     Attributes:
         bound: The bound.
-        writer: The process that wrote it.
+        writer_incarnation: The process that wrote it.
     """
 
     bound: Bound
-    writer: str
+    writer_incarnation: str
 
 
 class ProgramRecords:
     """Reads, raises and deletes the bounds in the store."""
 
-    def __init__(self, store: ObjectStore, writer: str) -> None:
+    def __init__(self, store: ObjectStore, incarnation: str) -> None:
         """Creates access to the records.
 
         Args:
             store: The platform's store.
-            writer: Identity of this process, unique among all processes.
+            incarnation: Identity of this process, unique among all processes.
         """
         self._store = store
-        self._writer = writer
+        self._incarnation = incarnation
 
     async def load(self) -> Result[dict[str, Bound], Failure]:
         """Returns every bound by record name."""
@@ -94,7 +94,7 @@
         key = RECORD_PREFIX + record_name(program_id)
         record = _Record(
             bound_tokens=tokens,
-            writer=self._writer,
+            writer=self._incarnation,
             at_ms=time.time_ns() // 1_000_000,
         )
         value = record.model_dump_json().encode()
@@ -112,7 +112,11 @@
             return found
         stored = found.unwrap()
         written = _parse_record(stored) if stored is not None else None
-        if stored is None or written is None or written.writer != self._writer:
+        if (
+            stored is None
+            or written is None
+            or written.writer != self._incarnation
+        ):
             return outcome
         if written.bound_tokens < tokens:
             return await self.raise_bound(program_id, tokens, stored.version)
--- a/libs/ledger/src/masticdale_ledger/service.py
+++ b/libs/ledger/src/masticdale_ledger/service.py
@@ -40,28 +40,28 @@
         self,
         owner: ShardOwner,
         reconciler: ShardReconciler,
-        acting: StandbyFailover,
+        failover: StandbyFailover,
         copies: StandbyCopies,
         direct_store: ObjectStore,
-        seen_hosts: LiveHosts,
+        live_hosts: LiveHosts,
         shared_watches: SharedWatches | None,
     ) -> None:
-        self._acting = acting
+        self._failover = failover
         self._arbiter = Arbiter()
-        self._admissions = Admissions(owner, acting)
+        self._admissions = Admissions(owner, failover)
         self._copies = copies
         self._owner = owner
         self._reconciler = reconciler
         self._direct_store = direct_store
-        self._seen_hosts = seen_hosts
+        self._live_hosts = live_hosts
         self._shared_watches = shared_watches
 
     async def admit(self, request: AdmitRequest) -> AdmitReply:
         """Admits a turn of a shard that this host owns or acts for."""
         if request.asker_stops:
-            self._seen_hosts.remove(request.asker)
+            self._live_hosts.remove(request.asker)
         else:
-            self._seen_hosts.record_request(request.asker)
+            self._live_hosts.record_request(request.asker)
         claim = TurnClaim(
             program_id=request.program_id,
             request_id=request.request_id,
@@ -92,7 +92,7 @@
 
     async def seal(self, request: SealRequest) -> SealReply:
         """Seals the copy of a shard, which stops its owner."""
-        return self._acting.seal(request)
+        return self._failover.seal(request)
 
     async def appoint(self, request: AppointRequest) -> AppointReply:
         """Appoints this host the arbiter of an owner and its standby."""
--- a/libs/ledger/src/masticdale_ledger/shared_watches.py
+++ b/libs/ledger/src/masticdale_ledger/shared_watches.py
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         self._state_by_prefix: dict[str, _WatchedPrefix] = {}
-        self._is_store_unavailable = True
+        self._is_store_unreachable = True
         self._changed = asyncio.Event()
 
     def apply(self, prefix: str, from_position: int, batch: WatchBatch) -> None:
@@ -64,14 +64,14 @@
         state.position = batch.position
         self._notify()
 
-    def mark_store_available(self) -> None:
+    def mark_store_reachable(self) -> None:
         """Records that the store answers this host."""
-        self._is_store_unavailable = False
+        self._is_store_unreachable = False
         self._notify()
 
-    def mark_store_unavailable(self) -> None:
+    def mark_store_unreachable(self) -> None:
         """Records that the store does not answer this host."""
-        self._is_store_unavailable = True
+        self._is_store_unreachable = True
         self._notify()
 
     async def wait_newer(
@@ -95,7 +95,7 @@
             state = self._state_by_prefix.get(prefix)
             if state is None:
                 return Failed(Failure(ErrorKind.NOT_FOUND, prefix))
-            if self._is_store_unavailable:
+            if self._is_store_unreachable:
                 detail = "the leader can't reach the store"
                 failure = Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail)
                 return Failed(failure)
--- a/libs/ledger/src/masticdale_ledger/store_relay.py
+++ b/libs/ledger/src/masticdale_ledger/store_relay.py
@@ -285,7 +285,7 @@
         outcome = await self._ping()
         self._record_outcome(outcome)
         if _is_unavailable(outcome):
-            self._shared.mark_store_unavailable()
+            self._shared.mark_store_unreachable()
 
     async def wait_before_retry(self, max_s: float) -> None:
         """Waits before a failed watch is retried.
@@ -362,9 +362,9 @@
         if self._shared is None:
             return
         if not isinstance(outcome, Failed):
-            self._shared.mark_store_available()
+            self._shared.mark_store_reachable()
         elif _is_unavailable(outcome):
-            self._shared.mark_store_unavailable()
+            self._shared.mark_store_unreachable()
 
     async def _relay(self, call: StoreCall[T]) -> Result[T, Failure]:
         outcome: Result[T, Failure] = _UNREACHABLE
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -152,7 +152,7 @@
         self.owner = ShardOwner(records, lease, Metrics())
         self.copies = StandbyCopies()
         links = Links(world, name)
-        self.seen = LiveHosts(identity.host_address)
+        self.live_hosts = LiveHosts(identity.host_address)
         self.client = types.SimpleNamespace(unreachable_by_shard={})
         claims = ShardClaims(
             identity,
@@ -163,9 +163,9 @@
             lease,
             self.client,
             links,
-            self.seen,
+            self.live_hosts,
         )
-        self.acting = StandbyFailover(
+        self.failover = StandbyFailover(
             identity, self.map, self.owner, lease, self.copies, claims, links
         )
         self.reconciler = ShardReconciler(
@@ -176,18 +176,18 @@
             lease,
             self.client,
             claims,
-            self.acting,
+            self.failover,
             links,
             lambda: self.store.is_lost,
-            self.seen,
+            self.live_hosts,
         )
         self.service = LedgerService(
             self.owner,
             self.reconciler,
-            self.acting,
+            self.failover,
             self.copies,
             self.store,
-            self.seen,
+            self.live_hosts,
             None,
         )
 
--- a/libs/ledger/tests/test_admissions.py
+++ b/libs/ledger/tests/test_admissions.py
@@ -56,7 +56,7 @@
         return Success(CopyReply(held=True, sealed=False))
 
 
-class Acting:
+class NoFailover:
     """A host that is standby of no shard."""
 
     async def fail_over(self, number):
@@ -67,7 +67,7 @@
     def setUp(self):
         self.store = MemoryStore()
 
-    def create_owner(self, peer=None, predecessor=""):
+    def create_owner(self, peer=None, predecessor_incarnation=""):
         lease = Lease()
         lease.renew(lease.now())
         records = ProgramRecords(self.store, "writer")
@@ -88,10 +88,10 @@
             0.0,
             lease,
             copier,
-            predecessor,
+            predecessor_incarnation,
         )
         self.owner.take(shard)
-        self.admissions = Admissions(self.owner, Acting())
+        self.admissions = Admissions(self.owner, NoFailover())
 
     async def ask(self, *claims):
         """Asks for turns concurrently; returns outcomes and the total wait."""
@@ -166,10 +166,10 @@
     The next owner has its exact accounts and conflicts with the record.
     """
 
-    async def admit_after_record(self, predecessor):
+    async def admit_after_record(self, predecessor_incarnation):
         before = ProgramRecords(self.store, "before")
         await before.raise_bound("p", BUDGET, 0)
-        self.create_owner(predecessor=predecessor)
+        self.create_owner(predecessor_incarnation=predecessor_incarnation)
         # An inexact count may exceed the budget by one turn.
         await self.ask(claim("r1", 600))
         return await self.ask_until_decided(claim("r2", 300))
--- a/libs/ledger/tests/test_failover.py
+++ b/libs/ledger/tests/test_failover.py
@@ -101,7 +101,7 @@
         self.other = Owner()
         records = ProgramRecords(self.store, STANDBY.incarnation)
         self.owner = ShardOwner(records, self.lease, Metrics())
-        seen = LiveHosts(STANDBY.host_address)
+        live_hosts = LiveHosts(STANDBY.host_address)
         client = types.SimpleNamespace(unreachable_by_shard={})
         claims = ShardClaims(
             STANDBY,
@@ -112,9 +112,9 @@
             self.lease,
             client,
             self.other,
-            seen,
+            live_hosts,
         )
-        self.acting = StandbyFailover(
+        self.failover = StandbyFailover(
             STANDBY,
             self.map,
             self.owner,
@@ -123,7 +123,7 @@
             claims,
             self.other,
         )
-        self.keeper = ShardReconciler(
+        self.reconciler = ShardReconciler(
             STANDBY,
             self.store,
             self.map,
@@ -131,10 +131,10 @@
             self.lease,
             client,
             claims,
-            self.acting,
+            self.failover,
             self.other,
             lambda: self.store.faults.down,
-            seen,
+            live_hosts,
         )
         value = OWNER.model_dump_json().encode()
         written = await self.store.write(shard_key(SHARD), value, 0)
@@ -166,7 +166,7 @@
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
-        await self.acting.fail_over(SHARD)
+        await self.failover.fail_over(SHARD)
         self.assertIsNone(await self.admit(claim("r")))
         self.assertLess(loop.time() - began, 0.4)
         await asyncio.sleep(0.05)
@@ -177,7 +177,7 @@
 
     async def test_an_owner_that_answers_is_not_replaced(self):
         self.other.is_unresponsive = False
-        await self.acting.fail_over(SHARD)
+        await self.failover.fail_over(SHARD)
         self.assertIs(await self.admit(claim("r")), ErrorKind.NOT_OWNER)
         self.assertTrue(self.copies.is_usable(SHARD, 1))
 
@@ -188,7 +188,7 @@
         one.
         """
         self.store.faults.delay_s = 0.3
-        await self.acting.fail_over(SHARD)
+        await self.failover.fail_over(SHARD)
         self.assertIsNone(await self.admit(claim("r1")))
         waits = await self.admit(claim("r2", "new"))
         self.assertIs(waits, ErrorKind.LEDGER_UNAVAILABLE)
@@ -198,7 +198,7 @@
 
     async def test_turns_admitted_as_acting_owner_count_after_the_claim(self):
         self.store.faults.delay_s = 0.2
-        await self.acting.fail_over(SHARD)
+        await self.failover.fail_over(SHARD)
         for number in range(2):
             self.assertIsNone(await self.admit(claim(f"r{number}")))
         await asyncio.sleep(0.6)
@@ -218,11 +218,11 @@
         the store is back, its record names this process as the owner.
         """
         self.store.loses_write_answers = True
-        await self.acting.fail_over(SHARD)
+        await self.failover.fail_over(SHARD)
         self.assertIsNone(await self.admit(claim("r")))
         await asyncio.sleep(0.05)
         await self.read_map()
-        await self.keeper.reconcile()
+        await self.reconciler.reconcile()
         shard = self.owner.owned()[SHARD]
         self.assertFalse(shard.is_acting)
         account = shard.accounts.get("known")
@@ -239,12 +239,12 @@
         self.store.loses_write_answers = True
         state = AccountState("known", BUDGET, 40, True, 900, 3, (), (), 100)
         version = self.map.get(SHARD).version
-        reply = await self.keeper.accept(
+        reply = await self.reconciler.accept(
             HandOver(SHARD, version, (state,), 0.0)
         )
         self.assertIs(reply.failure.kind, ErrorKind.WRITE_UNKNOWN)
         await self.read_map()
-        await self.keeper.reconcile()
+        await self.reconciler.reconcile()
         account = self.owner.owned()[SHARD].accounts.get("known")
         self.assertEqual(account.spent_tokens, 40)
 
@@ -258,21 +258,21 @@
         self.store.fails_lists = True
         state = AccountState("known", BUDGET, 40, True, 0, 0, (), (), 100)
         version = self.map.get(SHARD).version
-        reply = await self.keeper.accept(
+        reply = await self.reconciler.accept(
             HandOver(SHARD, version, (state,), 0.0)
         )
         self.assertIs(reply.failure.kind, ErrorKind.WRITE_UNKNOWN)
         self.store.fails_lists = False
         await self.read_map()
-        await self.keeper.reconcile()
+        await self.reconciler.reconcile()
         account = self.owner.owned()[SHARD].accounts.get("known")
         self.assertEqual(account.spent_tokens, 40)
 
     async def test_a_claim_that_was_not_written_is_retried(self):
         self.store.faults.drop_writes = 1
-        await self.acting.fail_over(SHARD)
+        await self.failover.fail_over(SHARD)
         await asyncio.sleep(0.05)
-        await self.keeper.reconcile()
+        await self.reconciler.reconcile()
         shard = self.owner.owned()[SHARD]
         self.assertFalse(shard.is_acting)
         self.assertEqual(shard.view.record.owner, "b")
--- a/libs/ledger/tests/test_isolation.py
+++ b/libs/ledger/tests/test_isolation.py
@@ -83,12 +83,12 @@
     def create_host(self, accounts, incomplete_s, copier):
         """Returns a host that owns the shard, and the shard."""
         self.writers += 1
-        writer = f"w{self.writers}"
-        records = ProgramRecords(self.store, writer)
+        incarnation = f"w{self.writers}"
+        records = ProgramRecords(self.store, incarnation)
         owner = ShardOwner(records, self.lease, Metrics())
         record = ShardRecord(
-            owner=writer,
-            incarnation=writer,
+            owner=incarnation,
+            incarnation=incarnation,
             address="127.0.0.1",
             port=1,
             epoch=self.epoch,
--- a/libs/ledger/tests/test_reconciler.py
+++ b/libs/ledger/tests/test_reconciler.py
@@ -72,16 +72,16 @@
     )
 
 
-def create_seen_hosts(*hosts):
+def create_live_hosts(*hosts):
     """Returns a record of hosts that have just sent a request."""
-    seen = LiveHosts(OWN)
+    live_hosts = LiveHosts(OWN)
     for host in hosts:
-        seen.record_request(host)
-    return seen
+        live_hosts.record_request(host)
+    return live_hosts
 
 
 class HandOverTest(unittest.IsolatedAsyncioTestCase):
-    async def hand_over(self, hosts, seen, other_owner="b"):
+    async def hand_over(self, hosts, live_hosts, other_owner="b"):
         """Hands shard 0 over; returns the outcome of a later turn here."""
         store = MemoryStore()
         lease = Lease()
@@ -100,10 +100,10 @@
             lease,
             client=None,
             claims=None,
-            acting=None,
+            failover=None,
             hosts=hosts,
-            is_store_lost=lambda: False,
-            seen=seen,
+            is_store_unreachable=lambda: False,
+            live_hosts=live_hosts,
         )
         await reconciler.hand_over_all()
         return await owner.admit(0, TurnClaim("p", "r", 1000, 10))
@@ -115,12 +115,12 @@
         lost.
         """
         for answer in (TIMED_OUT, TAKEN):
-            outcome = await self.hand_over(Peers(answer), create_seen_hosts())
+            outcome = await self.hand_over(Peers(answer), create_live_hosts())
             self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
     async def test_a_shard_that_was_certainly_not_taken_is_still_served(self):
         for answer in (NOT_CONNECTED, REFUSED):
-            outcome = await self.hand_over(Peers(answer), create_seen_hosts())
+            outcome = await self.hand_over(Peers(answer), create_live_hosts())
             self.assertIsInstance(outcome, Success)
 
     async def test_the_last_owner_offers_its_shards_to_hosts_without_shards(
@@ -132,36 +132,36 @@
         them, all accounts would be lost.
         """
         hosts = Peers(TAKEN)
-        seen = create_seen_hosts(HostAddress("127.0.0.1", 2, "b"))
-        outcome = await self.hand_over(hosts, seen, other_owner="a")
+        live_hosts = create_live_hosts(HostAddress("127.0.0.1", 2, "b"))
+        outcome = await self.hand_over(hosts, live_hosts, other_owner="a")
         self.assertEqual(hosts.peer_by_port[2].calls, 1)
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
     async def test_a_shard_refused_by_a_stopping_host_is_offered_again(self):
         """Two hosts that stop at once would both keep their shards."""
         hosts = Peers(REFUSED, TAKEN)
-        seen = create_seen_hosts(HostAddress("127.0.0.1", 3, "b"))
-        outcome = await self.hand_over(hosts, seen)
+        live_hosts = create_live_hosts(HostAddress("127.0.0.1", 3, "b"))
+        outcome = await self.hand_over(hosts, live_hosts)
         self.assertEqual(hosts.peer_by_port[3].calls, 1)
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
     async def test_an_unknown_outcome_ends_the_offers(self):
         hosts = Peers(TIMED_OUT, TIMED_OUT)
-        seen = create_seen_hosts(HostAddress("127.0.0.1", 3, "b"))
-        await self.hand_over(hosts, seen)
+        live_hosts = create_live_hosts(HostAddress("127.0.0.1", 3, "b"))
+        await self.hand_over(hosts, live_hosts)
         calls = [peer.calls for peer in hosts.peer_by_port.values()]
         self.assertEqual(sum(calls), 1)
 
 
-class SeenHostsTest(unittest.TestCase):
+class LiveHostsTest(unittest.TestCase):
     def test_a_host_is_never_its_own_candidate(self):
-        self.assertEqual(create_seen_hosts(OWN).live(), [])
+        self.assertEqual(create_live_hosts(OWN).live(), [])
 
     def test_a_stopping_host_is_no_candidate(self):
         other = HostAddress("127.0.0.1", 2, "b")
-        seen = create_seen_hosts(other)
-        seen.remove(other)
-        self.assertEqual(seen.live(), [])
+        live_hosts = create_live_hosts(other)
+        live_hosts.remove(other)
+        self.assertEqual(live_hosts.live(), [])
 
 
 if __name__ == "__main__":
--- a/libs/ledger/tests/test_seals.py
+++ b/libs/ledger/tests/test_seals.py
@@ -21,14 +21,14 @@
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.store.faults.down = True
-        await self.acting.fail_over(SHARD)
+        await self.failover.fail_over(SHARD)
         await asyncio.sleep(0.05)
         self.assertIsNone(await self.admit(claim("r1")))
         self.assertIsNone(await self.admit(claim("r2", "new")))
 
     def seal(self):
         """Seals the shard; returns the accounts that the sealing host gets."""
-        reply = self.acting.seal(SealRequest(SHARD, EPOCH))
+        reply = self.failover.seal(SealRequest(SHARD, EPOCH))
         self.assertTrue(reply.held)
         return {state.program_id: state for state in reply.accounts}
 
@@ -43,7 +43,7 @@
         self.seal()
         refused = await self.admit(claim("r3", "new"))
         self.assertIs(refused, ErrorKind.NOT_OWNER)
-        await self.acting.fail_over(SHARD)
+        await self.failover.fail_over(SHARD)
         refused = await self.admit(claim("r3", "new"))
         self.assertIs(refused, ErrorKind.NOT_OWNER)
 
@@ -62,7 +62,7 @@
         shard = self.owner.owned()[SHARD]
         given = self.seal()
         self.store.faults.down = False
-        await self.acting.claim(shard)
+        await self.failover.claim(shard)
         accounts = self.owner.owned()[SHARD].accounts
         self.assertIsNotNone(accounts.get("new"))
         self.assertEqual(accounts.get("new").committed_tokens, 100)
--- a/libs/ledger/tests/test_shared_watches.py
+++ b/libs/ledger/tests/test_shared_watches.py
@@ -108,7 +108,7 @@
         """Guards against followers that keep outdated lists of replicas."""
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         for leader in self.leaders:
-            leader.shared.mark_store_unavailable()
+            leader.shared.mark_store_unreachable()
         await self.direct.write("a/y", b"2", 0)
         await self.leaders[1].step()
         later = (await self.store.watch(PREFIX, first.position, 5.0)).unwrap()
@@ -122,7 +122,7 @@
         """
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         for leader in self.leaders:
-            leader.shared.mark_store_unavailable()
+            leader.shared.mark_store_unreachable()
         position = first.position
         for number in range(5):
             await self.direct.write(f"a/new-{number}", b"2", 0)
@@ -140,7 +140,7 @@
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         leader = self.leaders[0]
         self.leaders[1].is_unresponsive = True
-        leader.shared.mark_store_unavailable()
+        leader.shared.mark_store_unreachable()
         found = (await self.direct.read("a/x")).unwrap()
         await self.direct.write("a/x", b"leaves", found.version)
         relayed = (await self.direct.watch(PREFIX, leader.position, 0)).unwrap()
@@ -175,7 +175,7 @@
         await self.leaders[0].step()
         newest = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         self.assertEqual(newest.position, self.leaders[0].position)
-        self.leaders[0].shared.mark_store_unavailable()
+        self.leaders[0].shared.mark_store_unreachable()
         again = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         self.assertGreaterEqual(again.position, newest.position)
         self.assertEqual(len(again.changed), 2)
