--- a/libs/ledger/src/masticdale_ledger/peer_store.py
+++ b/libs/ledger/src/masticdale_ledger/peer_store.py
@@ -17,9 +17,10 @@
 # Timeout of a relayed call in seconds, besides a watch's wait: one timeout of
 # the other host's store client.
 _RELAY_TIMEOUT_S = 1.0
-# How long a follower waits at a leader for changes, in seconds. The leader may
-# stop answering: this wait, the timeout and a list from the store itself must
-# fit into the 2 s within which a configuration change has to take effect.
+# How long a follower waits at a watch source for changes, in seconds. The
+# source may stop answering: this wait, the timeout and a list from the store
+# itself must fit into the 2 s within which a configuration change has to take
+# effect.
 _FOLLOW_WAIT_S = 0.8
 # Timeout of such a call in seconds, besides its wait.
 _FOLLOW_TIMEOUT_S = 0.3
--- a/libs/ledger/src/masticdale_ledger/shared_watches.py
+++ b/libs/ledger/src/masticdale_ledger/shared_watches.py
@@ -1,8 +1,9 @@
 """Serves the results of this host's store watches to other hosts.
 
-Only a few hosts, the leaders, watch the store; the others follow a leader. The
-load on the store then grows with the number of changes and not with the number
-of hosts. Each follower makes about one call per second and prefix to a leader.
+Only a few hosts, the watch sources, watch the store; every other host follows
+one of them. The load on the store then grows with the number of changes and not
+with the number of hosts. Each follower makes about one call per second and
+prefix to its watch source.
 """
 
 import asyncio
@@ -96,10 +97,10 @@
             if state is None:
                 return Failed(Failure(ErrorKind.NOT_FOUND, prefix))
             if self._is_store_unreachable:
-                detail = "the leader can't reach the store"
+                detail = "the watch source can't reach the store"
                 failure = Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail)
                 return Failed(failure)
-            # A follower of another leader may already have a later position.
+            # A follower of another source may already have a later position.
             if state.position > position:
                 return Success(_snapshot(state))
             remaining_s = deadline - asyncio.get_running_loop().time()
--- a/libs/ledger/src/masticdale_ledger/store_relay.py
+++ b/libs/ledger/src/masticdale_ledger/store_relay.py
@@ -36,10 +36,10 @@
 # The most hosts through which one call is tried.
 _MAX_RELAYS = 2
 
-# A leader that did not answer is not asked for this long, in seconds.
-_SILENT_LEADER_BACKOFF_S = 5.0
-# The same for a leader that has lost the store or has just started.
-_STORELESS_LEADER_BACKOFF_S = 0.25
+# A watch source that did not answer is not asked for this long, in seconds.
+_SILENT_SOURCE_BACKOFF_S = 5.0
+# The same for a watch source that has lost the store or has just started.
+_STORELESS_SOURCE_BACKOFF_S = 0.25
 
 PeerList = Callable[[], list[RpcClient]]
 Ping = Callable[[], Awaitable[Result[None, Failure]]]
@@ -116,30 +116,30 @@
         self._probe_at = now + random.uniform(0.8, 1.0) * _PROBE_INTERVAL_S
 
 
-class _Leaders:
+class _WatchSources:
     """The hosts whose watches this host follows.
 
     Attributes:
-        all: Clients of all leaders.
+        all: Clients of all watch sources.
     """
 
-    def __init__(self, leaders: list[RpcClient]) -> None:
-        self.all = leaders
+    def __init__(self, watch_sources: list[RpcClient]) -> None:
+        self.all = watch_sources
         self._excluded_until: dict[int, float] = {}
 
     def available(self) -> list[RpcClient]:
-        """Returns the leaders that are not excluded at present."""
+        """Returns the watch sources that are not excluded at present."""
         now = asyncio.get_running_loop().time()
         return [
-            leader
-            for number, leader in enumerate(self.all)
+            source
+            for number, source in enumerate(self.all)
             if self._excluded_until.get(number, 0.0) <= now
         ]
 
-    def exclude(self, leader: RpcClient, duration_s: float) -> None:
-        """Excludes a leader for some seconds."""
+    def exclude(self, source: RpcClient, duration_s: float) -> None:
+        """Excludes a watch source for some seconds."""
         now = asyncio.get_running_loop().time()
-        self._excluded_until[self.all.index(leader)] = now + duration_s
+        self._excluded_until[self.all.index(source)] = now + duration_s
 
 
 class FallbackStore:
@@ -156,7 +156,7 @@
         direct: ObjectStore,
         peers: PeerList,
         metrics: Metrics,
-        leaders: list[RpcClient] | None = None,
+        watch_sources: list[RpcClient] | None = None,
         shared: SharedWatches | None = None,
         ping: Ping | None = None,
     ) -> None:
@@ -166,9 +166,9 @@
             direct: The store itself.
             peers: Returns hosts that may make a call for this one.
             metrics: Counts followed watches and relayed calls.
-            leaders: Hosts whose watches this host follows; none for a leader,
-                which watches the store itself.
-            shared: On a leader, the watch results that it serves.
+            watch_sources: Hosts whose watches this host follows; none on a
+                watch source, which watches the store itself.
+            shared: On a watch source, the watch results that it serves.
             ping: A cheap call of the store itself, for ``check``.
         """
         self._direct = direct
@@ -177,7 +177,7 @@
         self._shared = shared
         self._ping = ping
         self._random = random.Random()
-        self._leaders = _Leaders(leaders or [])
+        self._watch_sources = _WatchSources(watch_sources or [])
         self._direct_path = _DirectPath()
         self._relay_failed = False
         self._last_position_by_prefix: dict[str, int] = {}
@@ -252,9 +252,9 @@
                     or _PATH_CHANGED
                 )
             wait_s = _PROBE_WATCH_S
-        if self._leaders.all:
-            # A leader may be available again by then.
-            wait_s = min(wait_s, _SILENT_LEADER_BACKOFF_S)
+        if self._watch_sources.all:
+            # A watch source may be available again by then.
+            wait_s = min(wait_s, _SILENT_SOURCE_BACKOFF_S)
         watched: Any = self._direct.watch(prefix, position, wait_s)
         outcome = await self._await_unless_path_changes(watched)
         if outcome is None:
@@ -271,12 +271,11 @@
         return await self._direct.hosts()
 
     async def check(self) -> None:
-        """Checks on a leader that the store still answers.
+        """Checks on a watch source that the store still answers.
 
-        A watch of an unresponsive store looks like one without changes, and
-        the leader may make no other call for half a minute. Its followers
-        would keep an old configuration and send work to replicas that have
-        left.
+        A watch of an unresponsive store looks like one without changes, and a
+        watch may take half a minute. Without the check, followers would keep
+        an old configuration and send work to replicas that have left.
         """
         if self._shared is None or self._ping is None:
             return
@@ -326,34 +325,34 @@
     async def _follow(
         self, prefix: str, position: int
     ) -> Result[WatchBatch, Failure] | None:
-        """Watches through a leader; None if the caller should ask the store.
+        """Watches through a source; None if the caller should ask the store.
 
-        A leader that has lost the store reports that, and the next one is
-        asked. After a leader that does not answer, or if none is left, the
-        store is asked at once: a change must not wait for a second timeout.
+        A watch source that has lost the store reports that, and the next one
+        is asked. After one that does not answer, or if none is left, the store
+        is asked at once: a change must not wait for a second timeout.
         """
-        for leader in self._leaders.available():
-            outcome = await PeerStore(leader).follow(prefix, position)
+        for source in self._watch_sources.available():
+            outcome = await PeerStore(source).follow(prefix, position)
             if not isinstance(outcome, Failed):
                 if not self._is_stale(prefix, outcome.unwrap()):
                     self._metrics.count("watches_followed_total")
                     return outcome
-                self._leaders.exclude(leader, _SILENT_LEADER_BACKOFF_S)
+                self._watch_sources.exclude(source, _SILENT_SOURCE_BACKOFF_S)
                 continue
             kind = outcome.failure().kind
             if kind not in (
                 ErrorKind.PLATFORM_UNAVAILABLE,
                 ErrorKind.NOT_FOUND,
             ):
-                self._leaders.exclude(leader, _SILENT_LEADER_BACKOFF_S)
+                self._watch_sources.exclude(source, _SILENT_SOURCE_BACKOFF_S)
                 return None
-            self._leaders.exclude(leader, _STORELESS_LEADER_BACKOFF_S)
+            self._watch_sources.exclude(source, _STORELESS_SOURCE_BACKOFF_S)
         return None
 
     def _is_stale(self, prefix: str, batch: WatchBatch) -> bool:
-        """Whether a leader's batch is older than what this host has seen.
+        """Whether a source's batch is older than the last one received here.
 
-        The leader's own watch may have stalled. Its list, read again after a
+        The source's own watch may have stalled. Its list, read again after a
         failure, would make replicas that are leaving look ready again.
         """
         return batch.position < self._last_position_by_prefix.get(prefix, 0)
--- a/libs/ledger/tests/test_shared_watches.py
+++ b/libs/ledger/tests/test_shared_watches.py
@@ -27,7 +27,7 @@
         return await super().watch(prefix, position, wait_s)
 
 
-class Leader:
+class WatchSource:
     """A host that watches the store and serves the results to followers."""
 
     def __init__(self, store):
@@ -54,11 +54,13 @@
 class FollowingTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.direct = CountingStore()
-        self.leaders = [Leader(self.direct) for _ in range(2)]
+        self.watch_sources = [WatchSource(self.direct) for _ in range(2)]
         await self.direct.write("a/x", b"1", 0)
-        for leader in self.leaders:
-            await leader.step()
-        self.store = FallbackStore(self.direct, list, Metrics(), self.leaders)
+        for source in self.watch_sources:
+            await source.step()
+        self.store = FallbackStore(
+            self.direct, list, Metrics(), self.watch_sources
+        )
         self.direct.watches = 0
 
     async def test_a_follower_makes_no_store_calls(self):
@@ -71,8 +73,8 @@
         )
         await asyncio.sleep(0.05)
         await self.direct.write("a/y", b"2", 0)
-        for leader in self.leaders:
-            await leader.step()
+        for source in self.watch_sources:
+            await source.step()
         newer = (await waiting).unwrap()
         self.assertEqual(
             {s.key: s.value for s in newer.changed}, {"a/x": b"1", "a/y": b"2"}
@@ -83,20 +85,20 @@
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         found = (await self.direct.read("a/x")).unwrap()
         await self.direct.delete("a/x", found.version)
-        for leader in self.leaders:
-            await leader.step()
+        for source in self.watch_sources:
+            await source.step()
         later = (await self.store.watch(PREFIX, first.position, 5.0)).unwrap()
         self.assertTrue(later.is_snapshot)
         self.assertEqual(later.changed, ())
 
-    async def test_an_unresponsive_leader_costs_one_timeout(self):
+    async def test_an_unresponsive_source_costs_one_timeout(self):
         """Guards against changes that take effect late on followers.
 
-        After one timeout of a leader, the follower asks the store itself.
+        After one timeout of a source, the follower asks the store itself.
         """
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
-        for leader in self.leaders:
-            leader.is_unresponsive = True
+        for source in self.watch_sources:
+            source.is_unresponsive = True
         await self.direct.write("a/y", b"2", 0)
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -104,25 +106,25 @@
         self.assertLess(loop.time() - began, 1.5)
         self.assertEqual([s.key for s in later.changed], ["a/y"])
 
-    async def test_after_a_leader_without_the_store_the_next_is_asked(self):
+    async def test_after_a_source_without_the_store_the_next_is_asked(self):
         """Guards against followers that keep outdated lists of replicas."""
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
-        for leader in self.leaders:
-            leader.shared.mark_store_unreachable()
+        for source in self.watch_sources:
+            source.shared.mark_store_unreachable()
         await self.direct.write("a/y", b"2", 0)
-        await self.leaders[1].step()
+        await self.watch_sources[1].step()
         later = (await self.store.watch(PREFIX, first.position, 5.0)).unwrap()
-        self.assertEqual(later.position, self.leaders[1].position)
+        self.assertEqual(later.position, self.watch_sources[1].position)
         self.assertEqual(self.direct.watches, 1)
 
-    async def test_followers_of_partitioned_leaders_ask_the_store_at_once(self):
-        """Guards against followers that take their leaders' loss for an outage.
+    async def test_followers_of_partitioned_sources_ask_the_store_at_once(self):
+        """Guards against followers that take their sources' loss for an outage.
 
         They reach the store themselves and must ask it without delay.
         """
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
-        for leader in self.leaders:
-            leader.shared.mark_store_unreachable()
+        for source in self.watch_sources:
+            source.shared.mark_store_unreachable()
         position = first.position
         for number in range(5):
             await self.direct.write(f"a/new-{number}", b"2", 0)
@@ -131,61 +133,63 @@
             position = outcome.unwrap().position
         self.assertEqual(position, first.position + 5)
 
-    async def test_changes_that_a_leader_received_by_relay_are_served(self):
+    async def test_changes_that_a_source_received_by_relay_are_served(self):
         """Guards against new work for a replica that is leaving.
 
-        A leader must also serve the changes that it received through another
+        A source must also serve the changes that it received through another
         host while it could not reach the store.
         """
         first = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
-        leader = self.leaders[0]
-        self.leaders[1].is_unresponsive = True
-        leader.shared.mark_store_unreachable()
+        source = self.watch_sources[0]
+        self.watch_sources[1].is_unresponsive = True
+        source.shared.mark_store_unreachable()
         found = (await self.direct.read("a/x")).unwrap()
         await self.direct.write("a/x", b"leaves", found.version)
-        relayed = (await self.direct.watch(PREFIX, leader.position, 0)).unwrap()
-        leader.shared.apply(PREFIX, leader.position, relayed)
-        leader.position = relayed.position
+        relayed = (await self.direct.watch(PREFIX, source.position, 0)).unwrap()
+        source.shared.apply(PREFIX, source.position, relayed)
+        source.position = relayed.position
         await self.direct.write("a/y", b"2", 0)
-        await leader.step()
+        await source.step()
         later = (await self.store.watch(PREFIX, first.position, 5.0)).unwrap()
         self.assertEqual(
             {s.key: s.value for s in later.changed},
             {"a/x": b"leaves", "a/y": b"2"},
         )
 
-    async def test_a_leader_with_a_gap_in_its_changes_serves_none(self):
-        leader = self.leaders[0]
+    async def test_a_source_with_a_gap_in_its_changes_serves_none(self):
+        source = self.watch_sources[0]
         found = (await self.direct.read("a/x")).unwrap()
         await self.direct.write("a/x", b"leaves", found.version)
-        missed = (await self.direct.watch(PREFIX, leader.position, 0)).unwrap()
-        leader.position = missed.position
+        missed = (await self.direct.watch(PREFIX, source.position, 0)).unwrap()
+        source.position = missed.position
         await self.direct.write("a/y", b"2", 0)
-        await leader.step()
-        outcome = await leader.shared.wait_newer(PREFIX, 0, 0.0)
+        await source.step()
+        outcome = await source.shared.wait_newer(PREFIX, 0, 0.0)
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_FOUND)
 
     async def test_a_list_older_than_the_known_position_is_rejected(self):
         """Guards against a replica that is leaving but looks ready again.
 
-        The follower lists everything again at another leader, whose own watch
+        The follower lists everything again at another source, whose own watch
         has stalled for longer.
         """
         await self.direct.write("a/y", b"2", 0)
-        await self.leaders[0].step()
+        await self.watch_sources[0].step()
         newest = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
-        self.assertEqual(newest.position, self.leaders[0].position)
-        self.leaders[0].shared.mark_store_unreachable()
+        self.assertEqual(newest.position, self.watch_sources[0].position)
+        self.watch_sources[0].shared.mark_store_unreachable()
         again = (await self.store.watch(PREFIX, 0, 5.0)).unwrap()
         self.assertGreaterEqual(again.position, newest.position)
         self.assertEqual(len(again.changed), 2)
 
-    async def test_a_leader_with_an_older_position_returns_no_changes(self):
+    async def test_a_source_with_an_older_position_returns_no_changes(self):
         await self.direct.write("a/y", b"2", 0)
-        await self.leaders[0].step()
-        newest = self.leaders[0].position
-        self.leaders[0].is_unresponsive = True
-        outcome = await self.leaders[1].shared.wait_newer(PREFIX, newest, 0.05)
+        await self.watch_sources[0].step()
+        newest = self.watch_sources[0].position
+        self.watch_sources[0].is_unresponsive = True
+        outcome = await self.watch_sources[1].shared.wait_newer(
+            PREFIX, newest, 0.05
+        )
         batch = outcome.unwrap()
         self.assertEqual((batch.position, batch.changed), (newest, ()))
         self.assertFalse(batch.is_snapshot)
