--- a/libs/ledger/src/masticdale_ledger/__init__.py
+++ b/libs/ledger/src/masticdale_ledger/__init__.py
@@ -6,6 +6,7 @@
 from masticdale_ledger.claims import ShardClaims
 from masticdale_ledger.client import LEDGER_SHARD_COUNT, LedgerClient
 from masticdale_ledger.failover import StandbyFailover
+from masticdale_ledger.fallback_store import FallbackStore
 from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.leases import Lease, boot_time_s
 from masticdale_ledger.messages import LEDGER
@@ -20,7 +21,6 @@
 from masticdale_ledger.shards import SHARD_PREFIX, ShardMap, ShardRecord
 from masticdale_ledger.shared_watches import SharedWatches
 from masticdale_ledger.standby import StandbyCopies
-from masticdale_ledger.store_relay import FallbackStore
 
 __all__ = [
     "LEASE_CHECK_INTERVAL_S",
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -8,6 +8,7 @@
 from returns.result import Result, Success
 
 from masticdale_common import ErrorKind, Failure, logs
+from masticdale_ledger.account_codec import account_from_state
 from masticdale_ledger.accounts import Accounts
 from masticdale_ledger.arbiter import ArbiterClient, Side
 from masticdale_ledger.client import LedgerClient
@@ -33,7 +34,6 @@
     parse_shard,
     shard_key,
 )
-from masticdale_ledger.states import account_from_state
 from masticdale_platform import ObjectStore, StoredObject
 
 # After the accounts of a shard are lost, programs that they counted may return
--- a/libs/ledger/src/masticdale_ledger/failover.py
+++ b/libs/ledger/src/masticdale_ledger/failover.py
@@ -6,6 +6,7 @@
 from returns.result import Failure as Failed
 
 from masticdale_common import ErrorKind, logs
+from masticdale_ledger.account_codec import account_from_state
 from masticdale_ledger.accounts import Accounts
 from masticdale_ledger.arbiter import Side
 from masticdale_ledger.claims import ShardClaims, TakeoverState
@@ -25,7 +26,6 @@
     VersionedShardRecord,
 )
 from masticdale_ledger.standby import StandbyCopies
-from masticdale_ledger.states import account_from_state
 
 # Timeout of a ping of the owner, in seconds: a hundred round trips between
 # failure domains. Hosts turn to the standby only after the owner has failed to
--- a/libs/ledger/src/masticdale_ledger/isolation.py
+++ b/libs/ledger/src/masticdale_ledger/isolation.py
@@ -2,10 +2,10 @@
 
 import dataclasses
 
+from masticdale_ledger.account_codec import account_from_state
 from masticdale_ledger.accounts import Account, unrecorded_limit_tokens
 from masticdale_ledger.arbiter import Side
 from masticdale_ledger.messages import AccountState
-from masticdale_ledger.states import account_from_state
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -10,6 +10,7 @@
 
 from masticdale_common import ErrorKind, Failure, Metrics, logs
 from masticdale_gateway.calls import TurnClaim
+from masticdale_ledger.account_codec import account_to_state
 from masticdale_ledger.accounts import (
     Account,
     Accounts,
@@ -23,7 +24,6 @@
 from masticdale_ledger.messages import AccountState, Settlement
 from masticdale_ledger.records import ProgramRecords, record_name
 from masticdale_ledger.shards import VersionedShardRecord
-from masticdale_ledger.states import account_to_state
 
 # Interval at which settled turns are replicated to standbys, in seconds; the
 # same as that at which hosts send settlements.
--- a/libs/ledger/tests/test_store_relay.py
+++ b/libs/ledger/tests/test_fallback_store.py
@@ -7,8 +7,8 @@
 from returns.result import Success
 
 from masticdale_common import ErrorKind, Failure, Metrics
+from masticdale_ledger.fallback_store import FallbackStore
 from masticdale_ledger.peer_store import serve_store
-from masticdale_ledger.store_relay import FallbackStore
 from masticdale_platform.testing import MemoryStore
 
 
--- a/libs/ledger/tests/test_isolation.py
+++ b/libs/ledger/tests/test_isolation.py
@@ -11,6 +11,7 @@
 
 from masticdale_common import ErrorKind, Failure, Metrics
 from masticdale_gateway.calls import TurnClaim
+from masticdale_ledger.account_codec import account_from_state
 from masticdale_ledger.accounts import Accounts, Bound
 from masticdale_ledger.copier import Copier
 from masticdale_ledger.isolation import (
@@ -28,7 +29,6 @@
     VersionedShardRecord,
 )
 from masticdale_ledger.standby import StandbyCopies
-from masticdale_ledger.states import account_from_state
 from masticdale_platform.testing import MemoryStore
 
 SHARD = 1
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -95,7 +95,7 @@
     ),
     Edit(
         "calls by way of others",
-        f"{_LEDGER}/store_relay.py",
+        f"{_LEDGER}/fallback_store.py",
         "_RELAYS = 2",
         "_RELAYS = 0",
     ),
