--- a/libs/ledger/src/masticdale_ledger/admissions.py
+++ b/libs/ledger/src/masticdale_ledger/admissions.py
@@ -33,7 +33,7 @@
         ] = {}
 
     async def admit(
-        self, shard: int, claim: TurnClaim
+        self, shard_number: int, claim: TurnClaim
     ) -> Result[None, Failure]:
         """Decides on a turn, or reports that the decision is pending.
 
@@ -43,7 +43,7 @@
         key = (claim.program_id, claim.request_id)
         decision = self._pending_by_request.get(key)
         if decision is None:
-            decision = asyncio.create_task(self._decide(shard, claim))
+            decision = asyncio.create_task(self._decide(shard_number, claim))
             self._pending_by_request[key] = decision
             decision.add_done_callback(
                 lambda _: self._pending_by_request.pop(key, None)
@@ -51,17 +51,19 @@
         await asyncio.wait((decision,), timeout=REPLY_TIMEOUT_S)
         if decision.done():
             return decision.result()
-        detail = f"shard {shard}: decision waits for the store or the standby"
+        detail = (
+            f"shard {shard_number}: decision waits for the store or the standby"
+        )
         return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
 
     async def _decide(
-        self, shard: int, claim: TurnClaim
+        self, shard_number: int, claim: TurnClaim
     ) -> Result[None, Failure]:
-        outcome = await self._owner.admit(shard, claim)
+        outcome = await self._owner.admit(shard_number, claim)
         if not _is_not_owner(outcome):
             return outcome
-        await self._failover.fail_over(shard)
-        return await self._owner.admit(shard, claim)
+        await self._failover.fail_over(shard_number)
+        return await self._owner.admit(shard_number, claim)
 
 
 def _is_not_owner(outcome: Result[None, Failure]) -> bool:
--- a/libs/ledger/src/masticdale_ledger/arbiter.py
+++ b/libs/ledger/src/masticdale_ledger/arbiter.py
@@ -98,7 +98,7 @@
         self._hosts = hosts
         self._appointment_tasks: set[asyncio.Task[None]] = set()
 
-    def appoint(self, number: int, record: ShardRecord) -> None:
+    def appoint(self, shard_number: int, record: ShardRecord) -> None:
         """Appoints the arbiter of an epoch, in the background.
 
         Must be called only once per epoch. A second call could reach an arbiter
@@ -106,12 +106,12 @@
         """
         if not record.arbiter_address:
             return
-        task = asyncio.create_task(self._send_appointment(number, record))
+        task = asyncio.create_task(self._send_appointment(shard_number, record))
         self._appointment_tasks.add(task)
         task.add_done_callback(self._appointment_tasks.discard)
 
     async def decide(
-        self, side: Side, number: int, record: ShardRecord
+        self, side: Side, shard_number: int, record: ShardRecord
     ) -> Side | None:
         """Asks the arbiter of an epoch to decide for a side.
 
@@ -122,12 +122,12 @@
         if not record.arbiter_address:
             return None
         peer = self._hosts.client(record.arbiter_address, record.arbiter_port)
-        request = DecideRequest(number, record.epoch, side)
+        request = DecideRequest(shard_number, record.epoch, side)
         outcome = await peer.call(DECIDE, request, _CALL_TIMEOUT_S)
         is_failed = isinstance(outcome, Failed)
         logs.write_bounded(
             "arbiter_asked",
-            shard=number,
+            shard=shard_number,
             epoch=record.epoch,
             arbiter=record.arbiter_address,
             asked_by=side,
@@ -136,14 +136,16 @@
         )
         return None if is_failed else _SIDE_BY_VALUE.get(outcome.unwrap().side)
 
-    async def _send_appointment(self, number: int, record: ShardRecord) -> None:
+    async def _send_appointment(
+        self, shard_number: int, record: ShardRecord
+    ) -> None:
         peer = self._hosts.client(record.arbiter_address, record.arbiter_port)
-        request = AppointRequest(number, record.epoch)
+        request = AppointRequest(shard_number, record.epoch)
         outcome = await peer.call(APPOINT, request, _CALL_TIMEOUT_S)
         if isinstance(outcome, Failed) or not outcome.unwrap().accepted:
             logs.write_bounded(
                 "arbiter_not_appointed",
-                shard=number,
+                shard=shard_number,
                 epoch=record.epoch,
                 arbiter=record.arbiter_address,
                 reason=str(outcome.failure())
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -117,9 +117,9 @@
             identity, shard_map, lease, hosts, live_hosts
         )
 
-    async def refresh(self, number: int) -> bool:
+    async def refresh(self, shard_number: int) -> bool:
         """Reads a shard's record; returns whether the store answered."""
-        found = await self._store.read(shard_key(number))
+        found = await self._store.read(shard_key(shard_number))
         if isinstance(found, Failed):
             return False
         stored = found.unwrap()
@@ -128,12 +128,12 @@
         return True
 
     async def claim(
-        self, number: int, version: int, takeover: TakeoverState
+        self, shard_number: int, version: int, takeover: TakeoverState
     ) -> Result[None, Failure]:
         """Writes this host's ownership of a shard, then starts to own it.
 
         Args:
-            number: The shard.
+            shard_number: The shard.
             version: Current version of its object; 0 if there is none.
             takeover: What is known of the shard.
 
@@ -141,60 +141,68 @@
         is writing its record; WRITE_UNKNOWN if the claim may have been
         written; otherwise the store's failure.
         """
-        with self._try_lock(number) as locked:
+        with self._try_lock(shard_number) as locked:
             if locked:
-                return await self._claim_locked(number, version, takeover)
+                return await self._claim_locked(shard_number, version, takeover)
         return Failed(Failure(ErrorKind.CONFLICT, "another claim in progress"))
 
     async def _claim_locked(
-        self, number: int, version: int, takeover: TakeoverState
+        self, shard_number: int, version: int, takeover: TakeoverState
     ) -> Result[None, Failure]:
-        known = self._map.get(number)
+        known = self._map.get(shard_number)
         epoch = (known.record.epoch if known else 0) + 1
         record = self._new_record(epoch, takeover.previous)
         unconfirmed = UnconfirmedClaim(record, version, takeover)
-        written = await self._write(number, record, version)
+        written = await self._write(shard_number, record, version)
         if isinstance(written, Failed):
             if written.failure().kind is ErrorKind.WRITE_UNKNOWN:
-                self._unconfirmed_by_shard[number] = unconfirmed
+                self._unconfirmed_by_shard[shard_number] = unconfirmed
             return written
         view = VersionedShardRecord(record, written.unwrap())
-        started = await self._start_owning(number, view, takeover)
+        started = await self._start_owning(shard_number, view, takeover)
         if isinstance(started, Failed):
             # The claim is written although the shard isn't owned yet. The
             # failure keeps a host that offered the shard from serving it on.
-            self._unconfirmed_by_shard[number] = unconfirmed
+            self._unconfirmed_by_shard[shard_number] = unconfirmed
             detail = str(started.failure())
             return Failed(Failure(ErrorKind.WRITE_UNKNOWN, detail))
         return started
 
     async def resolve_unconfirmed(self) -> None:
         """Starts to own shards whose unconfirmed claims were written."""
-        for number, claim in list(self._unconfirmed_by_shard.items()):
-            view = self._map.get(number)
+        for shard_number, claim in list(self._unconfirmed_by_shard.items()):
+            view = self._map.get(shard_number)
             if view is None or view.version <= claim.version:
                 continue
             if view.record == claim.record:
-                await self._resume(number, view, claim.takeover)
+                await self._resume(shard_number, view, claim.takeover)
             else:
-                self._unconfirmed_by_shard.pop(number, None)
+                self._unconfirmed_by_shard.pop(shard_number, None)
 
-    async def resume(self, number: int, view: VersionedShardRecord) -> None:
+    async def resume(
+        self, shard_number: int, view: VersionedShardRecord
+    ) -> None:
         """Continues a shard whose record this process has written."""
-        await self._resume(number, view, LOST_ACCOUNTS)
+        await self._resume(shard_number, view, LOST_ACCOUNTS)
 
     async def _resume(
-        self, number: int, view: VersionedShardRecord, takeover: TakeoverState
+        self,
+        shard_number: int,
+        view: VersionedShardRecord,
+        takeover: TakeoverState,
     ) -> None:
-        with self._try_lock(number) as locked:
+        with self._try_lock(shard_number) as locked:
             if not locked:
                 return
-            started = await self._start_owning(number, view, takeover)
+            started = await self._start_owning(shard_number, view, takeover)
             if not isinstance(started, Failed):
-                self._unconfirmed_by_shard.pop(number, None)
+                self._unconfirmed_by_shard.pop(shard_number, None)
 
     async def _start_owning(
-        self, number: int, view: VersionedShardRecord, takeover: TakeoverState
+        self,
+        shard_number: int,
+        view: VersionedShardRecord,
+        takeover: TakeoverState,
     ) -> Result[None, Failure]:
         record = view.record
         # Read only after the claim is written. Later record writes of the
@@ -203,17 +211,17 @@
         if isinstance(bounds, Failed):
             return bounds
         accounts = Accounts(bounds.unwrap())
-        shard = takeover.acting_shard or self._owner.owned().get(number)
+        shard = takeover.acting_shard or self._owner.owned().get(shard_number)
         if shard is not None:
             # This host has served the shard, up to now or to its sealing.
             takeover = self.retained_state(shard)
         accounts.restore(
             [account_from_state(state) for state in takeover.accounts]
         )
-        self._install(number, view, accounts, takeover)
+        self._install(shard_number, view, accounts, takeover)
         logs.write(
             "shard_taken",
-            shard=number,
+            shard=shard_number,
             epoch=record.epoch,
             previous=takeover.previous,
             records=len(bounds.unwrap()),
@@ -225,7 +233,7 @@
 
     def _install(
         self,
-        number: int,
+        shard_number: int,
         view: VersionedShardRecord,
         accounts: Accounts,
         takeover: TakeoverState,
@@ -237,7 +245,7 @@
             incomplete_s = LEASE_S + RECOVERY_WINDOW_S
         self._owner.take(
             OwnedShard(
-                number,
+                shard_number,
                 view,
                 accounts,
                 incomplete_s,
@@ -246,10 +254,12 @@
                 takeover.predecessor_incarnation,
             )
         )
-        self._client.unreachable_by_shard.pop(number, None)
-        self.arbiter_client.appoint(number, view.record)
+        self._client.unreachable_by_shard.pop(shard_number, None)
+        self.arbiter_client.appoint(shard_number, view.record)
         value = view.record.model_dump_json().encode()
-        self._map.put(StoredObject(shard_key(number), view.version, value))
+        self._map.put(
+            StoredObject(shard_key(shard_number), view.version, value)
+        )
 
     def _new_record(
         self, epoch: int, previous: PreviousOwnerState
@@ -311,20 +321,20 @@
                 await self._write_standby(shard)
 
     @contextlib.contextmanager
-    def _try_lock(self, number: int) -> Iterator[bool]:
+    def _try_lock(self, shard_number: int) -> Iterator[bool]:
         """Yields whether this task alone may write a shard's record.
 
         Concurrent writes of this host would conflict, and each would take the
         other for that of another host.
         """
-        if number in self._locked_shards:
+        if shard_number in self._locked_shards:
             yield False
             return
-        self._locked_shards.add(number)
+        self._locked_shards.add(shard_number)
         try:
             yield True
         finally:
-            self._locked_shards.discard(number)
+            self._locked_shards.discard(shard_number)
 
     async def ask_arbiter(self, shard: OwnedShard) -> None:
         """Asks the arbiter if the standby may have admitted new programs."""
@@ -335,7 +345,9 @@
         )
         shard.won_arbitration = side is Side.OWNER
 
-    async def remainder_side(self, number: int, record: ShardRecord) -> Side:
+    async def remainder_side(
+        self, shard_number: int, record: ShardRecord
+    ) -> Side:
         """Returns the side that may have used an allowance of a single turn.
 
         Serves the takeover of a shard whose standby has not acted. Afterwards
@@ -343,7 +355,9 @@
         """
         if not record.arbiter_address:
             return Side.STANDBY
-        side = await self.arbiter_client.decide(Side.SUCCESSOR, number, record)
+        side = await self.arbiter_client.decide(
+            Side.SUCCESSOR, shard_number, record
+        )
         return Side.OWNER if side in (None, Side.OWNER) else Side.STANDBY
 
     async def _write_standby(self, shard: OwnedShard) -> Failure | None:
@@ -411,9 +425,9 @@
         logs.write("shard_alone", shard=shard.number, programs=len(quotas))
 
     async def _write(
-        self, number: int, record: ShardRecord, version: int
+        self, shard_number: int, record: ShardRecord, version: int
     ) -> Result[int, Failure]:
-        key = shard_key(number)
+        key = shard_key(shard_number)
         value = record.model_dump_json().encode()
         sent_at = self._lease.now()
         outcome = await self._store.write(key, value, version)
--- a/libs/ledger/src/masticdale_ledger/client.py
+++ b/libs/ledger/src/masticdale_ledger/client.py
@@ -115,13 +115,13 @@
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         retry_until = min(deadline_at, started_at + _ADMIT_TIMEOUT_S)
-        shard = hashing.shard_of(claim.program_id, LEDGER_SHARD_COUNT)
+        shard_number = hashing.shard_of(claim.program_id, LEDGER_SHARD_COUNT)
         failure = Failure(
             ErrorKind.LEDGER_UNAVAILABLE, "the deadline expired before any call"
         )
         while loop.time() < retry_until:
             attempt_started_at = loop.time()
-            outcome = await self._admit_once(shard, claim)
+            outcome = await self._admit_once(shard_number, claim)
             if not isinstance(outcome, Failed):
                 self._metrics.observe(
                     "ledger_seconds", loop.time() - started_at
@@ -140,19 +140,21 @@
             "ledger_unavailable",
             request_id=claim.request_id,
             program_id=claim.program_id,
-            shard=shard,
+            shard=shard_number,
             reason=str(failure),
             waited_ms=round(1000 * (loop.time() - started_at)),
         )
         return Failed(
-            Failure(ErrorKind.LEDGER_UNAVAILABLE, f"shard {shard}: {failure}")
+            Failure(
+                ErrorKind.LEDGER_UNAVAILABLE, f"shard {shard_number}: {failure}"
+            )
         )
 
     def settle(self, claim: TurnClaim, used_tokens: int) -> None:
         """See ``BudgetLedger.settle``."""
-        shard = hashing.shard_of(claim.program_id, LEDGER_SHARD_COUNT)
+        shard_number = hashing.shard_of(claim.program_id, LEDGER_SHARD_COUNT)
         settlement = Settlement(
-            shard, claim.program_id, claim.request_id, used_tokens
+            shard_number, claim.program_id, claim.request_id, used_tokens
         )
         if not self._owner.settle(settlement):
             self._settlements.append(settlement)
@@ -174,21 +176,23 @@
         for settlement in pending:
             if not self._owner.settle(settlement):
                 by_shard[settlement.shard].append(settlement)
-        for shard, settlements in by_shard.items():
-            if not await self._send_settlements(shard, tuple(settlements)):
+        for shard_number, settlements in by_shard.items():
+            if not await self._send_settlements(
+                shard_number, tuple(settlements)
+            ):
                 self._settlements.extend(settlements)
                 self._has_settlements.set()
 
     async def _admit_once(
-        self, shard: int, claim: TurnClaim
+        self, shard_number: int, claim: TurnClaim
     ) -> Result[None, Failure]:
-        view = self._map.get(shard)
+        view = self._map.get(shard_number)
         if view is None:
             return Failed(
                 Failure(ErrorKind.NOT_OWNER, "the shard has no owner yet")
             )
         request = AdmitRequest(
-            shard=shard,
+            shard=shard_number,
             program_id=claim.program_id,
             request_id=claim.request_id,
             budget_tokens=claim.budget_tokens,
@@ -200,14 +204,14 @@
         addresses = [(record.address, record.port)]
         if record.standby_address:
             addresses.append((record.standby_address, record.standby_port))
-        if self._is_unreachable(shard, view.version):
+        if self._is_unreachable(shard_number, view.version):
             addresses.reverse()
         outcome: Result[None, Failure] = Failed(Failure(ErrorKind.NOT_OWNER))
         for address in addresses:
             is_owner = address == (record.address, record.port)
             outcome = await self._admit_at(address, request)
             if is_owner:
-                self._update_reachability(shard, view.version, outcome)
+                self._update_reachability(shard_number, view.version, outcome)
             if not _should_try_next(outcome):
                 return outcome
         return outcome
@@ -226,9 +230,9 @@
         return Success(None) if reply.failure is None else Failed(reply.failure)
 
     async def _send_settlements(
-        self, shard: int, settlements: tuple[Settlement, ...]
+        self, shard_number: int, settlements: tuple[Settlement, ...]
     ) -> bool:
-        view = self._map.get(shard)
+        view = self._map.get(shard_number)
         if view is None:
             return False
         record = view.record
@@ -242,13 +246,13 @@
                 SETTLE, SettleRequest(settlements), CALL_TIMEOUT_S
             )
             if not isinstance(outcome, Failed) and (
-                shard not in outcome.unwrap().other_shards
+                shard_number not in outcome.unwrap().other_shards
             ):
                 return True
         return False
 
-    def _is_unreachable(self, shard: int, version: int) -> bool:
-        known = self.unreachable_by_shard.get(shard)
+    def _is_unreachable(self, shard_number: int, version: int) -> bool:
+        known = self.unreachable_by_shard.get(shard_number)
         now = asyncio.get_running_loop().time()
         return (
             known is not None
@@ -257,22 +261,22 @@
         )
 
     def _update_reachability(
-        self, shard: int, version: int, outcome: Result[None, Failure]
+        self, shard_number: int, version: int, outcome: Result[None, Failure]
     ) -> None:
         is_unreachable = isinstance(outcome, Failed) and (
             outcome.failure().kind is ErrorKind.PEER_UNAVAILABLE
         )
         if is_unreachable:
-            self._mark_unreachable(shard, version)
+            self._mark_unreachable(shard_number, version)
         else:
-            self.unreachable_by_shard.pop(shard, None)
+            self.unreachable_by_shard.pop(shard_number, None)
 
-    def _mark_unreachable(self, shard: int, version: int) -> None:
+    def _mark_unreachable(self, shard_number: int, version: int) -> None:
         now = asyncio.get_running_loop().time()
-        known = self.unreachable_by_shard.get(shard)
+        known = self.unreachable_by_shard.get(shard_number)
         if known is None or known.version != version:
             known = UnreachableOwner(version, now, now)
-            self.unreachable_by_shard[shard] = known
+            self.unreachable_by_shard[shard_number] = known
         known.last_failed_at = now
 
 
--- a/libs/ledger/src/masticdale_ledger/failover.py
+++ b/libs/ledger/src/masticdale_ledger/failover.py
@@ -65,16 +65,16 @@
         self._pinged_at_by_shard: dict[int, float] = {}
         self._claim_tasks: set[asyncio.Task[None]] = set()
 
-    async def fail_over(self, number: int) -> None:
+    async def fail_over(self, shard_number: int) -> None:
         """Takes a shard over if this host is its standby and the owner is lost.
 
         Args:
-            number: The shard.
+            shard_number: The shard.
         """
-        view = self._map.get(number)
-        if view is None or not self._can_take_over(number, view):
+        view = self._map.get(shard_number)
+        if view is None or not self._can_take_over(shard_number, view):
             return
-        if not self._may_ping(number):
+        if not self._may_ping(shard_number):
             return
         record = view.record
         owner = self._hosts.client(record.address, record.port)
@@ -82,12 +82,12 @@
         if not isinstance(answer, Failed):
             return
         side = await self._claims.arbiter_client.decide(
-            Side.STANDBY, number, record
+            Side.STANDBY, shard_number, record
         )
-        if not self._can_take_over(number, view):
+        if not self._can_take_over(shard_number, view):
             return
         shard = self._take_over(
-            number, view, won_arbitration=side is Side.STANDBY
+            shard_number, view, won_arbitration=side is Side.STANDBY
         )
         task = asyncio.create_task(self.claim(shard))
         self._claim_tasks.add(task)
@@ -158,33 +158,42 @@
                 )
         return self._copies.seal(request)
 
-    def _may_ping(self, number: int) -> bool:
+    def _may_ping(self, shard_number: int) -> bool:
         """Returns whether a ping is due; if so, records its time."""
         now = self._lease.now()
-        if now - self._pinged_at_by_shard.get(number, 0.0) < _PING_INTERVAL_S:
+        if (
+            now - self._pinged_at_by_shard.get(shard_number, 0.0)
+            < _PING_INTERVAL_S
+        ):
             return False
-        self._pinged_at_by_shard[number] = now
+        self._pinged_at_by_shard[shard_number] = now
         return True
 
-    def _can_take_over(self, number: int, view: VersionedShardRecord) -> bool:
+    def _can_take_over(
+        self, shard_number: int, view: VersionedShardRecord
+    ) -> bool:
         record = view.record
         own_endpoint = (self._identity.address, self._identity.port)
         return (
-            number not in self._owner.owned()
+            shard_number not in self._owner.owned()
             and (record.standby_address, record.standby_port) == own_endpoint
-            and self._copies.is_usable(number, record.epoch)
+            and self._copies.is_usable(shard_number, record.epoch)
         )
 
     def _take_over(
-        self, number: int, view: VersionedShardRecord, *, won_arbitration: bool
+        self,
+        shard_number: int,
+        view: VersionedShardRecord,
+        *,
+        won_arbitration: bool,
     ) -> OwnedShard:
         record = view.record
         self._claims.peer_selector.mark_failed(record.address, record.port)
-        copy = self._copies.seal(SealRequest(number, record.epoch))
+        copy = self._copies.seal(SealRequest(shard_number, record.epoch))
         accounts = Accounts()
         accounts.restore([account_from_state(state) for state in copy.accounts])
         shard = OwnedShard(
-            number,
+            shard_number,
             view,
             accounts,
             copy.incomplete_for_s,
@@ -204,7 +213,7 @@
         self._owner.take(shard)
         logs.write(
             "shard_acted_for",
-            shard=number,
+            shard=shard_number,
             epoch=record.epoch,
             owner=record.owner,
             accounts=len(copy.accounts),
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -232,36 +232,42 @@
         self._shard_by_number[shard.number] = shard
         self.replication_failure_by_shard.pop(shard.number, None)
 
-    def drop(self, number: int) -> None:
+    def drop(self, shard_number: int) -> None:
         """Stops owning a shard."""
-        self._shard_by_number.pop(number, None)
-        self.replication_failure_by_shard.pop(number, None)
+        self._shard_by_number.pop(shard_number, None)
+        self.replication_failure_by_shard.pop(shard_number, None)
 
     async def admit(
-        self, number: int, claim: TurnClaim
+        self, shard_number: int, claim: TurnClaim
     ) -> Result[None, Failure]:
         """Reserves the maximum of a turn; see ``BudgetLedger.admit``."""
         wait_until = time.monotonic() + _RESERVATION_WAIT_S
         while True:
-            outcome = await self._decide(number, claim)
+            outcome = await self._decide(shard_number, claim)
             if not isinstance(outcome, _OverBudget):
                 return outcome
             if outcome.verdict.is_final or time.monotonic() >= wait_until:
-                return Failed(self._over_budget_failure(number, claim, outcome))
+                return Failed(
+                    self._over_budget_failure(shard_number, claim, outcome)
+                )
             await asyncio.sleep(_RETRY_INTERVAL_S)
 
     async def _decide(
-        self, number: int, claim: TurnClaim
+        self, shard_number: int, claim: TurnClaim
     ) -> "Result[None, Failure] | _OverBudget":
         for _ in range(_MAX_ATTEMPTS):
-            shard = self._shard_by_number.get(number)
+            shard = self._shard_by_number.get(shard_number)
             if shard is None or shard.is_handing_over:
-                return Failed(Failure(ErrorKind.NOT_OWNER, f"shard {number}"))
+                return Failed(
+                    Failure(ErrorKind.NOT_OWNER, f"shard {shard_number}")
+                )
             if not self._lease.is_valid and not shard.is_acting:
-                detail = f"lease of shard {number}, age {self._lease.age_s}"
+                detail = (
+                    f"lease of shard {shard_number}, age {self._lease.age_s}"
+                )
                 return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
             if shard.is_blocked_by_isolation(claim):
-                return _isolated_failure(number)
+                return _isolated_failure(shard_number)
             account = shard.get_or_create(claim)
             verdict = account.evaluate(claim)
             if isinstance(verdict, Admitted):
@@ -271,7 +277,7 @@
             if shard.isolation is not None:
                 # Raising the bound would make tokens that the other host may
                 # have granted count as unspent.
-                return _isolated_failure(number)
+                return _isolated_failure(shard_number)
             written = await self._raise_stored_bound(shard, claim, account)
             if isinstance(written, Failed):
                 return written
@@ -391,7 +397,7 @@
         return Success(None)
 
     def _over_budget_failure(
-        self, number: int, claim: TurnClaim, outcome: "_OverBudget"
+        self, shard_number: int, claim: TurnClaim, outcome: "_OverBudget"
     ) -> Failure:
         account, verdict = outcome.account, outcome.verdict
         self._metrics.count("ledger_refusals_total")
@@ -399,7 +405,7 @@
             "budget_spent",
             request_id=claim.request_id,
             program_id=claim.program_id,
-            shard=number,
+            shard=shard_number,
             budget_tokens=claim.budget_tokens,
             spent_tokens=verdict.spent_tokens,
             reserved_tokens=verdict.reserved_tokens,
@@ -410,6 +416,6 @@
         return Failure(ErrorKind.BUDGET_EXCEEDED)
 
 
-def _isolated_failure(number: int) -> Result[None, Failure]:
-    detail = f"shard {number} has neither standby nor store"
+def _isolated_failure(shard_number: int) -> Result[None, Failure]:
+    detail = f"shard {shard_number} has neither standby nor store"
     return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
--- a/libs/ledger/src/masticdale_ledger/reconciler.py
+++ b/libs/ledger/src/masticdale_ledger/reconciler.py
@@ -101,21 +101,21 @@
             *(self._reconcile_shard(n) for n in range(LEDGER_SHARD_COUNT))
         )
 
-    async def _reconcile_shard(self, number: int) -> None:
-        shard = self._owner.owned().get(number)
+    async def _reconcile_shard(self, shard_number: int) -> None:
+        shard = self._owner.owned().get(shard_number)
         if shard is None:
-            await self._claim_if_vacant(number)
+            await self._claim_if_vacant(shard_number)
         elif shard.is_acting:
             await self._claim_acting(shard)
         elif self._needs_standby(shard):
             await self._claims.replace_standby(shard)
 
-    async def _claim_if_vacant(self, number: int) -> None:
-        previous = self._previous_owner_if_vacant(number)
+    async def _claim_if_vacant(self, shard_number: int) -> None:
+        previous = self._previous_owner_if_vacant(shard_number)
         if previous is None:
-            self._claim_due_at_by_shard.pop(number, None)
-        elif self._is_claim_due(number, previous):
-            await self._claim(number, previous)
+            self._claim_due_at_by_shard.pop(shard_number, None)
+        elif self._is_claim_due(shard_number, previous):
+            await self._claim(shard_number, previous)
 
     async def renew_lease(self) -> None:
         """Reads the shard records to renew the lease, if any shard is owned.
@@ -188,33 +188,35 @@
         taken for another host's, the accounts of the shard would be lost.
         """
         await self._claims.resolve_unconfirmed()
-        for number, shard in self._owner.owned().items():
-            known = self._map.get(number)
+        for shard_number, shard in self._owner.owned().items():
+            known = self._map.get(shard_number)
             if known is None or known.version <= shard.view.version:
                 continue
             if known.record.incarnation == self._identity.incarnation:
-                await self._claims.resume(number, known)
+                await self._claims.resume(shard_number, known)
                 continue
-            self._drop(number, known)
+            self._drop(shard_number, known)
 
-    def _drop(self, number: int, view: VersionedShardRecord) -> None:
-        self._owner.drop(number)
-        logs.write("shard_lost", shard=number, new_owner=view.record.owner)
+    def _drop(self, shard_number: int, view: VersionedShardRecord) -> None:
+        self._owner.drop(shard_number)
+        logs.write(
+            "shard_lost", shard=shard_number, new_owner=view.record.owner
+        )
 
     def _previous_owner_if_vacant(
-        self, number: int
+        self, shard_number: int
     ) -> PreviousOwnerState | None:
         """Returns the state of a vacant shard's owner; None if not vacant."""
-        view = self._map.get(number)
+        view = self._map.get(shard_number)
         if view is None:
             return PreviousOwnerState.NONE
-        if number in self._owner.owned():
+        if shard_number in self._owner.owned():
             return None
         record = view.record
         if record.owner == self._identity.host:
             # Only one process of a host runs, so the owning one has ended.
             return PreviousOwnerState.ENDED
-        lost = self._client.unreachable_by_shard.get(number)
+        lost = self._client.unreachable_by_shard.get(shard_number)
         if lost is None or lost.version != view.version:
             return None
         now = asyncio.get_running_loop().time()
@@ -222,7 +224,9 @@
         is_recent = now - lost.last_failed_at < _FAILURE_MAX_AGE_S
         return PreviousOwnerState.LOST if is_lost and is_recent else None
 
-    def _is_claim_due(self, number: int, previous: PreviousOwnerState) -> bool:
+    def _is_claim_due(
+        self, shard_number: int, previous: PreviousOwnerState
+    ) -> bool:
         if previous is PreviousOwnerState.ENDED:
             return True
         now = asyncio.get_running_loop().time()
@@ -232,33 +236,37 @@
         if previous is PreviousOwnerState.LOST:
             max_delay_s /= 4
         due_at = self._claim_due_at_by_shard.setdefault(
-            number, now + self._random.uniform(0, max_delay_s)
+            shard_number, now + self._random.uniform(0, max_delay_s)
         )
         return now >= due_at
 
-    async def _claim(self, number: int, previous: PreviousOwnerState) -> None:
-        self._claim_due_at_by_shard.pop(number, None)
+    async def _claim(
+        self, shard_number: int, previous: PreviousOwnerState
+    ) -> None:
+        self._claim_due_at_by_shard.pop(shard_number, None)
         # Claims need the store. Sealing the standby without it would stop the
         # only host that may still serve the shard.
-        if not await self._claims.refresh(number):
+        if not await self._claims.refresh(shard_number):
             return
-        if self._previous_owner_if_vacant(number) is None:
+        if self._previous_owner_if_vacant(shard_number) is None:
             return
-        view = self._map.get(number)
+        view = self._map.get(shard_number)
         version = view.version if view else MUST_NOT_EXIST
-        takeover = await self._fence_previous_owner(number, view, previous)
-        outcome = await self._claims.claim(number, version, takeover)
+        takeover = await self._fence_previous_owner(
+            shard_number, view, previous
+        )
+        outcome = await self._claims.claim(shard_number, version, takeover)
         if isinstance(outcome, Failed):
             logs.write_bounded(
                 "shard_not_claimed",
-                shard=number,
+                shard=shard_number,
                 previous=takeover.previous,
                 reason=str(outcome.failure()),
             )
 
     async def _fence_previous_owner(
         self,
-        number: int,
+        shard_number: int,
         view: VersionedShardRecord | None,
         previous: PreviousOwnerState,
     ) -> TakeoverState:
@@ -269,7 +277,7 @@
             self._claims.peer_selector.mark_failed(
                 view.record.address, view.record.port
             )
-        reply = await self._seal(number, view.record)
+        reply = await self._seal(shard_number, view.record)
         if reply is None:
             return TakeoverState(previous, (), RECOVERY_WINDOW_S)
         if not reply.held:
@@ -279,7 +287,7 @@
         accounts = reply.accounts
         if not reply.acted:
             remainder_side = await self._claims.remainder_side(
-                number, view.record
+                shard_number, view.record
             )
             accounts = tuple(
                 charge_owner_quota(state, remainder_side) for state in accounts
@@ -291,8 +299,8 @@
             view.record.incarnation,
         )
 
-    def _incarnation_of(self, number: int, version: int) -> str:
-        view = self._map.get(number)
+    def _incarnation_of(self, shard_number: int, version: int) -> str:
+        view = self._map.get(shard_number)
         if view is None or view.version != version:
             return ""
         return view.record.incarnation
@@ -303,11 +311,13 @@
         else:
             await self._failover.claim(shard)
 
-    async def _seal(self, number: int, record: ShardRecord) -> SealReply | None:
+    async def _seal(
+        self, shard_number: int, record: ShardRecord
+    ) -> SealReply | None:
         """Seals the standby's copy; returns None if it can't be reached."""
         if not record.standby_address:
             return None
-        request = SealRequest(number, record.epoch)
+        request = SealRequest(shard_number, record.epoch)
         here = (self._identity.address, self._identity.port)
         if (record.standby_address, record.standby_port) == here:
             return self._failover.seal(request)
@@ -316,7 +326,7 @@
         if isinstance(outcome, Failed):
             logs.write_bounded(
                 "copy_not_sealed",
-                shard=number,
+                shard=shard_number,
                 standby=record.standby_address,
                 reason=str(outcome.failure()),
             )
@@ -324,7 +334,7 @@
         reply = outcome.unwrap()
         logs.write(
             "standby_sealed",
-            shard=number,
+            shard=shard_number,
             epoch=record.epoch,
             standby=record.standby_address,
             held=reply.held,
--- a/libs/ledger/src/masticdale_ledger/shards.py
+++ b/libs/ledger/src/masticdale_ledger/shards.py
@@ -68,9 +68,9 @@
     version: int
 
 
-def shard_key(shard: int) -> str:
+def shard_key(shard_number: int) -> str:
     """Returns the key of a shard's record in the store."""
-    return f"{SHARD_PREFIX}shard-{shard}"
+    return f"{SHARD_PREFIX}shard-{shard_number}"
 
 
 def parse_shard(stored: StoredObject) -> VersionedShardRecord | None:
@@ -97,9 +97,9 @@
         self._view_by_shard: dict[int, VersionedShardRecord] = {}
         self._changed = asyncio.Event()
 
-    def get(self, shard: int) -> VersionedShardRecord | None:
+    def get(self, shard_number: int) -> VersionedShardRecord | None:
         """Returns the latest known record of a shard, or None."""
-        return self._view_by_shard.get(shard)
+        return self._view_by_shard.get(shard_number)
 
     def views(self) -> dict[int, VersionedShardRecord]:
         """Returns every known shard by number."""
@@ -115,20 +115,20 @@
 
     def put(self, stored: StoredObject) -> None:
         """Applies one object of the store unless it is outdated."""
-        shard = _shard_number(stored.key)
-        if shard is None:
+        shard_number = _shard_number(stored.key)
+        if shard_number is None:
             return
-        known = self._view_by_shard.get(shard)
+        known = self._view_by_shard.get(shard_number)
         if known is not None and known.version >= stored.version:
             return
         view = parse_shard(stored)
         if view is None:
             return
         record = view.record
-        self._view_by_shard[shard] = view
+        self._view_by_shard[shard_number] = view
         logs.write_bounded(
             "shard_owner",
-            shard=shard,
+            shard=shard_number,
             owner=record.owner,
             epoch=record.epoch,
             previous=record.previous,
@@ -150,5 +150,5 @@
 
 
 def _shard_number(key: str) -> int | None:
-    number = key.removeprefix(f"{SHARD_PREFIX}shard-")
-    return int(number) if number.isdigit() else None
+    shard_number = key.removeprefix(f"{SHARD_PREFIX}shard-")
+    return int(shard_number) if shard_number.isdigit() else None
--- a/libs/ledger/src/masticdale_ledger/standby.py
+++ b/libs/ledger/src/masticdale_ledger/standby.py
@@ -91,20 +91,20 @@
         copy.was_stop_announced = self.is_stopping
         return CopyReply(held=True, stops=self.is_stopping)
 
-    def is_usable(self, shard: int, epoch: int) -> bool:
+    def is_usable(self, shard_number: int, epoch: int) -> bool:
         """Returns whether this host may take over with its copy of an epoch.
 
         It may not with a sealed copy, nor if the owner was told that this host
         stops: that owner does not count what this host would admit.
         """
-        copy = self._copy_by_shard.get(shard)
+        copy = self._copy_by_shard.get(shard_number)
         if copy is None or copy.epoch != epoch or copy.was_stop_announced:
             return False
-        return epoch > self._sealed_epoch_by_shard.get(shard, 0)
+        return epoch > self._sealed_epoch_by_shard.get(shard_number, 0)
 
-    def owner_lost_store(self, shard: int, epoch: int) -> bool:
+    def owner_lost_store(self, shard_number: int, epoch: int) -> bool:
         """Returns whether an epoch's last copy said that the store was lost."""
-        copy = self._copy_by_shard.get(shard)
+        copy = self._copy_by_shard.get(shard_number)
         return (
             copy is not None
             and copy.epoch == epoch
@@ -113,7 +113,7 @@
 
     def replace_sealed(
         self,
-        shard: int,
+        shard_number: int,
         epoch: int,
         accounts: tuple[AccountState, ...],
         incomplete_for_s: float,
@@ -124,16 +124,16 @@
         partitioned meanwhile.
 
         Args:
-            shard: The shard.
+            shard_number: The shard.
             epoch: The epoch whose copy was sealed when this host took over.
             accounts: All accounts, with the turns admitted here.
             incomplete_for_s: For how many more seconds a program without an
                 account may have had turns before.
         """
-        held = self._copy_by_shard.get(shard)
+        held = self._copy_by_shard.get(shard_number)
         if held is not None and held.epoch > epoch:
             return
-        self._copy_by_shard[shard] = _ShardCopy(
+        self._copy_by_shard[shard_number] = _ShardCopy(
             epoch,
             collections.OrderedDict((a.program_id, a) for a in accounts),
             boot_time_s() + incomplete_for_s,
--- a/libs/ledger/tests/test_admissions.py
+++ b/libs/ledger/tests/test_admissions.py
@@ -59,7 +59,7 @@
 class NoFailover:
     """A host that is standby of no shard."""
 
-    async def fail_over(self, number):
+    async def fail_over(self, shard_number):
         return None
 
 
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -72,8 +72,8 @@
     Edit(
         "acting standby",
         f"{_LEDGER}/failover.py",
-        "if view is None or not self._can_take_over(number, view):",
-        "if view is None or number >= 0:",
+        "if view is None or not self._can_take_over(shard_number, view):",
+        "if view is None or shard_number >= 0:",
     ),
     Edit(
         "waiting for turns",
