--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -241,7 +241,7 @@
             await self.start(name)
         for process in self.process_by_name.values():
             for other in self.process_by_name.values():
-                process.seen.record_request(other.identity.host_address)
+                process.live_hosts.record_request(other.identity.host_address)
         first = self.process_by_name[self.names[1]]
         await first.reconciler.reconcile()
         await self.refresh_maps()
--- a/libs/ledger/tests/test_any_order.py
+++ b/libs/ledger/tests/test_any_order.py
@@ -244,7 +244,7 @@
         self,
     ):
         record = self.owner.map.get(SHARD).record
-        self.standby.acting.seal(SealRequest(SHARD, record.epoch))
+        self.standby.failover.seal(SealRequest(SHARD, record.epoch))
         self.assertEqual(await self.admit_turns(self.owner, "new", 1), 0)
         self.owner.store.is_cut = True
         await self.owner.reconciler.reconcile()
