--- a/libs/ledger/src/masticdale_ledger/accounts.py
+++ b/libs/ledger/src/masticdale_ledger/accounts.py
@@ -4,7 +4,8 @@
 Beyond that unrecorded limit, tokens are granted only after a record in the
 store holds a higher upper bound. A new owner that has lost all accounts
 therefore still has an upper bound of what was spent: the record, or the
-unrecorded limit.
+unrecorded limit. This guarantees that a program exceeds its budget by at most
+one turn, also when hosts and their accounts are lost.
 """
 
 import collections
@@ -15,15 +16,16 @@
 # Share of a budget that is granted without a record. Programs that end below
 # it cause no store writes.
 _UNRECORDED_SHARE = 0.5
-# Turns, at their maximum size, that a record is written ahead of the turn that
-# needs it. Turns rarely reach their maximum, so one record serves several. A
-# larger value overstates spending after all accounts are lost, and programs
-# with tokens left are refused.
+# Turns of maximum size by which a bound exceeds the turn that needs it, so that
+# one record serves several turns. The bound counts as spent once all accounts
+# are lost; if it is too high, programs with tokens left are rejected.
 _RECORD_AHEAD_TURNS = 1
-# Programs without a turn for this long are evicted, in seconds; twice the time
-# within which callers resume a program.
+# Programs without an admission request for this long are evicted, in seconds,
+# also those with turns in flight. Must exceed the time within which callers
+# resume a program.
 _IDLE_TIMEOUT_S = 120.0
-# Maximum number of accounts; the least recently used is evicted first.
+# Maximum number of accounts per shard; the least recently used is evicted
+# first, with its reservations. What such a program has spent is forgotten.
 _MAX_ACCOUNTS = 20_000
 
 
@@ -89,13 +91,15 @@
     Attributes:
         program_id: The program.
         budget_tokens: Its total budget.
-        spent_tokens: Output tokens of its completed turns.
+        spent_tokens: Tokens that its completed turns used, and those that it
+            may have used without being counted here.
         bound: The bound in the store; None without a record.
         counts_from_start: Whether this account has counted every turn of the
             program, so that no record is needed below the unrecorded limit.
         reserved_by_request_id: Maximum tokens of each turn in flight.
-        last_used_at: Monotonic seconds of the last request.
-        most_tokens: Largest maximum of any of its turns.
+        last_used_at: Monotonic seconds of its last admission request, or of
+            its arrival from another host.
+        most_tokens: Largest turn_tokens of any request of the program.
         awaits_standby_ack: Whether no standby has acknowledged it yet.
     """
 
@@ -131,9 +135,9 @@
         if claim.request_id in self.reserved_by_request_id:
             return Admitted()
         needed = self.committed_tokens + claim.turn_tokens
-        # An inexact count is an upper bound that is rarely reached. It may be
-        # exceeded by one turn, which the guarantee allows. Otherwise programs
-        # with tokens left get 402 after all hosts were lost.
+        # An inexact count is an upper bound that is rarely reached. Without the
+        # one turn of slack that the guarantee allows, programs with tokens left
+        # would get 402 after the loss of all hosts.
         slack = 0 if self.counts_from_start else claim.turn_tokens
         limit = self.budget_tokens + slack
         if needed > limit:
@@ -213,10 +217,10 @@
             account.spent_tokens += used
 
     def set_bound(self, program_id: str, bound: Bound) -> None:
-        """Notes that the store holds a bound.
+        """Sets the bound that this process has written to the store.
 
-        A higher bound than the one that was asked for was written by another
-        owner, under whom the program may have spent all of it.
+        It exceeds the requested bound if the answer to an earlier write was
+        lost.
         """
         account = self._account_by_id.get(program_id)
         if account is not None:
--- a/libs/ledger/src/masticdale_ledger/admissions.py
+++ b/libs/ledger/src/masticdale_ledger/admissions.py
@@ -1,9 +1,8 @@
 """Answers admission requests before the asking host's timeout.
 
-A decision may wait for the store, the standby or a failed owner for longer
-than the asking host does. A host that gets no answer takes the owner for dead
-and has its shards taken over, although the owner is alive and most of its
-programs need neither store nor standby.
+A decision may wait for the store, the standby, a lost owner or reservations of
+other turns, for longer than the asking host does. That host would take the
+owner for dead and have its shards taken over, although the owner is alive.
 """
 
 import asyncio
@@ -17,8 +16,8 @@
 from masticdale_ledger.owner import ShardOwner
 
 # A request that is undecided after this long is answered with
-# LEDGER_UNAVAILABLE, in seconds. 0.15 less than the asking host waits, for the
-# network and a busy processor.
+# LEDGER_UNAVAILABLE, in seconds. Must be shorter than the asking host's
+# ``client.CALL_TIMEOUT_S``, which also covers the network.
 REPLY_TIMEOUT_S = 0.25
 
 
@@ -38,7 +37,7 @@
         """Decides on a turn, or reports that the decision is pending.
 
         Failures: those of ``ShardOwner.admit``; LEDGER_UNAVAILABLE also while
-        the decision is pending. Asking again joins it.
+        the decision is pending. A repeated request joins it.
         """
         key = (claim.program_id, claim.request_id)
         decision = self._pending_by_request.get(key)
@@ -51,9 +50,7 @@
         await asyncio.wait((decision,), timeout=REPLY_TIMEOUT_S)
         if decision.done():
             return decision.result()
-        detail = (
-            f"shard {shard_number}: decision waits for the store or the standby"
-        )
+        detail = f"shard {shard_number}: the decision is pending"
         return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
 
     async def _decide(
--- a/libs/ledger/src/masticdale_ledger/arbiter.py
+++ b/libs/ledger/src/masticdale_ledger/arbiter.py
@@ -1,10 +1,10 @@
 """Arbitration between a shard's owner and its standby by a third host.
 
-During a store outage, a standby whose owner is lost can't be told from one
-that is partitioned. Only one of the two may admit programs that the other does
-not know, since turns admitted by both would be counted by neither. The shard's
-record in the store names the arbiter of an epoch in advance. It decides for the
-side that asks first. There is no vote, and the arbiter has no substitute.
+During a store outage, a standby can't tell a lost owner from a partitioned one.
+Only one of the two may admit programs that the other does not know; otherwise
+each would count only its own turns of such a program. The shard's record in the
+store names an arbiter for its epoch. The arbiter decides for the side that asks
+first. There is no vote, and a lost arbiter is not replaced within the epoch.
 """
 
 import asyncio
@@ -25,15 +25,16 @@
 )
 from masticdale_ledger.shards import ShardRecord
 
-# Timeout of a call, in seconds: a hundred round trips between failure domains.
+# Timeout of a call, in seconds. A failover waits for it if the arbiter is lost.
 _CALL_TIMEOUT_S = 0.25
 
 
 class Side(enum.StrEnum):
-    """A host that may ask the arbiter for an epoch; a string in messages.
+    """A host that may ask the arbiter of an epoch; values are sent in messages.
 
     The successor is a host that takes the shard over. It asks too, so that
-    afterwards the arbiter decides for neither owner nor standby.
+    afterwards the arbiter decides for neither owner nor standby. The wire
+    format names it "taker".
     """
 
     OWNER = "owner"
@@ -49,7 +50,7 @@
     """A shard whose arbiter this host is.
 
     Attributes:
-        epoch: The owner's epoch.
+        epoch: Epoch of the shard's record that names this host.
         side: The side that asked first; empty until then.
     """
 
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -1,4 +1,8 @@
-"""Writes the owner and the standby of each shard to the store."""
+"""Claims shards in the store and assigns their standbys and arbiters.
+
+A claim is a conditional write of the shard's record. The new owner restores the
+accounts that it knows, charged with what other hosts may have granted.
+"""
 
 import contextlib
 import dataclasses
@@ -37,7 +41,8 @@
 from masticdale_platform import ObjectStore, StoredObject
 
 # After the accounts of a shard are lost, programs that they counted may return
-# for this long, in seconds; twice the longest time that callers keep one.
+# for this long, in seconds: as long as an owner keeps the account of an idle
+# program (``accounts._IDLE_TIMEOUT_S``).
 RECOVERY_WINDOW_S = 120.0
 
 
@@ -46,7 +51,7 @@
     """What the next owner knows of a shard.
 
     Attributes:
-        previous: Whether the previous owner has certainly stopped.
+        previous: State of the previous owner.
         accounts: Accounts of the shard's programs.
         incomplete_for_s: Seconds for which earlier programs may still be
             missing from the accounts.
@@ -63,7 +68,7 @@
     acting_shard: OwnedShard | None = None
 
 
-# Returning programs count as half spent, or as spent up to their records.
+# Returning programs count as spent up to the unrecorded limit or their record.
 LOST_ACCOUNTS = TakeoverState(PreviousOwnerState.ENDED, (), RECOVERY_WINDOW_S)
 
 
@@ -161,8 +166,9 @@
         view = VersionedShardRecord(record, written.unwrap())
         started = await self._start_owning(shard_number, view, takeover)
         if isinstance(started, Failed):
-            # The claim is written although the shard isn't owned yet. The
-            # failure keeps a host that offered the shard from serving it on.
+            # The claim is in the store, although this host does not own the
+            # shard yet. WRITE_UNKNOWN stops a host that has offered the shard
+            # from serving it.
             self._unconfirmed_by_shard[shard_number] = unconfirmed
             detail = str(started.failure())
             return Failed(Failure(ErrorKind.WRITE_UNKNOWN, detail))
@@ -213,7 +219,8 @@
         accounts = Accounts(bounds.unwrap())
         shard = takeover.acting_shard or self._owner.owned().get(shard_number)
         if shard is not None:
-            # This host has served the shard, up to now or to its sealing.
+            # This host has admitted turns of the shard as its owner or acting
+            # owner. Its accounts are complete even if it was sealed since.
             takeover = self.retained_state(shard)
         accounts.restore(
             [account_from_state(state) for state in takeover.accounts]
@@ -240,8 +247,8 @@
     ) -> None:
         incomplete_s = takeover.incomplete_for_s
         if takeover.previous is PreviousOwnerState.LOST:
-            # The previous owner may admit programs until its lease expires;
-            # they are unknown here.
+            # The previous owner may admit programs that are unknown here until
+            # its lease expires.
             incomplete_s = LEASE_S + RECOVERY_WINDOW_S
         self._owner.take(
             OwnedShard(
@@ -300,8 +307,8 @@
     async def _replace_standby(self, shard: OwnedShard) -> None:
         copied = await shard.replicate_now()
         if _is_sealed(copied) and shard.isolation is None:
-            # The host that sealed the standby is about to claim the shard, and
-            # accounts for what an isolated owner may grant.
+            # The host that sealed the standby will claim the shard and charges
+            # the quotas of this owner, which are all that it grants from now.
             self._isolate(shard)
             return
         if isinstance(copied, Failed):
@@ -324,8 +331,8 @@
     def _try_lock(self, shard_number: int) -> Iterator[bool]:
         """Yields whether this task alone may write a shard's record.
 
-        Concurrent writes of this host would conflict, and each would take the
-        other for that of another host.
+        Concurrent writes of this host would conflict, and each would be taken
+        for a write of another host.
         """
         if shard_number in self._locked_shards:
             yield False
@@ -337,7 +344,11 @@
             self._locked_shards.discard(shard_number)
 
     async def ask_arbiter(self, shard: OwnedShard) -> None:
-        """Asks the arbiter if the standby may have admitted new programs."""
+        """Asks the arbiter if the standby may have admitted unknown programs.
+
+        An arbiter that decides for this host keeps the standby from admitting
+        them later.
+        """
         if shard.won_arbitration or not shard.standby_may_have_admitted_unknown:
             return
         side = await self.arbiter_client.decide(
@@ -348,10 +359,14 @@
     async def remainder_side(
         self, shard_number: int, record: ShardRecord
     ) -> Side:
-        """Returns the side that may have used an allowance of a single turn.
-
-        Serves the takeover of a shard whose standby has not acted. Afterwards
-        the arbiter decides for neither the owner nor the standby.
+        """Returns the side that may have used the remainder of the quotas.
+
+        For the takeover of a shard whose standby has not acted. With OWNER, the
+        remainder is charged to the accounts: the arbiter has decided for the
+        owner or does not answer. With STANDBY it is not: there is no arbiter,
+        or it has decided for the standby or this host, the successor. An
+        arbiter that had not decided yet decides for the successor, so that it
+        allows neither owner nor standby to go on.
         """
         if not record.arbiter_address:
             return Side.STANDBY
@@ -393,9 +408,9 @@
     def retained_state(self, shard: OwnedShard) -> TakeoverState:
         """Returns what this host knows of a shard that it keeps serving.
 
-        The old standby may have acted and can't be asked, so that its share
-        counts as spent. If it may have admitted programs that are unknown
-        here, they count as half spent when they arrive.
+        The old standby may have acted and can't be asked, so that its quotas
+        count as spent. If it may have admitted programs that are unknown here,
+        these count as spent up to the unrecorded limit when they arrive.
         """
         states = shard.states(None)
         if shard.isolation is not None:
--- a/libs/ledger/src/masticdale_ledger/client.py
+++ b/libs/ledger/src/masticdale_ledger/client.py
@@ -23,18 +23,16 @@
 from masticdale_ledger.shards import ShardMap
 from masticdale_rpc import RpcClient
 
-# Shards of the ledger. With four, the loss of one host usually affects a
-# quarter of the programs.
+# Programs are hashed to this many shards; must be the same on all hosts.
 LEDGER_SHARD_COUNT = 4
-# Timeout of one call to an owner, in seconds: some hundred round trips between
-# failure domains. A host that is short of CPU time answers within some tens of
-# milliseconds.
+# Timeout of one call to an owner, in seconds. An owner that does not answer
+# within it counts as unreachable, and its standby is called.
 CALL_TIMEOUT_S = 0.4
-# Timeout of all calls for one turn, in seconds. A lost owner is replaced within
-# this time.
+# Timeout of all calls for one turn, in seconds. A lost owner is usually
+# replaced within this time; otherwise the caller gets a failure and may retry.
 _ADMIT_TIMEOUT_S = 1.2
-# Longest time in seconds that calls to an owner and then to its standby take.
-# An attempt that took longer means that this host itself was paused.
+# Longest time in seconds that an attempt takes, with calls to the owner and to
+# its standby. If it took longer, this host itself was paused.
 _MAX_ATTEMPT_S = 2 * CALL_TIMEOUT_S + 0.2
 # Delay between two attempts, in seconds, unless the shard map changes before.
 _RETRY_DELAY_S = 0.08
@@ -132,7 +130,7 @@
                 return outcome
             if loop.time() - attempt_started_at > _MAX_ATTEMPT_S:
                 # This host was paused, so that its call timed out although the
-                # owner may have answered. Retry, or the caller would be
+                # owner may have answered. Without a retry the caller would be
                 # rejected before its deadline.
                 retry_until = min(deadline_at, loop.time() + CALL_TIMEOUT_S)
             await self._map.wait_for_change(_RETRY_DELAY_S)
--- a/libs/ledger/src/masticdale_ledger/copier.py
+++ b/libs/ledger/src/masticdale_ledger/copier.py
@@ -15,7 +15,7 @@
 )
 from masticdale_rpc import RpcClient, was_sent
 
-# Timeout of a copy, in seconds: a hundred round trips between failure domains.
+# Timeout of a copy, in seconds. Turns wait for it if the standby is lost.
 _COPY_TIMEOUT_S = 0.3
 
 
@@ -25,7 +25,8 @@
 
     Attributes:
         shard: The shard.
-        epoch: The owner's epoch.
+        epoch: Epoch of the shard's record. A standby rejects copies of an
+            earlier epoch, which fences replaced owners.
         incomplete_for_s: For how many more seconds a program without an
             account may have had turns before.
         owner_has_store: Whether the owner reaches the store.
@@ -45,7 +46,7 @@
         standby_may_hold_copy: Whether a copy may have arrived; without one the
             standby can't take over.
         standby_may_admit_unknown: Whether the last copy that arrived may say
-            that the owner has lost the store. The standby may then admit
+            that the owner can't reach the store. The standby may then admit
             programs that the owner does not know.
     """
 
@@ -81,11 +82,11 @@
         """Returns once the standby holds every change marked so far.
 
         Callers that arrive while a copy is in progress share the next one.
-        With a copy each, every turn would wait for a whole timeout of a standby
-        that does not answer, and delay its replacement.
+        Otherwise concurrent turns would wait for one timeout after another of
+        a standby that does not answer.
 
         Failures: CONFLICT if the epoch is sealed or superseded at the standby;
-        PEER_UNAVAILABLE if the standby does not answer or has restarted.
+        PEER_UNAVAILABLE if the standby does not answer or holds no copy.
         """
         if self._next_copy is None:
             self._next_copy = asyncio.create_task(self._send(header, accounts))
@@ -131,7 +132,7 @@
                     "the copy's epoch is sealed or superseded",
                 )
             )
-        detail = "the standby has restarted and holds no copy"
+        detail = "the standby holds no copy of this epoch"
         return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, detail))
 
     async def _copy(
--- a/libs/ledger/src/masticdale_ledger/failover.py
+++ b/libs/ledger/src/masticdale_ledger/failover.py
@@ -27,9 +27,8 @@
 )
 from masticdale_ledger.standby import StandbyCopies
 
-# Timeout of a ping of the owner, in seconds: a hundred round trips between
-# failure domains. Hosts turn to the standby only after the owner has failed to
-# answer them, so a busy owner has had more time than this.
+# Timeout of a ping, in seconds. An owner that does not answer within it counts
+# as lost.
 _PING_TIMEOUT_S = 0.25
 # Shortest time between two pings of a shard's owner, in seconds, however many
 # turns arrive.
@@ -39,10 +38,11 @@
 class StandbyFailover:
     """Makes this host the acting owner of shards whose owner is lost.
 
-    The standby holds every account, and hosts whose calls to the owner fail
-    call it next. It pings the owner once, admits turns of the programs that it
-    knows, and claims the shard in the store meanwhile. Other hosts have to wait
-    longer before they may claim the shard.
+    The standby holds every account. Hosts call it after the owner has not
+    answered or has answered NOT_OWNER, and for a while after a failed call they
+    call it first. The standby then pings the owner. If there is no answer, it
+    admits turns of the programs that it knows, and meanwhile claims the shard
+    in the store. Other hosts wait longer before they claim the shard.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
 
     async def claim(self, shard: OwnedShard) -> None:
         """Claims a shard of which this host is the acting owner."""
-        # If another host seals the shard meanwhile, this one stops admitting
+        # If another host seals the copy meanwhile, this one stops admitting
         # turns. Of the two claims, the one written first succeeds.
         outcome = await self._claims.claim(
             shard.number,
@@ -117,13 +117,12 @@
     def admit_unknown_programs(self, shard: OwnedShard) -> None:
         """Admits programs, too, that the last owner did not know.
 
-        Called when the store can't be reached. A partitioned standby can't tell
-        whether its owner is lost: a live owner that reaches the store names
-        another standby and counts such programs from zero, so that they would
-        exceed their budget by half. They are admitted only if the owner's last
-        copy said that it had lost the store too, or if the arbiter has decided
-        for this host. In both cases a live owner counts unknown programs as
-        half spent.
+        Called when the store can't be reached. The owner may be alive, assign
+        another standby and count unknown programs from zero; programs admitted
+        here too would exceed their budget by half. They are therefore admitted
+        only if the owner's last copy said that it can't reach the store either,
+        or if the arbiter has decided for this host. In both cases a live owner
+        counts unknown programs as spent up to the unrecorded limit.
         """
         if shard.isolation is None or shard.isolation.admits_unknown:
             return
@@ -140,10 +139,10 @@
     def seal(self, request: SealRequest) -> SealReply:
         """Seals the copy of a shard that another host is taking over.
 
-        The sealing host may lose the race for the shard, lose this reply or
-        crash. The accounts with the turns admitted as acting owner therefore
-        stay in the copy for every host that seals it later. Otherwise these
-        turns would not be counted, and programs could exceed their budget.
+        The sealing host may lose this reply, crash, or fail to claim the shard.
+        The copy therefore keeps the turns admitted as acting owner for every
+        host that seals it later. Otherwise nobody would count them, and
+        programs could exceed their budget.
         """
         shard = self._owner.owned().get(request.shard)
         if shard is not None and shard.is_acting:
--- a/libs/ledger/src/masticdale_ledger/isolation.py
+++ b/libs/ledger/src/masticdale_ledger/isolation.py
@@ -1,4 +1,11 @@
-"""Spending limits of a partitioned owner and standby during a store outage."""
+"""Limits and charges while a shard's owner and standby are partitioned.
+
+A shard is isolated on a host that can't coordinate with the other side: the
+owner or its acting standby. Each side may then use a quota of the tokens left
+below the unrecorded limit, which is the part of a budget that is granted
+without a record in the store (see ``accounts``). Whoever owns the shard next
+charges the quota of the side whose turns it does not know.
+"""
 
 import dataclasses
 
@@ -12,12 +19,11 @@
 class Isolation:
     """Limits of an owner or a standby that is partitioned from the other.
 
-    Both hold the same accounts when the partition begins. While the store is
-    unavailable neither can be replaced and no record can be written. The
-    tokens left below the first step, which is what counts as spent if both
-    lose their memory, are split between the two. If each could admit turns for
-    all of them, a program could exceed its budget by half after the loss of all
-    hosts. Programs with a record are not admitted.
+    Both hold the same accounts when the partition begins. The tokens left below
+    the unrecorded limit are split between the two, since only that limit counts
+    as spent if both lose their accounts. If each could grant all of them, a
+    program could exceed its budget by half after the loss of all hosts.
+    Programs with a record get no quota.
 
     Attributes:
         quota_by_program_id: Quotas of the programs known when the partition
@@ -53,16 +59,16 @@
 ) -> dict[str, IsolationQuota]:
     """Returns the quota of one host for each program, by program ID.
 
-    The two hosts may disagree on which turns have ended. A turn in progress
-    lowers this host's limit but not the peer's tokens, so the sum of both stays
-    within the ceiling whichever host has seen more settlements.
+    The two hosts may disagree on which turns have ended. A turn in flight
+    lowers this host's limit but not the peer's tokens, so that the sum of both
+    stays within the ceiling whichever host has received more settlements.
 
     Args:
         accounts: The accounts that both hosts hold.
         is_standby: Whether the quotas are those of the standby.
-        remainder_side: The host that may admit one more turn where half of
-            the tokens left is less than a turn. If unknown, the other host;
-            without an arbiter, the standby.
+        remainder_side: The side that gets a whole turn where half of the
+            tokens left is less than a turn. Without an arbiter, the standby. A
+            host for which the arbiter has not decided passes the other side.
     """
     side = Side.STANDBY if is_standby else Side.OWNER
     return {
@@ -100,8 +106,8 @@
 ) -> int:
     """Returns half of the tokens, or a whole turn if half is less than one.
 
-    Only one of the two hosts gets the whole turn; the other gets the rest.
-    Without it, programs near their limit would be admitted by neither host.
+    Only the remainder side gets the whole turn; the other gets the rest. If
+    each got half, programs near their limit would be admitted by neither.
     """
     half = unspent_tokens // 2
     larger_part = (
@@ -139,10 +145,10 @@
 
 
 def charge_unrecorded_limit(state: AccountState) -> AccountState:
-    """Charges an account with the first step of its budget.
+    """Charges an account with the unrecorded limit of its budget.
 
-    For a program whose account exists here only because a turn was rejected.
-    Its caller may then have reached the standby, which admitted the program;
+    For a program that no standby has acknowledged. After a turn was rejected
+    here, its caller may have reached the standby, which admitted the program;
     counted from zero here, the program would get part of its budget twice.
     """
     unseen_tokens = unrecorded_limit_tokens(state.budget_tokens)
--- a/libs/ledger/src/masticdale_ledger/leases.py
+++ b/libs/ledger/src/masticdale_ledger/leases.py
@@ -1,11 +1,12 @@
-"""Lease of shard ownership, measured in time that includes suspension."""
+"""Lease that limits how long a host may act as an owner without the store."""
 
 import time
 from collections.abc import Callable
 
-# Seconds for which an owner may act after its last renewal. Must outlast store
-# outages. Ownership moves sooner if the standby can be sealed; the lease bounds
-# the case in which neither owner nor standby answers.
+# Seconds for which an owner may admit turns after its last renewal. A successor
+# does not wait for the lease to expire, so if neither the owner nor its standby
+# answers, both owners may admit turns. The lease bounds that time, and the
+# successor counts unknown programs as partly spent for at least as long.
 LEASE_S = 30.0
 
 
@@ -66,6 +67,6 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether this host may act as the owner of its shards."""
+        """Whether this host may admit turns of the shards that it owns."""
         age_s = self.age_s
         return age_s is not None and age_s < LEASE_S
--- a/libs/ledger/src/masticdale_ledger/ledger.thrift
+++ b/libs/ledger/src/masticdale_ledger/ledger.thrift
@@ -9,7 +9,7 @@
 }
 
 struct HostAddress {
-  1: string address,         // IP number and port for other hosts
+  1: string address,         // IP address and port for other hosts
   2: i64 port,
   3: string failure_domain,
 }
@@ -21,7 +21,7 @@
   4: i64 budget_tokens,
   5: i64 turn_tokens,
   6: HostAddress asker,
-  7: bool asker_stops,       // it must not be given anything to keep
+  7: bool asker_stops,       // must not become a standby or an owner
 }
 
 struct AdmitReply {
@@ -40,7 +40,7 @@
 }
 
 struct SettleReply {
-  1: list<i64> other_shards, // not owned here; settle them with their owner
+  1: list<i64> other_shards, // whose settlements were not applied
 }
 
 struct AccountState {
@@ -52,30 +52,30 @@
   6: i64 bound_version,      // 0: no record in the store
   7: list<string> reserved_ids,
   8: list<i64> reserved_tokens,
-  9: i64 most_tokens,        // that any turn of the program might have used
+  9: i64 most_tokens,        // largest turn_tokens of any request
 }
 
 struct HandOver {
   1: i64 shard,
-  2: i64 version,            // of the shard's object, as the owner wrote it
+  2: i64 version,            // of the shard's object as the owner has written it
   3: list<AccountState> accounts,
-  4: double incomplete_for_s, // programs before may be missing for so long
+  4: double incomplete_for_s, // for which unknown programs may have had turns
 }
 
 struct CopyRequest {
   1: i64 shard,
   2: i64 epoch,
-  3: bool is_snapshot,       // replaces whatever is held
+  3: bool is_snapshot,       // all accounts; replaces the copy
   4: list<AccountState> accounts,
   5: double incomplete_for_s,
-  6: bool owner_has_store,   // it may name another standby at any time
-  7: bool renews,            // the standby must hold a copy of this epoch
+  6: bool owner_has_store,   // so it may name another standby at any time
+  7: bool renews,            // a copy of this epoch may have arrived before
 }
 
 struct CopyReply {
   1: bool held,
-  2: bool sealed,            // another host takes the shard over
-  3: bool stops,             // the standby is about to end
+  2: bool sealed,            // the epoch is sealed or superseded
+  3: bool stops,             // the standby is stopping and must be replaced
 }
 
 struct SealRequest {
@@ -84,10 +84,10 @@
 }
 
 struct SealReply {
-  1: bool held,              // the accounts are complete
+  1: bool held,              // a copy of the epoch; if not, accounts are lost
   2: list<AccountState> accounts,
   3: double incomplete_for_s,
-  4: bool acted,             // they count what the owner may have given
+  4: bool acted,             // was acting owner; includes the owner's quotas
 }
 
 struct HandOverReply {
@@ -106,11 +106,11 @@
 struct DecideRequest {
   1: i64 shard,
   2: i64 epoch,
-  3: string side,            // owner or standby
+  3: string side,            // owner, standby or taker (the successor)
 }
 
 struct DecideReply {
-  1: string side,            // who may go on; empty where it isn't known
+  1: string side,            // decided for; empty if the epoch is unknown
 }
 
 struct StoreItem {
@@ -120,7 +120,7 @@
 }
 
 struct StoreRequest {
-  1: string operation,       // read, write, delete, list or watch
+  1: string operation,       // read, write, delete, list, watch or follow
   2: string key,
   3: string value,
   4: i64 version,
--- a/libs/ledger/src/masticdale_ledger/messages.py
+++ b/libs/ledger/src/masticdale_ledger/messages.py
@@ -31,8 +31,9 @@
         request_id: The turn.
         budget_tokens: The whole budget of the program.
         turn_tokens: The most tokens that the turn may use.
-        asker: The calling host, from which owners learn which hosts are alive.
-        asker_stops: Whether the calling host is stopping.
+        asker: The calling host, which the owner counts as alive.
+        asker_stops: Whether the calling host is stopping, and so must not
+            become a standby or an owner.
     """
 
     shard: int
@@ -82,13 +83,14 @@
     Attributes:
         program_id: The program.
         budget_tokens: Its whole budget.
-        spent_tokens: Tokens that its ended turns used.
-        counts_from_start: Whether every turn was counted.
+        spent_tokens: Tokens that its completed turns used, and those that it
+            may have used without being counted.
+        counts_from_start: Whether every turn of the program was counted.
         bound_tokens: The bound in its record; 0 without a record.
         bound_version: Version of the record; 0 without a record.
-        reserved_ids: Request IDs of the turns in progress.
+        reserved_ids: Request IDs of the turns in flight.
         reserved_tokens: Tokens reserved for each of these turns.
-        most_tokens: The largest reservation of any of its turns.
+        most_tokens: Largest turn_tokens of any request of the program.
     """
 
     program_id: str
@@ -122,7 +124,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandOverReply:
-    """The outcome of a handoff; ``failure`` is None if it succeeded."""
+    """The outcome of a handover; ``failure`` is None if it succeeded."""
 
     failure: Failure | None = None
 
@@ -133,15 +135,16 @@
 
     Attributes:
         shard: The shard.
-        epoch: The owner's epoch.
-        is_snapshot: Whether these are all accounts.
+        epoch: Epoch of the shard's record; the standby rejects earlier ones.
+        is_snapshot: Whether these are all accounts and replace the copy.
         accounts: The changed accounts, each in full.
         incomplete_for_s: For how many more seconds a program without an
             account may have had turns before.
         owner_has_store: Whether the owner reaches the store, and so may name
             another standby at any time.
         renews: Whether a copy of this epoch may have arrived before. A standby
-            that holds none then has restarted, and rejects this one.
+            that holds none then rejects this one, since it may have been
+            sealed and restarted.
     """
 
     shard: int
@@ -160,7 +163,7 @@
     Attributes:
         held: Whether the standby holds the copy.
         sealed: Whether the copy's epoch is sealed or superseded.
-        stops: Whether the standby is stopping.
+        stops: Whether the standby is stopping and must be replaced.
     """
 
     held: bool = False
@@ -181,7 +184,8 @@
     """The sealed copy.
 
     Attributes:
-        held: Whether the standby holds a copy; if not, the accounts are lost.
+        held: Whether the standby holds a copy of the epoch; if not, the
+            accounts are lost.
         accounts: All accounts.
         incomplete_for_s: For how many more seconds a program without an
             account may have had turns before.
@@ -216,8 +220,8 @@
 
     Attributes:
         shard: The shard.
-        epoch: The owner's epoch.
-        side: The calling side; a ``Side``.
+        epoch: Epoch of the shard's record; it must be that of the appointment.
+        side: The calling side: owner, standby or taker; see ``Side``.
     """
 
     shard: int
@@ -227,7 +231,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DecideReply:
-    """The side decided for: a ``Side``; empty if the epoch is unknown."""
+    """The ``Side`` decided for; empty if the epoch is unknown."""
 
     side: str = ""
 
@@ -246,7 +250,8 @@
     """A call of ``ObjectStore`` to be made for another host.
 
     Attributes:
-        operation: The method name, or "follow" for the host's own watches.
+        operation: read, write, delete, list, watch or follow. The last one
+            waits for changes that the called host's own watches return.
         key: The key, or the prefix.
         value: The value to write.
         version: The expected version.
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -25,20 +25,20 @@
 from masticdale_ledger.records import ProgramRecords, record_name
 from masticdale_ledger.shards import VersionedShardRecord
 
-# Interval at which settled turns are replicated to standbys, in seconds; the
-# same as that at which hosts send settlements.
+# Interval at which settled turns are replicated to standbys, in seconds.
 REPLICATION_INTERVAL_S = 0.15
-# The owner of this shard deletes orphaned records for all, at this interval in
-# seconds.
+# The owner of this shard deletes the expired records of all shards, at this
+# interval in seconds.
 _CLEANUP_SHARD = 0
 _CLEANUP_INTERVAL_S = 3600.0
-# Attempts to evaluate one turn and write its record. After a conflict the next
-# attempt starts from the bound that another owner has written.
+# Attempts to evaluate one turn and raise its bound. After a conflict the next
+# attempt starts from the bound found in the store. If conflicts persist, the
+# turn is rejected with LEDGER_UNAVAILABLE.
 _MAX_ATTEMPTS = 4
-# A turn that is over budget only because of reserved tokens waits this long for
-# them, in seconds: about three usual turns. Turns reserve their maximum and use
-# a fraction of it. Without the wait, sub-agents that start together would get a
-# 402, which ends their program.
+# Time in seconds for which a turn that is over budget only because of reserved
+# tokens waits for them to be settled. Turns reserve their maximum and rarely
+# use it. Without the wait, sub-agents that start together would get a 402,
+# which ends their program.
 _RESERVATION_WAIT_S = 1.0
 _RETRY_INTERVAL_S = 0.03
 
@@ -55,7 +55,8 @@
             exactly; empty if they may lack changes of the previous owner.
         is_handing_over: Whether it is being handed over.
         is_acting: Whether this host is the standby acting for the owner.
-        isolation: Set while there is neither a standby nor a store.
+        isolation: Limits while this host can't coordinate with the other side,
+            its standby or the owner for which it acts; None otherwise.
         won_arbitration: Whether the arbiter has decided for this host.
     """
 
@@ -110,7 +111,7 @@
 
     @property
     def incomplete_for_s(self) -> float:
-        """Seconds for which earlier programs may be missing."""
+        """Seconds for which unknown programs may have had turns before."""
         return max(0.0, self._complete_from - self._lease.now())
 
     def get_or_create(self, claim: TurnClaim) -> Account:
@@ -155,7 +156,7 @@
 
     @property
     def standby_may_act(self) -> bool:
-        """Whether the standby may act without this host."""
+        """Whether the standby may become the acting owner."""
         return self.copier is not None and self.copier.standby_may_hold_copy
 
     @property
@@ -170,7 +171,7 @@
         }
 
     def states_with_peer_spending(self) -> tuple[AccountState, ...]:
-        """Returns all accounts, with what the other host may have granted."""
+        """Returns all accounts, charged with the quotas of the other side."""
         quota_by_program_id = (
             self.isolation.quota_by_program_id if self.isolation else {}
         )
@@ -275,8 +276,8 @@
             if isinstance(verdict, BudgetExceeded):
                 return _OverBudget(account, verdict)
             if shard.isolation is not None:
-                # Raising the bound would make tokens that the other host may
-                # have granted count as unspent.
+                # A higher bound would allow tokens here that the other side
+                # may have granted already.
                 return _isolated_failure(shard_number)
             written = await self._raise_stored_bound(shard, claim, account)
             if isinstance(written, Failed):
@@ -315,7 +316,7 @@
                 )
 
     async def evict_idle_programs(self) -> None:
-        """Evicts idle programs and deletes their records and orphaned ones."""
+        """Evicts idle programs; deletes their records and expired ones."""
         for shard in list(self._shard_by_number.values()):
             for account in shard.accounts.evict_idle(time.monotonic()):
                 self._write_lock_by_program.pop(account.program_id, None)
@@ -335,7 +336,8 @@
         if shard.copier is not None:
             shard.copier.mark_changed(claim.program_id)
         copied = await shard.replicate()
-        # The host may have been suspended meanwhile, or the shard be gone.
+        # Another host may have taken the shard over meanwhile, for example
+        # while this one was suspended.
         if self._shard_by_number.get(shard.number) is not shard:
             detail = f"shard {shard.number}"
             return Failed(Failure(ErrorKind.NOT_OWNER, detail))
@@ -377,8 +379,10 @@
         written = found.unwrap()
         account.bound = written.bound if written else None
         account.counts_from_start = False
-        # A write of the predecessor may have been in flight when it handed its
-        # accounts over. It then admitted no turn under that bound.
+        # Without a record, which may have expired, the account's own count
+        # stands and the next attempt creates a new record. A write of the
+        # predecessor may have been in flight when it handed its accounts over;
+        # it then admitted no turn under that bound.
         is_known = (
             written is not None
             and written.writer_incarnation == shard.predecessor_incarnation
@@ -417,5 +421,5 @@
 
 
 def _isolated_failure(shard_number: int) -> Result[None, Failure]:
-    detail = f"shard {shard_number} has neither standby nor store"
+    detail = f"shard {shard_number} is isolated; no quota for the turn"
     return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
--- a/libs/ledger/src/masticdale_ledger/reconciler.py
+++ b/libs/ledger/src/masticdale_ledger/reconciler.py
@@ -1,4 +1,8 @@
-"""Keeps an owner assigned to every shard and a standby to every owner."""
+"""Assigns an owner to every shard and a standby to every owner.
+
+Each host claims vacant shards, replaces lost standbys of its own shards, renews
+its lease, and hands its shards over at a planned stop.
+"""
 
 import asyncio
 import collections
@@ -42,18 +46,20 @@
 RECONCILE_INTERVAL_S = 0.2
 # Interval at which the age of the lease is checked, in seconds.
 LEASE_CHECK_INTERVAL_S = 0.5
-# Age of the lease at which it is renewed, in seconds: a third of its duration,
-# which leaves time for a third attempt after two failures.
+# Age of the lease from which every check tries to renew it, in seconds.
 _RENEW_AFTER_S = LEASE_S / 3
-# An owner that does not answer for this long is replaced, in seconds. Longer
-# than a pause of its process on a busy machine, shorter than callers wait.
+# Time between the first and the last failed call after which an owner counts as
+# lost, in seconds. A shorter pause of its process does not cost it its shards.
 _OWNER_TIMEOUT_S = 0.5
 # Maximum age of the last failed call to an owner, in seconds; without a recent
 # failure the owner counts as reachable.
 _FAILURE_MAX_AGE_S = 1.5
-# Maximum random delay of a claim, in seconds. All hosts see a vacant shard at
-# the same time; the jitter lets one write its claim before the others try.
+# Base of the maximum random delay of a claim, in seconds; ``_is_claim_due``
+# scales it. All hosts find a shard vacant at the same time; the jitter lets one
+# write its claim before the others try.
 _CLAIM_JITTER_S = 1.0
+# Timeout of a seal, in seconds. A handover, which includes a write to the store
+# by the called host, gets twice as long.
 _CALL_TIMEOUT_S = 0.5
 # Maximum number of hosts that are offered a shard during a planned stop.
 _MAX_OFFERS = 3
@@ -158,11 +164,13 @@
         return HandOverReply()
 
     async def _prepare_for_offer(self, offer: HandOver) -> Failure | None:
-        """Returns why an offered shard can't be taken over, or None.
+        """Checks an offer; drops an earlier ownership of the same shard.
+
+        A former owner may not have learned of its replacement yet. If it kept
+        the shard, it would use its old accounts instead of the offered ones.
 
-        A former owner that has not learned of its replacement drops the shard
-        first. Otherwise it would count with its old accounts and reuse an
-        epoch, and its standby would reject it as outdated.
+        Returns:
+            Why the shard can't be taken over, or None.
         """
         view = self._map.get(offer.shard)
         if view is None or view.version < offer.version:
@@ -184,7 +192,7 @@
     async def _drop_superseded(self) -> None:
         """Drops shards that other hosts own.
 
-        Resolves unconfirmed writes first. If such a write of this process were
+        Resolves unconfirmed claims first. If such a claim of this process were
         taken for another host's, the accounts of the shard would be lost.
         """
         await self._claims.resolve_unconfirmed()
@@ -214,7 +222,8 @@
             return None
         record = view.record
         if record.owner == self._identity.host:
-            # Only one process of a host runs, so the owning one has ended.
+            # A host runs only one process at a time, so the owning one has
+            # ended.
             return PreviousOwnerState.ENDED
         lost = self._client.unreachable_by_shard.get(shard_number)
         if lost is None or lost.version != view.version:
@@ -244,8 +253,8 @@
         self, shard_number: int, previous: PreviousOwnerState
     ) -> None:
         self._claim_due_at_by_shard.pop(shard_number, None)
-        # Claims need the store. Sealing the standby without it would stop the
-        # only host that may still serve the shard.
+        # A claim needs the store. Sealing the standby without it would stop the
+        # only host that may still admit turns of the shard.
         if not await self._claims.refresh(shard_number):
             return
         if self._previous_owner_if_vacant(shard_number) is None:
@@ -270,7 +279,11 @@
         view: VersionedShardRecord | None,
         previous: PreviousOwnerState,
     ) -> TakeoverState:
-        """Seals the previous owner's standby; returns what is known."""
+        """Fences the previous owner by sealing its standby's copy.
+
+        Returns:
+            What is known of the shard.
+        """
         if view is None:
             return TakeoverState(PreviousOwnerState.NONE)
         if previous is PreviousOwnerState.LOST:
@@ -314,7 +327,7 @@
     async def _seal(
         self, shard_number: int, record: ShardRecord
     ) -> SealReply | None:
-        """Seals the standby's copy; returns None if it can't be reached."""
+        """Seals the standby's copy; None without a standby or an answer."""
         if not record.standby_address:
             return None
         request = SealRequest(shard_number, record.epoch)
@@ -353,10 +366,10 @@
         )
 
     async def _hand_over(self, shard: OwnedShard) -> None:
-        """Offers a shard to one host after another until one takes it."""
+        """Offers a shard to one host after another until one may own it."""
         if self._is_store_unreachable():
             # No host could write its claim. The standby acknowledges turns
-            # until this host ends, and acts for it afterwards.
+            # until this host ends, and then becomes the acting owner.
             return
         shard.is_handing_over = True
         takeover = await self._fence_standby(shard)
@@ -368,11 +381,14 @@
             await self._claims.assign_standby(shard)
 
     async def _fence_standby(self, shard: OwnedShard) -> TakeoverState:
-        """Seals the standby; returns what the next owner needs to know.
+        """Seals the standby's copy before a handover.
 
         A standby that does not learn of the handover would act for this host
-        once it has ended, and nobody would count its share. A sealed standby
-        can't act. If sealing fails, its share counts as spent.
+        once it has ended, and nobody would count the turns that it admits. A
+        sealed standby can't act. If sealing fails, its quotas count as spent.
+
+        Returns:
+            What the next owner needs to know.
         """
         exact = TakeoverState(
             PreviousOwnerState.ENDED, shard.states(None), shard.incomplete_for_s
@@ -389,7 +405,12 @@
     async def _offer(
         self, shard: OwnedShard, target: HostAddress, takeover: TakeoverState
     ) -> bool:
-        """Returns whether the target has certainly not taken the shard."""
+        """Offers a shard to one host, and drops it if that host takes it.
+
+        Returns:
+            False if the host has taken the shard or may have taken it; True if
+            it certainly has not, so that another host can be asked.
+        """
         offer = HandOver(
             shard.number,
             shard.view.version,
@@ -414,8 +435,8 @@
             self._owner.drop(shard.number)
             return False
         # If the outcome is unknown, the target may own the shard with these
-        # accounts. Admitting turns here too would spend budgets twice, so the
-        # shard waits for its takeover.
+        # accounts. If turns were admitted here too, budgets would be spent
+        # twice. The shard therefore stays in handover and admits none.
         if isinstance(outcome, Failed):
             return not was_sent(failure)
         return failure.kind is not ErrorKind.WRITE_UNKNOWN
@@ -423,9 +444,9 @@
     def _handover_targets(self) -> list[HostAddress]:
         """Returns the hosts that may take a shard, the least loaded first.
 
-        Includes hosts that own no shard. Otherwise a rolling restart gathers
-        all shards on the host that is stopped last, which has no target left,
-        and their accounts are lost.
+        Includes hosts that own no shard. Otherwise a rolling restart would
+        gather all shards on the host that stops last; no target would be left,
+        and their accounts would be lost.
         """
         shards_by_address: collections.Counter[tuple[str, int]] = (
             collections.Counter()
--- a/libs/ledger/src/masticdale_ledger/records.py
+++ b/libs/ledger/src/masticdale_ledger/records.py
@@ -12,9 +12,11 @@
 from masticdale_platform import ObjectStore, StoredObject
 
 RECORD_PREFIX = "ledger-programs/"
-# Age in milliseconds at which orphaned records are deleted: one day. A record
-# is orphaned if its owner dies before evicting the program. A program that
-# still runs then, and whose accounts are lost too, gets its budget again.
+# Time since its last write after which a record is deleted, in milliseconds.
+# This removes records whose owner died before it evicted the program, but also
+# those of programs that still run. The owner's next write of such a record
+# conflicts; it then creates a new one. If the accounts are lost too, what the
+# program has spent is unknown, and it may get its budget again.
 _RETENTION_MS = 86_400_000
 
 
@@ -23,7 +25,8 @@
 
     Attributes:
         bound_tokens: Most tokens that the program may have spent.
-        writer: The writing process; identifies a write whose answer was lost.
+        writer: Incarnation of the writing process; identifies a write whose
+            answer was lost.
         at_ms: Wall-clock milliseconds of the write.
     """
 
@@ -46,7 +49,7 @@
 
     Attributes:
         bound: The bound.
-        writer_incarnation: The process that wrote it.
+        writer_incarnation: Incarnation of the process that wrote it.
     """
 
     bound: Bound
@@ -61,7 +64,7 @@
 
         Args:
             store: The platform's store.
-            incarnation: Identity of this process, unique among all processes.
+            incarnation: Unique ID of this process; see ``Identity``.
         """
         self._store = store
         self._incarnation = incarnation
@@ -105,8 +108,8 @@
         if outcome.failure().kind not in ambiguous:
             return outcome
         # This write, or an earlier one whose answer was lost, may have
-        # succeeded. Taken for another owner's bound it would count as spent,
-        # and the program would get 402 with tokens left.
+        # succeeded. If its bound were taken for another owner's, it would count
+        # as spent, and the program would get 402 with tokens left.
         found = await self._store.read(key)
         if isinstance(found, Failed):
             return found
@@ -144,7 +147,7 @@
             )
 
     async def delete_expired(self, now_ms: int) -> None:
-        """Deletes orphaned records, which every takeover would have to read.
+        """Deletes expired records, which every takeover would have to read.
 
         Args:
             now_ms: Current wall-clock milliseconds.
--- a/libs/ledger/src/masticdale_ledger/shards.py
+++ b/libs/ledger/src/masticdale_ledger/shards.py
@@ -1,4 +1,4 @@
-"""Shard ownership as recorded in the store."""
+"""Records in the store that name each shard's owner, standby and arbiter."""
 
 import asyncio
 import contextlib
@@ -14,12 +14,16 @@
 
 
 class PreviousOwnerState(enum.StrEnum):
-    """State of a shard's previous owner when the shard is claimed.
+    """State of the previous owner when a shard's record is written.
 
     Attributes:
         NONE: The shard had no owner.
-        ENDED: The owner has stopped.
-        LOST: The owner does not answer and may act until its lease expires.
+        ENDED: The previous owner can admit no further turn that the new one
+            does not account for. Its process has ended, it is fenced by a
+            sealed standby, its isolation quota is charged, or it stays the
+            owner and only replaces its standby.
+        LOST: The previous owner does not answer. Unless its standby is sealed,
+            it may admit turns until its lease expires.
     """
 
     NONE = "none"
@@ -36,13 +40,16 @@
             memory don't outlive it.
         address: IP address on which it listens for other hosts.
         port: Port of the address.
-        epoch: One more than in the previous record.
-        previous: Whether the previous owner has certainly stopped.
+        epoch: One more than in the previous record, so that it rises with each
+            change of owner or standby. Standbys and arbiters reject requests
+            of an earlier epoch.
+        previous: State of the previous owner.
         standby_address: Host that has to acknowledge each admitted turn;
             empty for none.
         standby_port: Port of that address.
-        arbiter_address: Host that decides whether owner or standby goes on
-            when they lose each other; empty for none.
+        arbiter_address: Host that decides whether the owner or the standby
+            may admit unknown programs while they are partitioned; empty for
+            none.
         arbiter_port: Port of that address.
     """
 
--- a/libs/ledger/src/masticdale_ledger/standby.py
+++ b/libs/ledger/src/masticdale_ledger/standby.py
@@ -1,9 +1,10 @@
-"""Copies of other hosts' shards on their standby.
+"""Holds copies of the accounts of shards for which this host is the standby.
 
-An owner admits a turn only after its standby has acknowledged the account.
-Sealing the standby's copy therefore fences the owner at once, independently of
-clocks, and gives the next owner exact accounts. The loss of a single host
-costs no budget.
+While an owner reaches its standby, it admits a turn only after the standby has
+acknowledged the account. The next owner seals the copy, and the standby rejects
+further copies. This fences the old owner at once, independently of clocks: it
+admits no more than its isolation quotas, which the next owner charges. The
+sealed copy holds every other turn, so the loss of one host costs no budget.
 """
 
 import collections
@@ -19,8 +20,8 @@
     SealRequest,
 )
 
-# Accounts kept per shard, as many as an owner keeps. Beyond this, the least
-# recently changed are evicted.
+# Maximum number of accounts in a copy; the least recently changed is evicted
+# first. Must not be less than an owner keeps (``accounts._MAX_ACCOUNTS``).
 _MAX_ACCOUNTS = 20_000
 
 
@@ -29,7 +30,7 @@
     """The copy of one shard.
 
     Attributes:
-        epoch: The owner's epoch.
+        epoch: Epoch of the shard's record; copies of earlier ones are rejected.
         account_by_id: The accounts, by program ID.
         complete_from: Time on the boot clock, in seconds, from which a program
             without an account has had no turns before.
@@ -76,10 +77,10 @@
             )
             self._copy_by_shard[request.shard] = copy
         if copy is None or copy.epoch != request.epoch:
-            # This process started after the copy was made, and may have been
-            # sealed before it restarted. If it accepted, a replaced owner could
-            # admit turns beside the next one. The owner has to name its standby
-            # again, by a write that fails if the owner was replaced.
+            # No copy of this epoch has arrived, or this process has restarted
+            # since, and may have been sealed before. If it accepted, a replaced
+            # owner could admit turns beside the next one. The owner has to
+            # assign a standby again, by a write that fails if it was replaced.
             return CopyReply(held=False)
         copy.complete_from = boot_time_s() + request.incomplete_for_s
         copy.owner_has_store = request.owner_has_store
