--- a/libs/ledger/tests/test_accounts.py
+++ b/libs/ledger/tests/test_accounts.py
@@ -71,7 +71,7 @@
     def test_losses_grant_at_most_the_budget_and_one_turn(
         self, turns, max_turn_tokens, steps
     ):
-        """A looping program would get its budget again after each loss.
+        """Guards against a program that gets its budget again after a loss.
 
         Turns settle with any part of their maximum, and all accounts may be
         lost at any time; only the record remains. The total must stay within
@@ -103,7 +103,7 @@
         self.assertEqual(ledger.writes, 0)
 
     def test_a_spent_budget_stays_spent_after_a_loss(self):
-        """A looping program would get its budget again from a new owner.
+        """Guards against a program that gets its budget again from a new owner.
 
         The new owner reads the record and grants one turn at most.
         """
@@ -117,7 +117,7 @@
         self.assertLessEqual(admitted, 1)
 
     def test_a_program_with_budget_left_continues_after_losses(self):
-        """A program with most of its budget left would get 402.
+        """Guards against 402 for a program with most of its budget left.
 
         A record written too far ahead counts as spent after each loss of all
         hosts.
@@ -146,7 +146,7 @@
         self.assertTrue(ledger.admit("again"))
 
     def test_reservations_in_flight_are_no_final_refusal(self):
-        """A program would end because its sub-agents started together.
+        """Guards against 402 for sub-agents that start together.
 
         Two turns in flight reserve their maximum and leave no room for a third
         until one of them settles.
--- a/libs/ledger/tests/test_admissions.py
+++ b/libs/ledger/tests/test_admissions.py
@@ -105,9 +105,9 @@
 
 class ReplyTimeoutTest(AdmissionsCase):
     async def test_a_slow_store_does_not_make_the_owner_look_dead(self):
-        """The owner would be replaced, and programs without record fail too.
+        """Guards against replacing a live owner whose store is slow.
 
-        The store is slower than the asking host's timeout. That host gets a
+        The store takes longer than the asking host's timeout. That host gets a
         reply in time, so that the owner counts as alive.
         """
         self.create_owner()
@@ -117,7 +117,7 @@
         self.assertLess(waited_s, CALL_TIMEOUT_S)
 
     async def test_a_repeated_request_joins_its_pending_decision(self):
-        """Each retry would start another write, and none would complete."""
+        """Guards against retries that each start a write and never complete."""
         self.create_owner()
         self.store.faults.delay_s = 0.6
         for _ in range(4):
@@ -128,9 +128,9 @@
         self.assertEqual(self.store.write_count, 1)
 
     async def test_a_silent_standby_costs_all_turns_one_timeout(self):
-        """Each of ten turns would wait for a timeout of the dead standby.
+        """Guards against turns that each wait for a timeout of a lost standby.
 
-        They share the timeout and are refused before the asking host would
+        They share the timeout and are rejected before the asking host would
         take the owner for dead.
         """
         peer = SilentPeer()
@@ -147,7 +147,7 @@
 
     @mock.patch("masticdale_ledger.admissions.REPLY_TIMEOUT_S", 2.0)
     async def test_turns_that_arrive_together_share_copies(self):
-        """Turns of a busy shard would queue behind one copy each.
+        """Guards against turns of a busy shard that wait for one copy each.
 
         One copy per turn would take longer than the reply timeout.
         """
@@ -160,10 +160,10 @@
 
 
 class PredecessorTest(AdmissionsCase):
-    """A program would get 402 after a planned stop of its owner.
+    """Guards against 402 after a planned stop of the owner.
 
     The owner hands its shards over while its write of a record is in flight.
-    The next owner has its exact accounts and conflicts with the record.
+    The next owner has its exact accounts, and its own write conflicts.
     """
 
     async def admit_after_record(self, predecessor_incarnation):
--- a/libs/ledger/tests/test_any_order.py
+++ b/libs/ledger/tests/test_any_order.py
@@ -254,7 +254,7 @@
 
 
 class HandOverTest(HostsCase):
-    """The handoff of a shard when its owner stops."""
+    """The handover of a shard when its owner stops."""
 
     budget = 1500
 
@@ -267,7 +267,7 @@
     async def test_the_old_standby_does_not_take_over_after_it(self):
         """Guards against turns at the old standby that no host counts.
 
-        Partitioned from the store, the standby does not learn of the handoff
+        Partitioned from the store, the standby does not learn of the handover
         and finds its owner gone.
         """
         self.standby.store.is_cut = True
@@ -290,7 +290,7 @@
     async def test_a_former_owner_uses_the_offered_accounts(
         self,
     ):
-        """Guards against a handoff that restores stale accounts and epochs.
+        """Guards against a handover that restores stale accounts and epochs.
 
         The shard is offered to its former owner, which was partitioned and does
         not know yet that it was replaced.
--- a/libs/ledger/tests/test_failover.py
+++ b/libs/ledger/tests/test_failover.py
@@ -212,7 +212,7 @@
 
 class UnknownClaimTest(FailoverCase):
     async def test_a_claim_whose_answer_was_lost_keeps_the_accounts(self):
-        """Otherwise programs would count as half spent or be rejected with 402.
+        """Guards against 402 for programs that count as half spent.
 
         The claim is written, but its answer is lost and the store fails. When
         the store is back, its record names this process as the owner.
@@ -229,7 +229,7 @@
         self.assertIn("r", account.reserved_by_request_id)
         self.assertTrue(account.counts_from_start)
 
-    async def test_a_handoff_of_unknown_outcome_keeps_the_accounts(self):
+    async def test_a_handover_of_unknown_outcome_keeps_the_accounts(self):
         """Guards against 402 for programs with most of their budget left.
 
         A stopping host offers its shard, and the answer to the claim is lost.
--- a/libs/ledger/tests/test_reconciler.py
+++ b/libs/ledger/tests/test_reconciler.py
@@ -109,7 +109,7 @@
         return await owner.admit(0, TurnClaim("p", "r", 1000, 10))
 
     async def test_after_an_unknown_outcome_no_turn_is_admitted(self):
-        """A budget would be spent at two hosts at once.
+        """Guards against a budget that is spent at two hosts at once.
 
         The other host may have taken the shard over before its answer was
         lost.
@@ -126,7 +126,7 @@
     async def test_the_last_owner_offers_its_shards_to_hosts_without_shards(
         self,
     ):
-        """Programs would get 402 after a rolling restart.
+        """Guards against 402 for programs after a rolling restart.
 
         The host that stops last owns all shards. If only owners were offered
         them, all accounts would be lost.
@@ -138,7 +138,7 @@
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
     async def test_a_shard_refused_by_a_stopping_host_is_offered_again(self):
-        """Two hosts that stop at once would both keep their shards."""
+        """Guards against shards that two stopping hosts both keep."""
         hosts = Peers(REFUSED, TAKEN)
         live_hosts = create_live_hosts(HostAddress("127.0.0.1", 3, "b"))
         outcome = await self.hand_over(hosts, live_hosts)
--- a/libs/ledger/tests/test_records.py
+++ b/libs/ledger/tests/test_records.py
@@ -17,7 +17,7 @@
 
 class RecordCleanupTest(unittest.IsolatedAsyncioTestCase):
     async def test_orphaned_records_are_deleted_after_a_day(self):
-        """Takeovers would take longer with each loss of an owner.
+        """Guards against takeovers that slow down with each lost owner.
 
         A dead owner leaves its records behind, and every takeover reads all
         records.
@@ -46,7 +46,7 @@
 
 
 class LostAnswerTest(unittest.IsolatedAsyncioTestCase):
-    """A program would get 402 with most of its budget left.
+    """Guards against 402 for a program with most of its budget left.
 
     A write succeeds, but its answer and the read that checks it are lost. When
     the owner writes again, its own record must not count as another owner's.
--- a/libs/ledger/tests/test_seals.py
+++ b/libs/ledger/tests/test_seals.py
@@ -12,10 +12,11 @@
 
 
 class SealAfterActingTest(FailoverCase):
-    """A looping program would get nearly twice its budget.
+    """Guards against a program that gets nearly twice its budget.
 
-    A standby acts while the store is down. The first host that seals it loses
-    the race for the shard, and the second must not get the copy from before.
+    A standby acts while the store is down. The first host that seals it fails
+    to claim the shard; the second must not get the copy from before the
+    failover.
     """
 
     async def asyncSetUp(self):
@@ -53,21 +54,21 @@
         self.owner.drop(SHARD)
         self.assertEqual(self.seal(), first)
 
-    async def test_its_own_claim_after_a_seal_keeps_what_it_gave(self):
-        """Programs would count as half spent, and some get 402.
+    async def test_its_own_claim_after_a_seal_keeps_its_accounts(self):
+        """Guards against 402 for programs that count as half spent.
 
         A host seals the acting standby while the standby's own claim is in
         flight, and the standby's claim wins.
         """
         shard = self.owner.owned()[SHARD]
-        given = self.seal()
+        sealed = self.seal()
         self.store.faults.down = False
         await self.failover.claim(shard)
         accounts = self.owner.owned()[SHARD].accounts
         self.assertIsNotNone(accounts.get("new"))
         self.assertEqual(accounts.get("new").committed_tokens, 100)
         known = accounts.get("known")
-        self.assertEqual(known.spent_tokens, given["known"].spent_tokens)
+        self.assertEqual(known.spent_tokens, sealed["known"].spent_tokens)
 
 
 if __name__ == "__main__":
