--- a/libs/ledger/src/masticdale_ledger/arbiter.py
+++ b/libs/ledger/src/masticdale_ledger/arbiter.py
@@ -103,7 +103,7 @@
         """Appoints the arbiter of an epoch, in the background.
 
         Must be called only once per epoch. A second call could reach an arbiter
-        that has restarted and lost its decision, and would decide again.
+        that has restarted and lost its decision; it would then decide again.
         """
         if not record.arbiter_address:
             return
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -318,7 +318,7 @@
             return
         shard.isolation = None
         self._owner.replication_failure_by_shard.pop(shard.number, None)
-        if shard.is_standby_leaving:
+        if shard.is_standby_stopping:
             await self._write_standby(shard)
 
     async def assign_standby(self, shard: OwnedShard) -> None:
@@ -415,7 +415,7 @@
         states = shard.states(None)
         if shard.isolation is not None:
             states = shard.states_with_peer_spending()
-        elif shard.standby_may_act and not shard.is_standby_leaving:
+        elif shard.standby_may_act and not shard.is_standby_stopping:
             states = charge_peer_quotas(states, _owner_quotas(shard))
         incomplete_for_s = shard.incomplete_for_s
         if shard.standby_may_have_admitted_unknown:
--- a/libs/ledger/src/masticdale_ledger/hosts.py
+++ b/libs/ledger/src/masticdale_ledger/hosts.py
@@ -32,7 +32,7 @@
 
 
 class LiveHosts:
-    """Hosts that have sent this one a request lately, and so are alive.
+    """Hosts that have sent this one a request recently, and so are alive.
 
     Every host that has callers sends requests to the owners. An owner therefore
     knows which hosts can be its standby or take over its shards when it stops,
@@ -62,7 +62,7 @@
         self._seen_at_by_host.pop(host, None)
 
     def live(self) -> list[HostAddress]:
-        """Returns the hosts that have sent a request lately."""
+        """Returns the hosts that have sent a request recently."""
         cutoff = time.monotonic() - self._LIVENESS_TIMEOUT_S
         self._seen_at_by_host = {
             host: seen_at
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -160,7 +160,7 @@
         return self.copier is not None and self.copier.standby_may_hold_copy
 
     @property
-    def is_standby_leaving(self) -> bool:
+    def is_standby_stopping(self) -> bool:
         """Whether the standby has said that it is stopping."""
         return self.copier is not None and self.copier.is_standby_stopping
 
--- a/libs/ledger/src/masticdale_ledger/peer_selector.py
+++ b/libs/ledger/src/masticdale_ledger/peer_selector.py
@@ -7,8 +7,8 @@
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.shards import ShardMap
 
-# A host that failed is not chosen again for this long, in seconds; a killed
-# process restarts sooner.
+# A failed host is not chosen for this long, in seconds. Must outlast the
+# restart of a killed process.
 _FAILED_HOST_BACKOFF_S = 10.0
 
 
@@ -88,10 +88,10 @@
     def _live_addresses(
         self, domain_by_address: dict[tuple[str, int], str]
     ) -> list[tuple[str, int]]:
-        """Returns hosts that are probably alive, without those that failed.
+        """Returns the live hosts, or the candidates if no such host is left.
 
-        Hosts that have sent a request lately come first. Any other host may be
-        dead, and choosing it would cost another write of the shard's record.
+        Leaves out hosts that failed. A candidate that has sent no request may
+        be dead, and choosing it would cost another write of the shard's record.
         """
         return self._without_failed(domain_by_address) or self._without_failed(
             self._hosts.candidates()
--- a/libs/ledger/src/masticdale_ledger/reconciler.py
+++ b/libs/ledger/src/masticdale_ledger/reconciler.py
@@ -358,7 +358,11 @@
 
     def _needs_standby(self, shard: OwnedShard) -> bool:
         is_broken = shard.number in self._owner.replication_failure_by_shard
-        if is_broken or shard.isolation is not None or shard.is_standby_leaving:
+        if (
+            is_broken
+            or shard.isolation is not None
+            or shard.is_standby_stopping
+        ):
             return True
         return (
             shard.copier is None
--- a/libs/ledger/src/masticdale_ledger/service.py
+++ b/libs/ledger/src/masticdale_ledger/service.py
@@ -91,7 +91,7 @@
         return self._copies.put(request)
 
     async def seal(self, request: SealRequest) -> SealReply:
-        """Seals the copy of a shard, which stops its owner."""
+        """Seals the copy of a shard, which fences its owner."""
         return self._failover.seal(request)
 
     async def appoint(self, request: AppointRequest) -> AppointReply:
@@ -99,7 +99,7 @@
         return self._arbiter.appoint(request)
 
     async def decide(self, request: DecideRequest) -> DecideReply:
-        """Decides which side may go on."""
+        """Decides for the side that asks first."""
         return self._arbiter.decide(request)
 
     async def store(self, request: StoreRequest) -> StoreReply:
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -62,21 +62,21 @@
         self.loses_answers = False
 
     @property
-    def is_lost(self):
+    def is_unreachable(self):
         return self.is_cut or self._store.faults.down
 
     async def read(self, key):
-        if self.is_lost:
+        if self.is_unreachable:
             return self._unavailable()
         return await self._store.read(key)
 
     async def list(self, prefix):
-        if self.is_lost:
+        if self.is_unreachable:
             return self._unavailable()
         return await self._store.list(prefix)
 
     async def write(self, key, value, expected_version):
-        if self.is_lost:
+        if self.is_unreachable:
             return self._unavailable()
         outcome = await self._store.write(key, value, expected_version)
         if not self.loses_answers:
@@ -86,7 +86,7 @@
         return Failed(Failure(ErrorKind.WRITE_UNKNOWN, "no answer"))
 
     async def delete(self, key, expected_version):
-        if self.is_lost:
+        if self.is_unreachable:
             return self._unavailable()
         return await self._store.delete(key, expected_version)
 
@@ -147,7 +147,7 @@
         self.is_stopping = False
         self.store = HostStore(world.store)
         self.map = ShardMap()
-        lease = Lease(world.clock, lambda: self.store.is_lost)
+        lease = Lease(world.clock, lambda: self.store.is_unreachable)
         records = ProgramRecords(self.store, identity.incarnation)
         self.owner = ShardOwner(records, lease, Metrics())
         self.copies = StandbyCopies()
@@ -178,7 +178,7 @@
             claims,
             self.failover,
             links,
-            lambda: self.store.is_lost,
+            lambda: self.store.is_unreachable,
             self.live_hosts,
         )
         self.service = LedgerService(
--- a/libs/ledger/tests/test_any_order.py
+++ b/libs/ledger/tests/test_any_order.py
@@ -225,7 +225,7 @@
         await self.admit_turns(self.owner, "old", 1)
         await self.world.end_turn(20)
         await self.owner.owner.replicate_changes()
-        self.assertTrue(self.owner.owner.owned()[SHARD].is_standby_leaving)
+        self.assertTrue(self.owner.owner.owned()[SHARD].is_standby_stopping)
         self.standby.store.is_cut = True
         await self.owner.reconciler.reconcile()
         self.partition("a", self.standby.name)
