--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -362,11 +362,11 @@
         """Returns the side that may have used the remainder of the quotas.
 
         For the takeover of a shard whose standby has not acted. With OWNER, the
-        remainder is charged to the accounts: the arbiter has decided for the
-        owner or does not answer. With STANDBY it is not: there is no arbiter,
-        or it has decided for the standby or this host, the successor. An
-        arbiter that had not decided yet decides for the successor, so that it
-        allows neither owner nor standby to go on.
+        owner's charged quota includes the remainder: the arbiter has decided
+        for the owner or does not answer. With STANDBY it does not: there is no
+        arbiter, or it has decided for the standby or the successor. An arbiter
+        that had not decided yet decides for the successor, this host, and so
+        for neither owner nor standby.
         """
         if not record.arbiter_address:
             return Side.STANDBY
--- a/libs/ledger/src/masticdale_ledger/reconciler.py
+++ b/libs/ledger/src/masticdale_ledger/reconciler.py
@@ -98,7 +98,7 @@
         self._claim_due_at_by_shard: dict[int, float] = {}
 
     async def reconcile(self) -> None:
-        """Drops shards that other hosts own and claims vacant ones."""
+        """Drops superseded shards, claims vacant ones and replaces standbys."""
         await self._drop_superseded()
         if self.is_stopping or not self._map.is_loaded:
             return
@@ -190,7 +190,7 @@
             await self._hand_over(shard)
 
     async def _drop_superseded(self) -> None:
-        """Drops shards that other hosts own.
+        """Drops shards that other hosts have claimed.
 
         Resolves unconfirmed claims first. If such a claim of this process were
         taken for another host's, the accounts of the shard would be lost.
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -212,7 +212,7 @@
 
     program: str
     request_id: str
-    asked: Process
+    process: Process
 
 
 class World:
@@ -283,10 +283,10 @@
             if not port:
                 continue
             outcome = await self._ask(process, port, request)
-            is_missed = isinstance(outcome, Failed)
+            is_unanswered = isinstance(outcome, Failed)
             if port == record.port:
-                self._note_reachability(process, view, is_missed)
-            if is_missed:
+                self._update_reachability(process, view, is_unanswered)
+            if is_unanswered:
                 continue
             failure = outcome.unwrap().failure
             if failure is None:
@@ -302,18 +302,18 @@
         link = Link(self, process.name, self.names[port])
         return await link.call(ADMIT, request, 0.4)
 
-    def _note_reachability(self, process, view, is_missed):
+    def _update_reachability(self, process, view, is_unanswered):
         known = process.client.unreachable_by_shard
-        if not is_missed:
+        if not is_unanswered:
             known.pop(SHARD, None)
             return
         now = asyncio.get_running_loop().time()
         known[SHARD] = UnreachableOwner(view.version, now - 1.0, now)
 
-    def _record_grant(self, program, request_id, asked):
-        given = self.granted_by_program.setdefault(program, {})
-        given[request_id] = MAX_TURN_TOKENS
-        self.open_turns.append(Turn(program, request_id, asked))
+    def _record_grant(self, program, request_id, process):
+        granted = self.granted_by_program.setdefault(program, {})
+        granted[request_id] = MAX_TURN_TOKENS
+        self.open_turns.append(Turn(program, request_id, process))
 
     async def end_turn(self, used):
         """Ends the oldest turn and sends its settlement."""
@@ -331,7 +331,7 @@
                 self.unsent_settlements.append((turn, used))
 
     async def _settle(self, turn, used):
-        process = turn.asked
+        process = turn.process
         if self.process_by_name.get(process.name) is not process:
             # The settlement was lost with its process.
             return True
@@ -418,10 +418,10 @@
         await self.send_settlements()
 
     def overspent(self):
-        """Returns granted tokens by program, of those beyond the guarantee."""
+        """Returns granted tokens by program, for those beyond the guarantee."""
         total_by_program = {
-            program: sum(given.values())
-            for program, given in self.granted_by_program.items()
+            program: sum(granted.values())
+            for program, granted in self.granted_by_program.items()
         }
         return {
             program: total
--- a/libs/ledger/tests/test_isolation.py
+++ b/libs/ledger/tests/test_isolation.py
@@ -65,25 +65,25 @@
         replaced_owners: Owners that do not know yet that they were replaced.
     """
 
-    def __init__(self, budget, most):
+    def __init__(self, budget, max_turn_tokens):
         self.budget = budget
-        self.most = most
+        self.max_turn_tokens = max_turn_tokens
         self.store = MemoryStore()
         self.lease = Lease()
         self.epoch = 0
-        self.writers = 0
+        self.start_count = 0
         self.used = {}
         self.open_turns = []
         self.owner = None
         self.acting_owner = None
         self.replaced_owners = []
-        self.asked = 0
+        self.request_count = 0
         self.start_owner(Accounts(), 0.0)
 
     def create_host(self, accounts, incomplete_s, copier):
         """Returns a host that owns the shard, and the shard."""
-        self.writers += 1
-        incarnation = f"w{self.writers}"
+        self.start_count += 1
+        incarnation = f"w{self.start_count}"
         records = ProgramRecords(self.store, incarnation)
         owner = ShardOwner(records, self.lease, Metrics())
         record = ShardRecord(
@@ -116,12 +116,14 @@
         if host is None:
             return
         self.lease.renew(self.lease.now())
-        self.asked += 1
-        request_id = str(self.asked)
-        claim = TurnClaim(PROGRAM, request_id, self.budget, self.most)
+        self.request_count += 1
+        request_id = str(self.request_count)
+        claim = TurnClaim(
+            PROGRAM, request_id, self.budget, self.max_turn_tokens
+        )
         owner, _ = host
         if isinstance(await owner.admit(SHARD, claim), Success):
-            self.used[request_id] = self.most
+            self.used[request_id] = self.max_turn_tokens
             self.open_turns.append((request_id, host))
 
     def settle(self, amount):
@@ -129,7 +131,7 @@
         if not self.open_turns:
             return
         request_id, (_, shard) = self.open_turns.pop(0)
-        self.used[request_id] = min(amount, self.most)
+        self.used[request_id] = min(amount, self.max_turn_tokens)
         for target in (shard, self.owner[1]):
             target.accounts.settle(PROGRAM, request_id, self.used[request_id])
             if target.copier is not None:
@@ -259,14 +261,16 @@
         Partitions, failovers, takeovers and losses of all hosts occur in any
         order, with lost answers and turns that end at any time.
         """
-        most = 100
-        budget = int(1.5 * turns * most)
+        max_turn_tokens = 100
+        budget = int(1.5 * turns * max_turn_tokens)
 
         async def play():
-            world = World(budget, most)
+            world = World(budget, max_turn_tokens)
             for kind, amount in steps:
                 await world.step(kind, amount)
-                self.assertLessEqual(sum(world.used.values()), budget + most)
+                self.assertLessEqual(
+                    sum(world.used.values()), budget + max_turn_tokens
+                )
 
         asyncio.run(play())
 
@@ -310,10 +314,10 @@
             await world.step("partition", 0)
             for _ in range(10):
                 await world.step("owner", 0)
-            given = sum(world.used.values())
+            granted = sum(world.used.values())
             await world.step("takeover", 0)
             account = world.owner[1].accounts.get(PROGRAM)
-            self.assertGreaterEqual(account.committed_tokens, given)
+            self.assertGreaterEqual(account.committed_tokens, granted)
 
         asyncio.run(play())
 
