--- a/libs/ledger/src/masticdale_ledger/client.py
+++ b/libs/ledger/src/masticdale_ledger/client.py
@@ -31,8 +31,8 @@
 # Timeout of all calls for one turn, in seconds. A lost owner is usually
 # replaced within this time; otherwise the caller gets a failure and may retry.
 _ADMIT_TIMEOUT_S = 1.2
-# Longest time in seconds that an attempt takes, with calls to the owner and to
-# its standby. If it took longer, this host itself was paused.
+# Longest time in seconds that an attempt takes, which calls the owner and then
+# its standby; with a margin. If it took longer, this host itself was paused.
 _MAX_ATTEMPT_S = 2 * CALL_TIMEOUT_S + 0.2
 # Delay between two attempts, in seconds, unless the shard map changes before.
 _RETRY_DELAY_S = 0.08
