--- a/libs/ledger/src/masticdale_ledger/arbiter.py
+++ b/libs/ledger/src/masticdale_ledger/arbiter.py
@@ -1,10 +1,10 @@
 """Arbitration between a shard's owner and its standby by a third host.
 
-During a store outage, a standby whose owner is lost can't be told from one
-that is partitioned. Only one of the two may admit programs that the other does
-not know, since turns admitted by both would be counted by neither. The shard's
-record in the store names the arbiter of an epoch in advance. It decides for the
-side that asks first. There is no vote, and the arbiter has no substitute.
+During a store outage, a standby can't tell a lost owner from a partitioned one.
+Only one of the two may admit programs that the other does not know; otherwise
+each would count only its own turns of such a program. The shard's record in the
+store names an arbiter for its epoch. The arbiter decides for the side that asks
+first. There is no vote, and a lost arbiter is not replaced within the epoch.
 """
 
 import asyncio
@@ -25,15 +25,16 @@
 )
 from masticdale_ledger.shards import ShardRecord
 
-# Timeout of a call, in seconds: a hundred round trips between failure domains.
+# Timeout of a call, in seconds. A failover waits for it if the arbiter is lost.
 _CALL_TIMEOUT_S = 0.25
 
 
 class Side(enum.StrEnum):
-    """A host that may ask the arbiter for an epoch; a string in messages.
+    """A host that may ask the arbiter of an epoch; values are sent in messages.
 
     The successor is a host that takes the shard over. It asks too, so that
-    afterwards the arbiter decides for neither owner nor standby.
+    afterwards the arbiter decides for neither owner nor standby. The wire
+    format names it "taker".
     """
 
     OWNER = "owner"
@@ -49,7 +50,7 @@
     """A shard whose arbiter this host is.
 
     Attributes:
-        epoch: The owner's epoch.
+        epoch: Epoch of the shard's record that names this host.
         side: The side that asked first; empty until then.
     """
 
@@ -98,20 +99,20 @@
         self._hosts = hosts
         self._appointment_tasks: set[asyncio.Task[None]] = set()
 
-    def appoint(self, number: int, record: ShardRecord) -> None:
+    def appoint(self, shard_number: int, record: ShardRecord) -> None:
         """Appoints the arbiter of an epoch, in the background.
 
         Must be called only once per epoch. A second call could reach an arbiter
-        that has restarted and lost its decision, and would decide again.
+        that has restarted and lost its decision; it would then decide again.
         """
         if not record.arbiter_address:
             return
-        task = asyncio.create_task(self._send_appointment(number, record))
+        task = asyncio.create_task(self._send_appointment(shard_number, record))
         self._appointment_tasks.add(task)
         task.add_done_callback(self._appointment_tasks.discard)
 
     async def decide(
-        self, side: Side, number: int, record: ShardRecord
+        self, side: Side, shard_number: int, record: ShardRecord
     ) -> Side | None:
         """Asks the arbiter of an epoch to decide for a side.
 
@@ -122,12 +123,12 @@
         if not record.arbiter_address:
             return None
         peer = self._hosts.client(record.arbiter_address, record.arbiter_port)
-        request = DecideRequest(number, record.epoch, side)
+        request = DecideRequest(shard_number, record.epoch, side)
         outcome = await peer.call(DECIDE, request, _CALL_TIMEOUT_S)
         is_failed = isinstance(outcome, Failed)
         logs.write_bounded(
             "arbiter_asked",
-            shard=number,
+            shard=shard_number,
             epoch=record.epoch,
             arbiter=record.arbiter_address,
             asked_by=side,
@@ -136,14 +137,16 @@
         )
         return None if is_failed else _SIDE_BY_VALUE.get(outcome.unwrap().side)
 
-    async def _send_appointment(self, number: int, record: ShardRecord) -> None:
+    async def _send_appointment(
+        self, shard_number: int, record: ShardRecord
+    ) -> None:
         peer = self._hosts.client(record.arbiter_address, record.arbiter_port)
-        request = AppointRequest(number, record.epoch)
+        request = AppointRequest(shard_number, record.epoch)
         outcome = await peer.call(APPOINT, request, _CALL_TIMEOUT_S)
         if isinstance(outcome, Failed) or not outcome.unwrap().accepted:
             logs.write_bounded(
                 "arbiter_not_appointed",
-                shard=number,
+                shard=shard_number,
                 epoch=record.epoch,
                 arbiter=record.arbiter_address,
                 reason=str(outcome.failure())
--- a/libs/ledger/src/masticdale_ledger/failover.py
+++ b/libs/ledger/src/masticdale_ledger/failover.py
@@ -6,6 +6,7 @@
 from returns.result import Failure as Failed
 
 from masticdale_common import ErrorKind, logs
+from masticdale_ledger.account_codec import account_from_state
 from masticdale_ledger.accounts import Accounts
 from masticdale_ledger.arbiter import Side
 from masticdale_ledger.claims import ShardClaims, TakeoverState
@@ -19,13 +20,15 @@
     SettleRequest,
 )
 from masticdale_ledger.owner import OwnedShard, ShardOwner
-from masticdale_ledger.shards import PreviousOwner, ShardMap, ShardView
+from masticdale_ledger.shards import (
+    PreviousOwnerState,
+    ShardMap,
+    VersionedShardRecord,
+)
 from masticdale_ledger.standby import StandbyCopies
-from masticdale_ledger.states import account_from_state
 
-# Timeout of a ping of the owner, in seconds: a hundred round trips between
-# failure domains. Hosts turn to the standby only after the owner has failed to
-# answer them, so a busy owner has had more time than this.
+# Timeout of a ping, in seconds. An owner that does not answer within it counts
+# as lost.
 _PING_TIMEOUT_S = 0.25
 # Shortest time between two pings of a shard's owner, in seconds, however many
 # turns arrive.
@@ -35,10 +38,11 @@
 class StandbyFailover:
     """Makes this host the acting owner of shards whose owner is lost.
 
-    The standby holds every account, and hosts whose calls to the owner fail
-    call it next. It pings the owner once, admits turns of the programs that it
-    knows, and claims the shard in the store meanwhile. Other hosts have to wait
-    longer before they may claim the shard.
+    The standby holds every account. Hosts call it after the owner has not
+    answered or has answered NOT_OWNER, and for a while after a failed call they
+    call it first. The standby then pings the owner. If there is no answer, it
+    admits turns of the programs that it knows, and meanwhile claims the shard
+    in the store. Other hosts wait longer before they claim the shard.
     """
 
     def __init__(
@@ -61,40 +65,42 @@
         self._pinged_at_by_shard: dict[int, float] = {}
         self._claim_tasks: set[asyncio.Task[None]] = set()
 
-    async def fail_over(self, number: int) -> None:
+    async def fail_over(self, shard_number: int) -> None:
         """Takes a shard over if this host is its standby and the owner is lost.
 
         Args:
-            number: The shard.
+            shard_number: The shard.
         """
-        view = self._map.get(number)
-        if view is None or not self._can_take_over(number, view):
+        view = self._map.get(shard_number)
+        if view is None or not self._can_take_over(shard_number, view):
             return
-        if not self._may_ping(number):
+        if not self._may_ping(shard_number):
             return
         record = view.record
         owner = self._hosts.client(record.address, record.port)
         answer = await owner.call(SETTLE, SettleRequest(()), _PING_TIMEOUT_S)
         if not isinstance(answer, Failed):
             return
-        side = await self._claims.arbitration.decide(
-            Side.STANDBY, number, record
+        side = await self._claims.arbiter_client.decide(
+            Side.STANDBY, shard_number, record
         )
-        if not self._can_take_over(number, view):
+        if not self._can_take_over(shard_number, view):
             return
-        shard = self._take_over(number, view, has_decision=side is Side.STANDBY)
+        shard = self._take_over(
+            shard_number, view, won_arbitration=side is Side.STANDBY
+        )
         task = asyncio.create_task(self.claim(shard))
         self._claim_tasks.add(task)
         task.add_done_callback(self._claim_tasks.discard)
 
     async def claim(self, shard: OwnedShard) -> None:
         """Claims a shard of which this host is the acting owner."""
-        # If another host seals the shard meanwhile, this one stops admitting
+        # If another host seals the copy meanwhile, this one stops admitting
         # turns. Of the two claims, the one written first succeeds.
         outcome = await self._claims.claim(
             shard.number,
             shard.view.version,
-            TakeoverState(PreviousOwner.ENDED, acting_shard=shard),
+            TakeoverState(PreviousOwnerState.ENDED, acting_shard=shard),
         )
         if not isinstance(outcome, Failed):
             return
@@ -111,13 +117,12 @@
     def admit_unknown_programs(self, shard: OwnedShard) -> None:
         """Admits programs, too, that the last owner did not know.
 
-        Called when the store can't be reached. A partitioned standby can't tell
-        whether its owner is lost: a live owner that reaches the store names
-        another standby and counts such programs from zero, so that they would
-        exceed their budget by half. They are admitted only if the owner's last
-        copy said that it had lost the store too, or if the arbiter has decided
-        for this host. In both cases a live owner counts unknown programs as
-        half spent.
+        Called when the store can't be reached. The owner may be alive, assign
+        another standby and count unknown programs from zero; programs admitted
+        here too would exceed their budget by half. They are therefore admitted
+        only if the owner's last copy said that it can't reach the store either,
+        or if the arbiter has decided for this host. In both cases a live owner
+        counts unknown programs as spent up to the unrecorded limit.
         """
         if shard.isolation is None or shard.isolation.admits_unknown:
             return
@@ -134,10 +139,10 @@
     def seal(self, request: SealRequest) -> SealReply:
         """Seals the copy of a shard that another host is taking over.
 
-        The sealing host may lose the race for the shard, lose this reply or
-        crash. The accounts with the turns admitted as acting owner therefore
-        stay in the copy for every host that seals it later. Otherwise these
-        turns would not be counted, and programs could exceed their budget.
+        The sealing host may lose this reply, crash, or fail to claim the shard.
+        The copy therefore keeps the turns admitted as acting owner for every
+        host that seals it later. Otherwise nobody would count them, and
+        programs could exceed their budget.
         """
         shard = self._owner.owned().get(request.shard)
         if shard is not None and shard.is_acting:
@@ -152,33 +157,42 @@
                 )
         return self._copies.seal(request)
 
-    def _may_ping(self, number: int) -> bool:
+    def _may_ping(self, shard_number: int) -> bool:
         """Returns whether a ping is due; if so, records its time."""
         now = self._lease.now()
-        if now - self._pinged_at_by_shard.get(number, 0.0) < _PING_INTERVAL_S:
+        if (
+            now - self._pinged_at_by_shard.get(shard_number, 0.0)
+            < _PING_INTERVAL_S
+        ):
             return False
-        self._pinged_at_by_shard[number] = now
+        self._pinged_at_by_shard[shard_number] = now
         return True
 
-    def _can_take_over(self, number: int, view: ShardView) -> bool:
+    def _can_take_over(
+        self, shard_number: int, view: VersionedShardRecord
+    ) -> bool:
         record = view.record
         own_endpoint = (self._identity.address, self._identity.port)
         return (
-            number not in self._owner.owned()
+            shard_number not in self._owner.owned()
             and (record.standby_address, record.standby_port) == own_endpoint
-            and self._copies.is_usable(number, record.epoch)
+            and self._copies.is_usable(shard_number, record.epoch)
         )
 
     def _take_over(
-        self, number: int, view: ShardView, *, has_decision: bool
+        self,
+        shard_number: int,
+        view: VersionedShardRecord,
+        *,
+        won_arbitration: bool,
     ) -> OwnedShard:
         record = view.record
-        self._claims.partners.mark_failed(record.address, record.port)
-        copy = self._copies.seal(SealRequest(number, record.epoch))
+        self._claims.peer_selector.mark_failed(record.address, record.port)
+        copy = self._copies.seal(SealRequest(shard_number, record.epoch))
         accounts = Accounts()
         accounts.restore([account_from_state(state) for state in copy.accounts])
         shard = OwnedShard(
-            number,
+            shard_number,
             view,
             accounts,
             copy.incomplete_for_s,
@@ -187,21 +201,21 @@
             record.incarnation,
         )
         shard.is_acting = True
-        shard.won_arbitration = has_decision
-        gets_remainder = has_decision or not record.arbiter_address
+        shard.won_arbitration = won_arbitration
+        is_remainder_side = won_arbitration or not record.arbiter_address
         quotas = isolation_quotas(
             accounts.all(),
             is_standby=True,
-            remainder_side=Side.STANDBY if gets_remainder else Side.OWNER,
+            remainder_side=Side.STANDBY if is_remainder_side else Side.OWNER,
         )
         shard.isolation = Isolation(quotas, admits_unknown=False)
         self._owner.take(shard)
         logs.write(
             "shard_acted_for",
-            shard=number,
+            shard=shard_number,
             epoch=record.epoch,
             owner=record.owner,
             accounts=len(copy.accounts),
-            has_decision=has_decision,
+            has_decision=won_arbitration,
         )
         return shard
--- a/libs/ledger/src/masticdale_ledger/isolation.py
+++ b/libs/ledger/src/masticdale_ledger/isolation.py
@@ -1,23 +1,29 @@
-"""Spending limits of a partitioned owner and standby during a store outage."""
+"""Limits and charges while a shard's owner and standby are partitioned.
+
+A shard is isolated on a host that can't coordinate with the other side: the
+owner or its acting standby. Each side may then use a quota of the tokens left
+below the unrecorded limit, which is the part of a budget that is granted
+without a record in the store (see ``accounts``). Whoever owns the shard next
+charges the quota of the side whose turns it does not know.
+"""
 
 import dataclasses
 
+from masticdale_ledger.account_codec import account_from_state
 from masticdale_ledger.accounts import Account, unrecorded_limit_tokens
 from masticdale_ledger.arbiter import Side
 from masticdale_ledger.messages import AccountState
-from masticdale_ledger.states import account_from_state
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Isolation:
     """Limits of an owner or a standby that is partitioned from the other.
 
-    Both hold the same accounts when the partition begins. While the store is
-    unavailable neither can be replaced and no record can be written. The
-    tokens left below the first step, which is what counts as spent if both
-    lose their memory, are split between the two. If each could admit turns for
-    all of them, a program could exceed its budget by half after the loss of all
-    hosts. Programs with a record are not admitted.
+    Both hold the same accounts when the partition begins. The tokens left below
+    the unrecorded limit are split between the two, since only that limit counts
+    as spent if both lose their accounts. If each could grant all of them, a
+    program could exceed its budget by half after the loss of all hosts.
+    Programs with a record get no quota.
 
     Attributes:
         quota_by_program_id: Quotas of the programs known when the partition
@@ -53,16 +59,16 @@
 ) -> dict[str, IsolationQuota]:
     """Returns the quota of one host for each program, by program ID.
 
-    The two hosts may disagree on which turns have ended. A turn in progress
-    lowers this host's limit but not the peer's tokens, so the sum of both stays
-    within the ceiling whichever host has seen more settlements.
+    The two hosts may disagree on which turns have ended. A turn in flight
+    lowers this host's limit but not the peer's tokens, so that the sum of both
+    stays within the ceiling whichever host has received more settlements.
 
     Args:
         accounts: The accounts that both hosts hold.
         is_standby: Whether the quotas are those of the standby.
-        remainder_side: The host that may admit one more turn where half of
-            the tokens left is less than a turn. If unknown, the other host;
-            without an arbiter, the standby.
+        remainder_side: The side that gets a whole turn where half of the
+            tokens left is less than a turn. Without an arbiter, the standby. A
+            host for which the arbiter has not decided passes the other side.
     """
     side = Side.STANDBY if is_standby else Side.OWNER
     return {
@@ -71,7 +77,9 @@
     }
 
 
-def _isolation_quota(account: Account, gets_remainder: bool) -> IsolationQuota:
+def _isolation_quota(
+    account: Account, is_remainder_side: bool
+) -> IsolationQuota:
     if account.bound is not None:
         # A record leaves room for at most two turns. Half of that may not
         # cover a turn, yet would count as spent after each loss of an owner.
@@ -86,26 +94,26 @@
         unspent_tokens = 0
     return IsolationQuota(
         limit_tokens=account.spent_tokens
-        + _split_tokens(unspent_tokens, turn_tokens, gets_remainder),
+        + _split_tokens(unspent_tokens, turn_tokens, is_remainder_side),
         peer_tokens=_split_tokens(
-            peer_unspent_tokens, turn_tokens, not gets_remainder
+            peer_unspent_tokens, turn_tokens, not is_remainder_side
         ),
     )
 
 
 def _split_tokens(
-    unspent_tokens: int, turn_tokens: int, gets_remainder: bool
+    unspent_tokens: int, turn_tokens: int, is_remainder_side: bool
 ) -> int:
     """Returns half of the tokens, or a whole turn if half is less than one.
 
-    Only one of the two hosts gets the whole turn; the other gets the rest.
-    Without it, programs near their limit would be admitted by neither host.
+    Only the remainder side gets the whole turn; the other gets the rest. If
+    each got half, programs near their limit would be admitted by neither.
     """
     half = unspent_tokens // 2
     larger_part = (
         half if half >= turn_tokens else min(unspent_tokens, turn_tokens)
     )
-    return larger_part if gets_remainder else unspent_tokens - larger_part
+    return larger_part if is_remainder_side else unspent_tokens - larger_part
 
 
 def charge_owner_quota(
@@ -136,11 +144,11 @@
     return dataclasses.replace(state, spent_tokens=spent)
 
 
-def charge_first_step(state: AccountState) -> AccountState:
-    """Charges an account with the first step of its budget.
+def charge_unrecorded_limit(state: AccountState) -> AccountState:
+    """Charges an account with the unrecorded limit of its budget.
 
-    For a program whose account exists here only because a turn was rejected.
-    Its caller may then have reached the standby, which admitted the program;
+    For a program that no standby has acknowledged. After a turn was rejected
+    here, its caller may have reached the standby, which admitted the program;
     counted from zero here, the program would get part of its budget twice.
     """
     unseen_tokens = unrecorded_limit_tokens(state.budget_tokens)
--- a/libs/ledger/src/masticdale_ledger/records.py
+++ b/libs/ledger/src/masticdale_ledger/records.py
@@ -12,9 +12,11 @@
 from masticdale_platform import ObjectStore, StoredObject
 
 RECORD_PREFIX = "ledger-programs/"
-# Age in milliseconds at which orphaned records are deleted: one day. A record
-# is orphaned if its owner dies before evicting the program. A program that
-# still runs then, and whose accounts are lost too, gets its budget again.
+# Time since its last write after which a record is deleted, in milliseconds.
+# This removes records whose owner died before it evicted the program, but also
+# those of programs that still run. The owner's next write of such a record
+# conflicts; it then creates a new one. If the accounts are lost too, what the
+# program has spent is unknown, and it may get its budget again.
 _RETENTION_MS = 86_400_000
 
 
@@ -23,7 +25,8 @@
 
     Attributes:
         bound_tokens: Most tokens that the program may have spent.
-        writer: The writing process; identifies a write whose answer was lost.
+        writer: Incarnation of the writing process; identifies a write whose
+            answer was lost.
         at_ms: Wall-clock milliseconds of the write.
     """
 
@@ -46,25 +49,25 @@
 
     Attributes:
         bound: The bound.
-        writer: The process that wrote it.
+        writer_incarnation: Incarnation of the process that wrote it.
     """
 
     bound: Bound
-    writer: str
+    writer_incarnation: str
 
 
 class ProgramRecords:
     """Reads, raises and deletes the bounds in the store."""
 
-    def __init__(self, store: ObjectStore, writer: str) -> None:
+    def __init__(self, store: ObjectStore, incarnation: str) -> None:
         """Creates access to the records.
 
         Args:
             store: The platform's store.
-            writer: Identity of this process, unique among all processes.
+            incarnation: Unique ID of this process; see ``Identity``.
         """
         self._store = store
-        self._writer = writer
+        self._incarnation = incarnation
 
     async def load(self) -> Result[dict[str, Bound], Failure]:
         """Returns every bound by record name."""
@@ -94,7 +97,7 @@
         key = RECORD_PREFIX + record_name(program_id)
         record = _Record(
             bound_tokens=tokens,
-            writer=self._writer,
+            writer=self._incarnation,
             at_ms=time.time_ns() // 1_000_000,
         )
         value = record.model_dump_json().encode()
@@ -105,14 +108,18 @@
         if outcome.failure().kind not in ambiguous:
             return outcome
         # This write, or an earlier one whose answer was lost, may have
-        # succeeded. Taken for another owner's bound it would count as spent,
-        # and the program would get 402 with tokens left.
+        # succeeded. If its bound were taken for another owner's, it would count
+        # as spent, and the program would get 402 with tokens left.
         found = await self._store.read(key)
         if isinstance(found, Failed):
             return found
         stored = found.unwrap()
         written = _parse_record(stored) if stored is not None else None
-        if stored is None or written is None or written.writer != self._writer:
+        if (
+            stored is None
+            or written is None
+            or written.writer != self._incarnation
+        ):
             return outcome
         if written.bound_tokens < tokens:
             return await self.raise_bound(program_id, tokens, stored.version)
@@ -140,7 +147,7 @@
             )
 
     async def delete_expired(self, now_ms: int) -> None:
-        """Deletes orphaned records, which every takeover would have to read.
+        """Deletes expired records, which every takeover would have to read.
 
         Args:
             now_ms: Current wall-clock milliseconds.
--- a/libs/ledger/src/masticdale_ledger/shared_watches.py
+++ b/libs/ledger/src/masticdale_ledger/shared_watches.py
@@ -1,8 +1,9 @@
 """Serves the results of this host's store watches to other hosts.
 
-Only a few hosts, the leaders, watch the store; the others follow a leader. The
-load on the store then grows with the number of changes and not with the number
-of hosts. Each follower makes about one call per second and prefix to a leader.
+Only a few hosts, the watch sources, watch the store; every other host follows
+one of them. The load on the store then grows with the number of changes and not
+with the number of hosts. Each follower makes about one call per second and
+prefix to its watch source.
 """
 
 import asyncio
@@ -36,7 +37,7 @@
 
     def __init__(self) -> None:
         self._state_by_prefix: dict[str, _WatchedPrefix] = {}
-        self._is_store_unavailable = True
+        self._is_store_unreachable = True
         self._changed = asyncio.Event()
 
     def apply(self, prefix: str, from_position: int, batch: WatchBatch) -> None:
@@ -64,14 +65,14 @@
         state.position = batch.position
         self._notify()
 
-    def mark_store_available(self) -> None:
+    def mark_store_reachable(self) -> None:
         """Records that the store answers this host."""
-        self._is_store_unavailable = False
+        self._is_store_unreachable = False
         self._notify()
 
-    def mark_store_unavailable(self) -> None:
+    def mark_store_unreachable(self) -> None:
         """Records that the store does not answer this host."""
-        self._is_store_unavailable = True
+        self._is_store_unreachable = True
         self._notify()
 
     async def wait_newer(
@@ -95,11 +96,11 @@
             state = self._state_by_prefix.get(prefix)
             if state is None:
                 return Failed(Failure(ErrorKind.NOT_FOUND, prefix))
-            if self._is_store_unavailable:
-                detail = "the leader can't reach the store"
+            if self._is_store_unreachable:
+                detail = "the watch source can't reach the store"
                 failure = Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail)
                 return Failed(failure)
-            # A follower of another leader may already have a later position.
+            # A follower of another source may already have a later position.
             if state.position > position:
                 return Success(_snapshot(state))
             remaining_s = deadline - asyncio.get_running_loop().time()
--- a/libs/ledger/tests/test_reconciler.py
+++ b/libs/ledger/tests/test_reconciler.py
@@ -15,10 +15,10 @@
 from masticdale_ledger.reconciler import ShardReconciler
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
-    PreviousOwner,
+    PreviousOwnerState,
     ShardMap,
     ShardRecord,
-    ShardView,
+    VersionedShardRecord,
     shard_key,
 )
 from masticdale_platform import StoredObject
@@ -68,26 +68,26 @@
         address="127.0.0.1",
         port=port,
         epoch=1,
-        previous=PreviousOwner.NONE,
+        previous=PreviousOwnerState.NONE,
     )
 
 
-def create_seen_hosts(*hosts):
+def create_live_hosts(*hosts):
     """Returns a record of hosts that have just sent a request."""
-    seen = LiveHosts(OWN)
+    live_hosts = LiveHosts(OWN)
     for host in hosts:
-        seen.record_request(host)
-    return seen
+        live_hosts.record_request(host)
+    return live_hosts
 
 
 class HandOverTest(unittest.IsolatedAsyncioTestCase):
-    async def hand_over(self, hosts, seen, other_owner="b"):
+    async def hand_over(self, hosts, live_hosts, other_owner="b"):
         """Hands shard 0 over; returns the outcome of a later turn here."""
         store = MemoryStore()
         lease = Lease()
         lease.renew(lease.now())
         owner = ShardOwner(ProgramRecords(store, "a"), lease, Metrics())
-        view = ShardView(record("a", 1), 1)
+        view = VersionedShardRecord(record("a", 1), 1)
         owner.take(OwnedShard(0, view, Accounts(), 0.0, lease, None))
         shard_map = ShardMap()
         value = record(other_owner, 2).model_dump_json().encode()
@@ -100,68 +100,68 @@
             lease,
             client=None,
             claims=None,
-            acting=None,
+            failover=None,
             hosts=hosts,
-            is_store_lost=lambda: False,
-            seen=seen,
+            is_store_unreachable=lambda: False,
+            live_hosts=live_hosts,
         )
         await reconciler.hand_over_all()
         return await owner.admit(0, TurnClaim("p", "r", 1000, 10))
 
     async def test_after_an_unknown_outcome_no_turn_is_admitted(self):
-        """A budget would be spent at two hosts at once.
+        """Guards against a budget that is spent at two hosts at once.
 
         The other host may have taken the shard over before its answer was
         lost.
         """
         for answer in (TIMED_OUT, TAKEN):
-            outcome = await self.hand_over(Peers(answer), create_seen_hosts())
+            outcome = await self.hand_over(Peers(answer), create_live_hosts())
             self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
     async def test_a_shard_that_was_certainly_not_taken_is_still_served(self):
         for answer in (NOT_CONNECTED, REFUSED):
-            outcome = await self.hand_over(Peers(answer), create_seen_hosts())
+            outcome = await self.hand_over(Peers(answer), create_live_hosts())
             self.assertIsInstance(outcome, Success)
 
     async def test_the_last_owner_offers_its_shards_to_hosts_without_shards(
         self,
     ):
-        """Programs would get 402 after a rolling restart.
+        """Guards against 402 for programs after a rolling restart.
 
         The host that stops last owns all shards. If only owners were offered
         them, all accounts would be lost.
         """
         hosts = Peers(TAKEN)
-        seen = create_seen_hosts(HostAddress("127.0.0.1", 2, "b"))
-        outcome = await self.hand_over(hosts, seen, other_owner="a")
+        live_hosts = create_live_hosts(HostAddress("127.0.0.1", 2, "b"))
+        outcome = await self.hand_over(hosts, live_hosts, other_owner="a")
         self.assertEqual(hosts.peer_by_port[2].calls, 1)
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
     async def test_a_shard_refused_by_a_stopping_host_is_offered_again(self):
-        """Two hosts that stop at once would both keep their shards."""
+        """Guards against shards that two stopping hosts both keep."""
         hosts = Peers(REFUSED, TAKEN)
-        seen = create_seen_hosts(HostAddress("127.0.0.1", 3, "b"))
-        outcome = await self.hand_over(hosts, seen)
+        live_hosts = create_live_hosts(HostAddress("127.0.0.1", 3, "b"))
+        outcome = await self.hand_over(hosts, live_hosts)
         self.assertEqual(hosts.peer_by_port[3].calls, 1)
         self.assertIs(outcome.failure().kind, ErrorKind.NOT_OWNER)
 
     async def test_an_unknown_outcome_ends_the_offers(self):
         hosts = Peers(TIMED_OUT, TIMED_OUT)
-        seen = create_seen_hosts(HostAddress("127.0.0.1", 3, "b"))
-        await self.hand_over(hosts, seen)
+        live_hosts = create_live_hosts(HostAddress("127.0.0.1", 3, "b"))
+        await self.hand_over(hosts, live_hosts)
         calls = [peer.calls for peer in hosts.peer_by_port.values()]
         self.assertEqual(sum(calls), 1)
 
 
-class SeenHostsTest(unittest.TestCase):
+class LiveHostsTest(unittest.TestCase):
     def test_a_host_is_never_its_own_candidate(self):
-        self.assertEqual(create_seen_hosts(OWN).live(), [])
+        self.assertEqual(create_live_hosts(OWN).live(), [])
 
     def test_a_stopping_host_is_no_candidate(self):
         other = HostAddress("127.0.0.1", 2, "b")
-        seen = create_seen_hosts(other)
-        seen.remove(other)
-        self.assertEqual(seen.live(), [])
+        live_hosts = create_live_hosts(other)
+        live_hosts.remove(other)
+        self.assertEqual(live_hosts.live(), [])
 
 
 if __name__ == "__main__":
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -72,8 +72,8 @@
     Edit(
         "acting standby",
         f"{_LEDGER}/failover.py",
-        "if view is None or not self._can_take_over(number, view):",
-        "if view is None or number >= 0:",
+        "if view is None or not self._can_take_over(shard_number, view):",
+        "if view is None or shard_number >= 0:",
     ),
     Edit(
         "waiting for turns",
@@ -84,8 +84,8 @@
     Edit(
         "watches through seeds",
         f"{_ENTRY}/entry.py",
-        "leaders = self._peer_clients.leaders()",
-        "leaders = self._peer_clients.leaders()[:0]",
+        "watch_sources = self._peer_clients.watch_sources()",
+        "watch_sources = self._peer_clients.watch_sources()[:0]",
     ),
     Edit(
         "records one turn ahead",
@@ -95,7 +95,7 @@
     ),
     Edit(
         "calls by way of others",
-        f"{_LEDGER}/store_relay.py",
+        f"{_LEDGER}/fallback_store.py",
         "_RELAYS = 2",
         "_RELAYS = 0",
     ),
--- a/tools/soak/tests/broken_host.py
+++ b/tools/soak/tests/broken_host.py
@@ -112,7 +112,7 @@
 
 def abort_requests_on_stop():
     async def stop(self):
-        await self._keeper.hand_over_all()
+        await self._reconciler.hand_over_all()
         await self.abort()
 
     EntryHost._stop = stop
