--- a/apps/masticdale_entry/src/masticdale_entry/entry.py
+++ b/apps/masticdale_entry/src/masticdale_entry/entry.py
@@ -32,9 +32,9 @@
 from masticdale_ledger import (
     LEASE_CHECK_INTERVAL_S,
     LEDGER,
+    LEDGER_SHARD_COUNT,
     RECONCILE_INTERVAL_S,
     REPLICATION_INTERVAL_S,
-    SHARD_COUNT,
     SHARD_PREFIX,
     FallbackStore,
     Identity,
@@ -58,15 +58,15 @@
 # Size of the accept queue. It must hold a burst of some hundred callers, since
 # a connection that finds it full is retried only after a second.
 _BACKLOG = 1024
-# Close to the longest watch that the store allows, since each watch is a priced
+# Close to the longest watch that the store allows, since each watch is a billed
 # call. TCP keep-alive detects a dead connection sooner.
 _WATCH_TIMEOUT_S = 28.0
-# Pause after a change of the list of replicas; a draining replica must get no
-# new work two seconds after it announces that.
-_REPLICAS_SETTLE_S = 0.3
-# How often a host whose watches are shared checks that the store responds.
-# Short enough that, with the timeout of the check and the failover of the hosts
-# that share the watches, a change takes effect within two seconds.
+# Pause after a change of the list of replicas. Short, because a replica must
+# get no new work two seconds after it announces that it drains.
+_REPLICAS_DEBOUNCE_S = 0.3
+# Interval at which a host whose watches are shared checks that the store
+# responds. If it does not, the hosts that share them must fail over early
+# enough for a change to take effect within two seconds.
 _STORE_CHECK_INTERVAL_S = 0.5
 # Time from SIGTERM until the balancer sends no more connections: it probes
 # readiness every second and removes a host after two failures.
@@ -99,35 +99,39 @@
             peers_address.port,
             settings.failure_domain,
         )
-        seen = LiveHosts(identity.host_address)
-        self._direct = PlatformObjectStore(
+        live_hosts = LiveHosts(identity.host_address)
+        self._direct_store = PlatformObjectStore(
             str(settings.store.ip), settings.store.port, self._metrics
         )
         self._shard_map = ShardMap()
-        self._peers = PeerClients(self._shard_map, settings, self._metrics)
-        leaders = self._peers.leaders()
-        shared = None if leaders else SharedWatches()
+        self._peer_clients = PeerClients(
+            self._shard_map, settings, self._metrics
+        )
+        watch_sources = self._peer_clients.watch_sources()
+        shared = None if watch_sources else SharedWatches()
         self._store = FallbackStore(
-            self._direct,
-            self._peers.all,
+            self._direct_store,
+            self._peer_clients.all,
             self._metrics,
-            leaders,
+            watch_sources,
             shared,
-            self._direct.ping,
+            self._direct_store.ping,
         )
         self._fleet = Fleet(settings.failure_domain)
         self._configuration = ActiveConfiguration(
             CONFIGURATION_KEY, read_configuration
         )
         self._replicas = ReplicaList(REPLICA_PREFIX, read_replica, self._fleet)
-        self._lease = Lease(is_store_lost=lambda: self._store.is_unreachable)
+        self._lease = Lease(
+            is_store_unreachable=lambda: self._store.is_store_unreachable
+        )
         records = ProgramRecords(self._store, incarnation)
         self._owner = ShardOwner(records, self._lease, self._metrics)
         self._ledger = LedgerClient(
             self._shard_map,
             self._owner,
             identity.host_address,
-            self._peers.client,
+            self._peer_clients.client,
             self._metrics,
         )
         self._copies = StandbyCopies()
@@ -139,19 +143,19 @@
             self._owner,
             self._lease,
             self._ledger,
-            self._peers,
-            seen,
+            self._peer_clients,
+            live_hosts,
         )
-        acting = StandbyFailover(
+        failover = StandbyFailover(
             identity,
             self._shard_map,
             self._owner,
             self._lease,
             self._copies,
             claims,
-            self._peers,
+            self._peer_clients,
         )
-        self._keeper = ShardReconciler(
+        self._reconciler = ShardReconciler(
             identity,
             self._store,
             self._shard_map,
@@ -159,18 +163,18 @@
             self._lease,
             self._ledger,
             claims,
-            acting,
-            self._peers,
-            lambda: self._store.is_unreachable,
-            seen,
+            failover,
+            self._peer_clients,
+            lambda: self._store.is_store_unreachable,
+            live_hosts,
         )
         service = LedgerService(
             self._owner,
-            self._keeper,
-            acting,
+            self._reconciler,
+            failover,
             self._copies,
-            self._direct,
-            seen,
+            self._direct_store,
+            live_hosts,
             shared,
         )
         self._ledger.admit_locally = service.admit
@@ -208,7 +212,7 @@
 
     def shard_of(self, program_id: str) -> int:
         """Returns the ledger shard of a program."""
-        return hashing.shard_of(program_id, SHARD_COUNT)
+        return hashing.shard_of(program_id, LEDGER_SHARD_COUNT)
 
     async def abort(self) -> None:
         """Stops immediately, without draining or handing over shards."""
@@ -235,7 +239,7 @@
                 REPLICA_PREFIX,
                 _WATCH_TIMEOUT_S,
                 self._replicas.apply,
-                _REPLICAS_SETTLE_S,
+                _REPLICAS_DEBOUNCE_S,
             )
         )
         self._start_watch(
@@ -243,8 +247,8 @@
         )
         self._tasks.append(asyncio.create_task(self._ledger.run()))
         for name, period_s, callback in (
-            ("shards", RECONCILE_INTERVAL_S, self._keeper.reconcile),
-            ("lease", LEASE_CHECK_INTERVAL_S, self._keeper.renew_lease),
+            ("shards", RECONCILE_INTERVAL_S, self._reconciler.reconcile),
+            ("lease", LEASE_CHECK_INTERVAL_S, self._reconciler.renew_lease),
             ("copies", REPLICATION_INTERVAL_S, self._owner.replicate_changes),
             ("store", _STORE_CHECK_INTERVAL_S, self._store.check),
             ("idle-connections", _CLOSE_IDLE_INTERVAL_S, self._close_idle),
@@ -297,11 +301,13 @@
         if is_first and self._shard_map.is_loaded:
             # After the loss of all hosts, programs wait until shards are
             # claimed; the timer would run this only a period later.
-            self._tasks.append(asyncio.create_task(self._keeper.reconcile()))
+            self._tasks.append(
+                asyncio.create_task(self._reconciler.reconcile())
+            )
 
     async def _close_idle(self) -> None:
         self._relay.pool.close_idle()
-        self._peers.close_idle()
+        self._peer_clients.close_idle()
 
     async def _stop(self) -> None:
         started_at = time.monotonic()
@@ -313,7 +319,7 @@
         self._ledger.is_stopping = True
         self._copies.is_stopping = True
         logs.write("stopping", busy=self._relay.active_requests)
-        await self._keeper.hand_over_all()
+        await self._reconciler.hand_over_all()
         while time.monotonic() < started_at + _BALANCER_DRAIN_S:
             await asyncio.sleep(_POLL_INTERVAL_S)
         while self._relay.active_requests and time.monotonic() < drain_deadline:
--- a/apps/masticdale_entry/src/masticdale_entry/peers.py
+++ b/apps/masticdale_entry/src/masticdale_entry/peers.py
@@ -28,7 +28,7 @@
         """Returns the clients of all other known hosts."""
         return [self.client(*address) for address in self.candidates()]
 
-    def leaders(self) -> list[RpcClient]:
+    def watch_sources(self) -> list[RpcClient]:
         """Returns the hosts whose store watches this host may share.
 
         These are the seeds, in random order to spread the load. A seed watches
@@ -68,6 +68,7 @@
             peer = PeerSettings(
                 name=f"{address}:{port}",
                 address=Address.model_validate({"ip": address, "port": port}),
+                # Required by PeerSettings; the client does not use it.
                 domain="unknown",
             )
             client = RpcClient(peer, None, _POOL_LIMITS, self._metrics, LEDGER)
--- a/apps/masticdaled/src/masticdaled/callers/listener.py
+++ b/apps/masticdaled/src/masticdaled/callers/listener.py
@@ -1,4 +1,4 @@
-"""The callers' interface over HTTP."""
+"""The callers' HTTP API."""
 
 import dataclasses
 import functools
@@ -40,7 +40,12 @@
     error_response,
     exception_handlers,
 )
-from masticdaled.callers.entry import Entry, Final, Request, TextPart
+from masticdaled.callers.forwarding import (
+    FinalOutcome,
+    OperationForwarder,
+    OperationRequest,
+    TextDelta,
+)
 from masticdaled.callers.limits import WorkspaceLimiter
 from masticdaled.callers.models import (
     CallAnswerBody,
@@ -62,40 +67,42 @@
 AnyRequest = litestar.Request[Any, Any, Any]
 
 
-class Readiness(Protocol):
-    """Whether the balancer should send callers here."""
+class ReadinessCheck(Protocol):
+    """Tells whether the load balancer should send callers to this host."""
 
     def is_ready(self) -> bool:
-        """True while this host serves and is not about to stop."""
+        """Returns True while this host serves and is not stopping."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallersContext:
-    """What the callers' listener stands on."""
+    """The dependencies of the callers' listener."""
 
-    entry: Entry
+    forwarder: OperationForwarder
     in_force: ActiveConfig
     limiter: WorkspaceLimiter
-    readiness: Readiness
+    readiness: ReadinessCheck
     settings: RequestSettings
     metrics: Metrics
 
 
-class _RefusedError(Exception):
-    """Carries a failure out of a route."""
+class _RequestFailedError(Exception):
+    """Carries a failure from a route to its exception handler."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(failure.kind.value)
         self.failure = failure
 
 
-def _refused(request: AnyRequest, error: _RefusedError) -> Any:
+def _handle_request_failed(
+    request: AnyRequest, error: _RequestFailedError
+) -> Any:
     return error_response(error.failure)
 
 
 class CallersController(litestar.Controller):
-    """Programs of the caller's workspace."""
+    """Routes for the programs of the caller's workspace."""
 
     path = "/v1/programs"
 
@@ -103,17 +110,19 @@
     async def create(
         self, request: AnyRequest, data: JSONBody[CreateProgramBody]
     ) -> ProgramBody:
-        """Begins a program; the same request id names the same program."""
+        """Begins a program; a repeated request id returns the same program."""
         context = _context(request)
         workspace = _authenticate(request)
         config = context.in_force.current
         kind = find_kind(config, workspace.name, data.program)
         if kind is None:
             detail = f"program kind {data.program!r}"
-            raise _RefusedError(Failure(ErrorKind.NOT_FOUND, detail))
-        program_id = program_id_of(workspace.name, data.request_id)
+            raise _RequestFailedError(Failure(ErrorKind.NOT_FOUND, detail))
+        program_id = derive_program_id(workspace.name, data.request_id)
         operation = CreateProgram(program_id, kind)
-        return await _ask(request, workspace, operation, data.deadline_ms)
+        return await _submit_operation(
+            request, workspace, operation, data.deadline_ms
+        )
 
     @litestar.get("/{program_id:str}", summary="Read a program's status")
     async def get_status(
@@ -122,10 +131,10 @@
         program_id: FromPath[str],
         history: FromQuery[str] = "",
     ) -> ProgramBody:
-        """Reads status and, with ``history=BRANCH``, a branch's history."""
+        """Reads the status and, with ``history=BRANCH``, a branch's history."""
         workspace = _authenticate(request)
         operation = GetProgram(program_id, history)
-        return await _ask(request, workspace, operation, None)
+        return await _submit_operation(request, workspace, operation, None)
 
     @litestar.post("/{program_id:str}/branches", summary="Open a branch")
     async def open_branch(
@@ -137,7 +146,9 @@
         """Opens a sub-agent's branch, which shares the program's budget."""
         workspace = _authenticate(request)
         operation = OpenBranch(program_id, data.branch, data.parent)
-        return await _ask(request, workspace, operation, data.deadline_ms)
+        return await _submit_operation(
+            request, workspace, operation, data.deadline_ms
+        )
 
     @litestar.post("/{program_id:str}/end", summary="End a program")
     async def end(
@@ -149,7 +160,9 @@
         """Ends a program and releases the engine memory held for it."""
         workspace = _authenticate(request)
         operation = EndProgram(program_id)
-        return await _ask(request, workspace, operation, data.deadline_ms)
+        return await _submit_operation(
+            request, workspace, operation, data.deadline_ms
+        )
 
     @litestar.post(
         "/{program_id:str}/turns", summary="Send a turn", status_code=200
@@ -160,7 +173,7 @@
         program_id: FromPath[str],
         data: JSONBody[SendTurnBody],
     ) -> Any:
-        """Sends a message; answers whole or as server-sent events."""
+        """Sends a message; answers as JSON or as server-sent events."""
         operation = SendTurn(
             program_id,
             data.branch,
@@ -171,8 +184,8 @@
         )
         call = _call_request(request, operation, data.deadline_ms)
         if data.stream:
-            return ServerSentEvent(_events(request, call))
-        return _whole(await _run(request, call))
+            return ServerSentEvent(_event_stream(request, call))
+        return _json_response(await _run_call(request, call))
 
     @litestar.post(
         "/{program_id:str}/calls", summary="Call a service", status_code=200
@@ -183,7 +196,7 @@
         program_id: FromPath[str],
         data: JSONBody[CallServiceBody],
     ) -> Any:
-        """Calls an operation; at most once where it may not be repeated."""
+        """Calls an operation, at most once if it is not idempotent."""
         operation = CallService(
             program_id,
             data.branch,
@@ -193,36 +206,38 @@
             data.sequence,
         )
         call = _call_request(request, operation, data.deadline_ms)
-        return _whole(await _run(request, call))
+        return _json_response(await _run_call(request, call))
 
 
-def program_id_of(workspace: str, request_id: str) -> str:
-    """Returns the id of the program that a request id begins.
+def derive_program_id(workspace: str, request_id: str) -> str:
+    """Derives a program's id from the request that creates it.
 
-    Derived rather than drawn, so that a create sent again, at any host, names
-    the same program and shard.
+    A retried create names the same program and shard at every host.
     """
     return hashing.digest("program", workspace, request_id)
 
 
 def create_callers_app(context: CallersContext) -> litestar.Litestar:
-    """Returns the application of the callers' listener."""
+    """Returns the ASGI application of the callers' listener."""
 
     @litestar.get("/healthz", summary="Whether the process runs")
     async def healthz() -> str:
-        """Answers while the process runs."""
+        """Answers 200 while the process runs."""
         return "ok"
 
     @litestar.get("/readyz", summary="Whether to send callers here")
     async def readyz() -> Any:
-        """Answers 503 before the host serves and once it stops."""
+        """Answers 503 until the host serves and again once it is stopping."""
         if context.readiness.is_ready():
             return litestar.Response("ready")
         return error_response(Failure(ErrorKind.STOPPING))
 
     app = litestar.Litestar(
         [CallersController, healthz, readyz],
-        exception_handlers={**exception_handlers(), _RefusedError: _refused},
+        exception_handlers={
+            **exception_handlers(),
+            _RequestFailedError: _handle_request_failed,
+        },
         logging_config=None,
         request_max_body_size=context.settings.max_bytes,
     )
@@ -241,7 +256,7 @@
     config = _context(request).in_force.current
     workspace = config.workspace_by_caller_digest.get(caller_key_digest(key))
     if workspace is None or not header.startswith(_BEARER):
-        raise _RefusedError(Failure(ErrorKind.UNAUTHENTICATED))
+        raise _RequestFailedError(Failure(ErrorKind.UNAUTHENTICATED))
     return workspace
 
 
@@ -250,40 +265,40 @@
     workspace: RenderedWorkspace,
     operation: Operation,
     deadline_ms: int | None,
-) -> Request:
+) -> OperationRequest:
     settings = _context(request).settings
-    asked_ms = deadline_ms or settings.default_deadline_ms
-    allowed_ms = min(asked_ms, settings.max_deadline_ms)
+    requested_ms = deadline_ms or settings.default_deadline_ms
+    allowed_ms = min(requested_ms, settings.max_deadline_ms)
     deadline = time.monotonic() + allowed_ms / _MS
-    return Request(operation, workspace.name, deadline)
+    return OperationRequest(operation, workspace.name, deadline)
 
 
 def _call_request(
     request: AnyRequest,
     operation: SendTurn | CallService,
     deadline_ms: int | None,
-) -> Request:
+) -> OperationRequest:
     workspace = _authenticate(request)
     return _entry_request(request, workspace, operation, deadline_ms)
 
 
-async def _ask(
+async def _submit_operation(
     request: AnyRequest,
     workspace: RenderedWorkspace,
     operation: Operation,
     deadline_ms: int | None,
 ) -> ProgramBody:
     message = _entry_request(request, workspace, operation, deadline_ms)
-    outcome = await _context(request).entry.submit(message)
+    outcome = await _context(request).forwarder.submit(message)
     if isinstance(outcome, Failed):
-        raise _RefusedError(outcome.failure())
+        raise _RequestFailedError(outcome.failure())
     return _program_body(outcome.unwrap())
 
 
-async def _follow(
-    request: AnyRequest, call: Request
-) -> AsyncIterator[TextPart | Final]:
-    """Submits a call within its workspace's limits and follows its answer."""
+async def _stream_call(
+    request: AnyRequest, call: OperationRequest
+) -> AsyncIterator[TextDelta | FinalOutcome]:
+    """Submits a call within its workspace's limits and streams its answer."""
     context = _context(request)
     operation = call.operation
     assert isinstance(operation, SendTurn | CallService)
@@ -291,17 +306,19 @@
     turn_id = f"{operation.program_id}/{operation.request_id}"
     begun = context.limiter.begin(call.workspace, turn_id)
     if isinstance(begun, Failed):
-        yield Final(Failed(begun.failure()))
+        yield FinalOutcome(Failed(begun.failure()))
         return
     kind = "none"
     try:
-        accepted = await context.entry.submit(call)
+        accepted = await context.forwarder.submit(call)
         if isinstance(accepted, Failed):
             kind = accepted.failure().kind.value
-            yield Final(Failed(accepted.failure()))
+            yield FinalOutcome(Failed(accepted.failure()))
             return
-        async for part in context.entry.follow(call):
-            if isinstance(part, Final) and isinstance(part.outcome, Failed):
+        async for part in context.forwarder.stream_answer(call):
+            if isinstance(part, FinalOutcome) and isinstance(
+                part.outcome, Failed
+            ):
                 kind = part.outcome.failure().kind.value
             yield part
     finally:
@@ -321,18 +338,20 @@
         )
 
 
-async def _run(request: AnyRequest, call: Request) -> Result[Outcome, Failure]:
-    async for part in _follow(request, call):
-        if isinstance(part, Final):
+async def _run_call(
+    request: AnyRequest, call: OperationRequest
+) -> Result[Outcome, Failure]:
+    async for part in _stream_call(request, call):
+        if isinstance(part, FinalOutcome):
             return part.outcome
     return Failed(Failure(ErrorKind.INTERNAL))
 
 
-async def _events(
-    request: AnyRequest, call: Request
+async def _event_stream(
+    request: AnyRequest, call: OperationRequest
 ) -> AsyncIterator[ServerSentEventMessage]:
-    async for part in _follow(request, call):
-        if isinstance(part, TextPart):
+    async for part in _stream_call(request, call):
+        if isinstance(part, TextDelta):
             name = "restart" if part.restart else "text"
             data = json.dumps({"text": part.text})
             yield ServerSentEventMessage(event=name, data=data)
@@ -343,11 +362,11 @@
                 event="done", data=body.model_dump_json()
             )
             continue
-        told = orjson.dumps(error_body(part.outcome.failure()))
-        yield ServerSentEventMessage(event="error", data=told.decode())
+        error_json = orjson.dumps(error_body(part.outcome.failure()))
+        yield ServerSentEventMessage(event="error", data=error_json.decode())
 
 
-def _whole(outcome: Result[Outcome, Failure]) -> Any:
+def _json_response(outcome: Result[Outcome, Failure]) -> Any:
     if isinstance(outcome, Failed):
         return error_response(outcome.failure())
     return litestar.Response(outcome_body(outcome.unwrap()))
@@ -355,8 +374,8 @@
 
 @functools.singledispatch
 def outcome_body(outcome: Outcome) -> TurnAnswerBody | CallAnswerBody:
-    """Returns the body that tells a call's outcome."""
-    raise TypeError(f"no body for {type(outcome).__name__}")
+    """Returns the response body of a call's outcome."""
+    raise TypeError(f"no response body for {type(outcome).__name__}")
 
 
 @outcome_body.register
--- a/apps/masticdaled/src/masticdaled/execution/tickets.py
+++ b/apps/masticdaled/src/masticdaled/execution/tickets.py
@@ -14,8 +14,8 @@
     TicketReply,
     TicketRequest,
 )
-from masticdaled.background import Background
-from masticdaled.cluster import MOVING_KINDS, Cluster
+from masticdaled.background import BackgroundTasks
+from masticdaled.cluster import FAILOVER_KINDS, Cluster
 
 _OFFER_INTERVAL_S = 1.0
 _MOVE_RETRY_S = 0.1
@@ -38,7 +38,7 @@
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
-        self._background = Background()
+        self._background = BackgroundTasks()
         self._waiter_by_ticket_id: dict[str, _Waiter] = {}
 
     def handle_grant(self, notice: GrantNotice) -> None:
@@ -109,7 +109,7 @@
             if reply.granted or waiter.granted:
                 return Success(None)
             failure = reply.failure
-            if failure is not None and failure.kind not in MOVING_KINDS:
+            if failure is not None and failure.kind not in FAILOVER_KINDS:
                 return Failed(failure)
             pause_s = (
                 _OFFER_INTERVAL_S if reply.failure is None else _MOVE_RETRY_S
--- a/apps/masticdaled/src/masticdaled/following.py
+++ b/apps/masticdaled/src/masticdaled/following.py
@@ -1,4 +1,4 @@
-"""Following the configuration: a few hosts watch, the others ask peers."""
+"""Follows the configuration: a few hosts watch it, others ask peers."""
 
 import asyncio
 
@@ -16,12 +16,12 @@
 from masticdale_platform import ObjectStore
 from masticdaled.cluster import Cluster
 
-WATCHERS = 3
+WATCHER_COUNT = 3
 _WATCH_KEY = "config-watch"
 
 
 class ConfigFollower:
-    """Keeps this host's configuration in force up to date."""
+    """Keeps the configuration in force on this host up to date."""
 
     def __init__(
         self,
@@ -35,34 +35,37 @@
         self._in_force = in_force
         self._metrics = metrics
         self._watch_task: asyncio.Task[None] | None = None
-        self._started = False
+        self._loaded = False
 
     @property
     def is_loaded(self) -> bool:
-        """True once this host knows what is in force."""
-        return self._started
+        """Whether this host has loaded the configuration."""
+        return self._loaded
 
     async def start(self) -> None:
-        """Learns the newest revision before this host serves.
+        """Loads the newest revision before this host serves.
 
-        A host that served from nothing, or from an old read during an
-        outage, would take the configuration back for its callers. So it asks
+        A host that served no revision, or a stale one read during an outage,
+        would revert the configuration for its callers. So it asks
         live peers and the platform, and waits until one of them answers.
         """
         members = self._cluster.membership.members()
-        self._started = await bootstrap_config(
+        self._loaded = await bootstrap_config(
             self._store,
             self._in_force,
             {m.name: self._source(m.name) for m in members if not m.is_self},
         )
 
     async def tick(self) -> None:
-        """Watches or asks a peer that has more; run a few times a second."""
-        if not self._started:
+        """Updates the watch and fetches newer revisions; called periodically.
+
+        Loads the configuration if ``start`` could not.
+        """
+        if not self._loaded:
             await self.start()
             return
-        self._watch_if_chosen()
-        await self._ask_newest_peer()
+        self._update_watch()
+        await self._fetch_from_peers()
 
     async def close(self) -> None:
         """Stops watching."""
@@ -72,10 +75,10 @@
         await asyncio.gather(self._watch_task, return_exceptions=True)
         self._watch_task = None
 
-    def _watch_if_chosen(self) -> None:
+    def _update_watch(self) -> None:
         names = self._cluster.membership.live_names()
-        chosen = hashing.rendezvous_rank(_WATCH_KEY, names)[:WATCHERS]
-        if self._cluster.host not in chosen:
+        watchers = hashing.rendezvous_rank(_WATCH_KEY, names)[:WATCHER_COUNT]
+        if self._cluster.host not in watchers:
             if self._watch_task is not None:
                 self._watch_task.cancel()
                 self._watch_task = None
@@ -84,12 +87,12 @@
             watcher = ConfigWatcher(self._store, self._in_force, self._metrics)
             self._watch_task = asyncio.create_task(watcher.run())
 
-    async def _ask_newest_peer(self) -> None:
+    async def _fetch_from_peers(self) -> None:
         own = self._in_force.number
         ahead = {
             member.name: self._source(member.name)
             for member in self._cluster.membership.members()
-            if member.beat.revision > own
+            if member.heartbeat.revision > own
         }
         if ahead:
             await catch_up_from_peers(self._in_force, ahead)
@@ -99,7 +102,7 @@
 
 
 class _PeerSource:
-    """A peer as a ``RevisionSource``."""
+    """A ``RevisionSource`` that asks a peer."""
 
     def __init__(self, cluster: Cluster, host: str) -> None:
         self._cluster = cluster
--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -328,7 +328,7 @@
         for member in self._cluster.membership.members():
             if member.name != head.owner:
                 continue
-            is_same = head.writer.startswith(member.beat.incarnation)
+            is_same = head.writer.startswith(member.heartbeat.incarnation)
             return refusal if is_same else None
         # A host that has just started may not have heard from a live owner yet.
         # Until that owner's lease expires it may answer from memory, so a
--- a/apps/masticdaled/src/masticdaled/testing.py
+++ b/apps/masticdaled/src/masticdaled/testing.py
@@ -1,4 +1,4 @@
-"""A host in memory, for tests of what stands on its parts."""
+"""An in-memory host for tests."""
 
 import dataclasses
 
@@ -8,13 +8,13 @@
 from masticdale_peers.testing import MemoryNetwork
 from masticdale_platform import ObjectStore
 from masticdale_programs import CopyStore, Executor, ShardSettings
-from masticdaled.callers.entry import Entry
+from masticdaled.callers.forwarding import OperationForwarder
 from masticdaled.callers.limits import WorkspaceLimiter
 from masticdaled.callers.listener import CallersContext
 from masticdaled.cluster import Cluster
 from masticdaled.execution.tickets import TicketClient
-from masticdaled.handler import Handler, Parts
-from masticdaled.operators.programs import ProgramsDesk
+from masticdaled.handler import DaemonPeerHandler, PeerServices
+from masticdaled.operators.programs import ProgramAdmin
 from masticdaled.replicas.crash_suspects import DigestHome
 from masticdaled.replicas.homes import ReplicaHomes
 from masticdaled.replicas.orders import OrderDispatcher
@@ -27,42 +27,42 @@
 
 
 class AlwaysReady:
-    """A host that always serves."""
+    """A ``ReadinessCheck`` that always reports ready."""
 
     def is_ready(self) -> bool:
-        """See ``Readiness.is_ready``."""
+        """See ``ReadinessCheck.is_ready``."""
         return True
 
 
 @dataclasses.dataclass(slots=True)
 class MemoryHost:
-    """One host whose peers are on a ``MemoryNetwork``.
+    """The components of a host whose peers are on a ``MemoryNetwork``.
 
     Attributes:
-        name: Its name.
-        membership: The hosts it sees.
-        cluster: Calls by role.
-        owners: Its shards.
-        homes: Its replicas' queues.
-        entry: Its entry role.
-        callers: What a callers' listener needs.
+        name: Name of the host.
+        membership: The hosts that it sees.
+        cluster: Assigns roles to hosts.
+        owned_shards: The shards that it owns.
+        homes: Its homes of replicas.
+        forwarder: Forwards callers' operations to their owners.
+        callers_context: The dependencies of a callers' listener.
         timers: Its timers.
     """
 
     name: str
     membership: Membership
     cluster: Cluster
-    owners: OwnedShards
+    owned_shards: OwnedShards
     homes: ReplicaHomes
-    entry: Entry
-    callers: CallersContext
+    forwarder: OperationForwarder
+    callers_context: CallersContext
     timers: TimerService
 
     async def close(self) -> None:
-        """Stops its parts."""
+        """Stops the host's components."""
         await self.timers.close()
         await self.membership.close()
-        for shard in self.owners.owned_shards():
+        for shard in self.owned_shards.owned_shards():
             await shard.close()
         await self.homes.close()
 
@@ -79,13 +79,13 @@
     """Returns a host attached to a network.
 
     Args:
-        name: Its name.
-        names: All hosts, this one included.
+        name: Name of the host.
+        names: Names of all hosts, including this one.
         network: Carries the calls between hosts.
-        store: The platform's objects.
-        in_force: The configuration.
+        store: The platform's object store.
+        in_force: The configuration in force.
         executor: Runs calls at upstreams.
-        settings: Times of its shards.
+        settings: Settings of its shards; the defaults if absent.
     """
     metrics = Metrics()
     timers = TimerService(seed=1)
@@ -104,7 +104,7 @@
         OrderDispatcher(store, name, metrics),
         metrics,
     )
-    owners = OwnedShards(
+    owned_shards = OwnedShards(
         cluster,
         store,
         executor,
@@ -114,22 +114,22 @@
         metrics,
         PeerCopyHolders(cluster),
     )
-    parts = Parts(
+    services = PeerServices(
         membership,
-        owners,
+        owned_shards,
         homes,
         TicketClient(cluster),
         DigestHome(store),
-        ProgramsDesk(name, owners),
+        ProgramAdmin(name, owned_shards),
         CopyService(CopyStore()),
         in_force,
     )
-    handler = Handler(lambda: parts)
+    handler = DaemonPeerHandler(lambda: services)
     network.attach(name, handler)
     cluster.attach(handler, frozenset(others))
-    entry = Entry(cluster, metrics)
-    callers = CallersContext(
-        entry,
+    forwarder = OperationForwarder(cluster, metrics)
+    callers_context = CallersContext(
+        forwarder,
         in_force,
         WorkspaceLimiter(cluster, in_force),
         AlwaysReady(),
@@ -137,5 +137,12 @@
         metrics,
     )
     return MemoryHost(
-        name, membership, cluster, owners, homes, entry, callers, timers
+        name,
+        membership,
+        cluster,
+        owned_shards,
+        homes,
+        forwarder,
+        callers_context,
+        timers,
     )
--- a/libs/gateway/src/masticdale_gateway/streaming.py
+++ b/libs/gateway/src/masticdale_gateway/streaming.py
@@ -1,4 +1,4 @@
-"""Event streams: forwarded as they arrive, resumed if cut off."""
+"""Event streams: forwarded as they arrive, resumed if interrupted."""
 
 import asyncio
 import dataclasses
@@ -15,30 +15,30 @@
     OversizedEventError,
 )
 from masticdale_gateway.exchanges import (
+    AttemptFailure,
+    AttemptOptions,
     Exchange,
     Sender,
-    SendFailure,
-    SendOptions,
 )
 from masticdale_gateway.unary import BufferedResponse, no_upstream_failure
 from masticdale_routing.fleet import Fleet, ReplicaState
 
-# A connection that was idle for longer may have been dropped on the network,
-# and a new one is cheap compared with a turn.
+# A connection that was idle for longer may have been dropped on the network. A
+# request sent on it would get no response until the attempt times out.
 _MAX_IDLE_S = 10.0
-# Retry delay for callers if all engines reject; a few steps of an engine.
+# Delay before a caller retries, unless a rejecting replica names one.
 _RETRY_AFTER_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Interrupted:
-    """A response that was cut off."""
+    """A response that was interrupted."""
 
     reason: str
 
 
 class StreamRelay:
-    """Forwards streams; one that is cut off resumes after its last event."""
+    """Forwards streams; an interrupted one resumes after its last event."""
 
     def __init__(
         self,
@@ -63,11 +63,11 @@
         """
         stream = _Stream(call, writer)
         excluded: set[str] = set()
-        last: SendFailure | None = None
+        last: AttemptFailure | None = None
         state = self._choose(call, excluded)
-        sends = 0
+        attempts = 0
         while state is not None and call.remaining_s > 0:
-            sends += 1
+            attempts += 1
             outcome = await self._sender.send(
                 call, state, self._options(call, stream)
             )
@@ -80,10 +80,10 @@
                 result = await self._forward(stream, exchange)
                 if not isinstance(result, _Interrupted):
                     return result
-                last = SendFailure(
+                last = AttemptFailure(
                     state.replica.id, Executed.YES, result.reason
                 )
-            if sends >= self._settings.max_sends:
+            if attempts >= self._settings.max_total_attempts:
                 break
             if last.ran is not Executed.NO and not call.is_retriable:
                 break
@@ -100,25 +100,26 @@
         self,
         call: Call,
         state: ReplicaState,
-        last: SendFailure,
+        last: AttemptFailure,
         excluded: set[str],
     ) -> ReplicaState | None:
-        """Returns the replica for the next send.
+        """Returns the replica for the next attempt.
 
-        A stream that was cut off resumes at the same replica while that one is
-        usable: it holds the prompt, and the number of replicas that may
-        run one request is limited. A replica that rejects the request or can't
-        be reached is excluded.
+        If the last attempt may have been executed, the same replica is used
+        again while it is eligible, since its cache holds the prompt. A replica
+        that rejects the request or can't be reached is excluded. The number of
+        attempts is limited by ``RelaySettings.max_total_attempts``;
+        ``Route.max_attempts`` does not apply to streams.
         """
-        ids = {s.replica.id for s in self._fleet.usable(call.service.name)}
-        broke_off = last.ran is not Executed.NO
-        if broke_off and state.replica.id in ids:
+        ids = {s.replica.id for s in self._fleet.eligible(call.service.name)}
+        is_interrupted = last.ran is not Executed.NO
+        if is_interrupted and state.replica.id in ids:
             return state
         excluded.add(state.replica.id)
         return self._choose(call, excluded)
 
-    def _options(self, call: Call, stream: "_Stream") -> SendOptions:
-        return SendOptions(
+    def _options(self, call: Call, stream: "_Stream") -> AttemptOptions:
+        return AttemptOptions(
             response_timeout_s=self._settings.first_event_timeout_s,
             max_idle_s=_MAX_IDLE_S if not stream.may_have_executed else 0.0,
             last_event_id=stream.last_event_id,
@@ -173,7 +174,7 @@
                 wait_s = self._settings.next_event_timeout_s
 
     def _fail(
-        self, call: Call, stream: "_Stream", last: SendFailure | None
+        self, call: Call, stream: "_Stream", last: AttemptFailure | None
     ) -> Failure | None:
         reason = last.reason if last else "no replica"
         if stream.has_started:
@@ -193,13 +194,14 @@
 
 
 class _Stream:
-    """What has been forwarded of a stream so far.
+    """Progress of forwarding one stream.
 
     Attributes:
         call: The call.
         writer: Writes the response to the caller.
         has_started: Whether the head has been sent.
-        may_have_executed: Whether any replica may have begun to run the call.
+        may_have_executed: Whether any replica may have executed the call, even
+            in part.
         last_event_id: Id of the last event forwarded; empty before that.
     """
 
--- a/libs/gateway/src/masticdale_gateway/unary.py
+++ b/libs/gateway/src/masticdale_gateway/unary.py
@@ -9,15 +9,16 @@
 from masticdale_common import ErrorKind, Executed, Failure
 from masticdale_gateway.calls import Call, RelaySettings
 from masticdale_gateway.exchanges import (
+    AttemptFailure,
+    AttemptOptions,
     Exchange,
     Sender,
-    SendFailure,
-    SendOptions,
 )
 from masticdale_gateway.messages import ResponseHead
 from masticdale_routing.fleet import Fleet, ReplicaState
 
-# Retriable requests may use any connection that the pool still keeps.
+# Retriable requests may use any idle connection that the pool keeps, since they
+# are sent again if it was dropped on the network.
 _RETRIABLE_MAX_IDLE_S = 60.0
 
 
@@ -30,13 +31,13 @@
 
 
 def no_upstream_failure(
-    call: Call, failure: SendFailure | None, retry_after_s: float
+    call: Call, failure: AttemptFailure | None, retry_after_s: float
 ) -> Failure:
-    """Returns the error for a call that no replica has run.
+    """Returns the error for a call that no replica has executed.
 
     Args:
         call: The call.
-        failure: The last failed send, if any.
+        failure: The last failed attempt, if any.
         retry_after_s: Delay before a retry if the replica named none.
     """
     requested_s = failure.retry_after_s if failure else None
@@ -51,7 +52,7 @@
 class UnaryRelay:
     """Sends unary requests, with retries on other replicas."""
 
-    # Full replicas of a unary service free a slot within tens of milliseconds.
+    # Delay before a caller retries, unless a rejecting replica names one.
     _RETRY_AFTER_S = 0.1
 
     def __init__(
@@ -64,9 +65,9 @@
     async def run(self, call: Call) -> BufferedResponse | Failure:
         """Returns a replica's complete response, or the failure."""
         excluded: set[str] = set()
-        last: SendFailure | None = None
-        possible_runs = 0
-        for _ in range(self._settings.max_sends):
+        last: AttemptFailure | None = None
+        possible_executions = 0
+        for _ in range(self._settings.max_total_attempts):
             if call.remaining_s <= 0:
                 break
             state = self._choose(call, excluded)
@@ -79,13 +80,13 @@
             excluded.add(last.replica_id)
             if last.ran is Executed.NO:
                 continue
-            possible_runs += 1
+            possible_executions += 1
             if (
                 not call.is_retriable
-                or possible_runs >= call.route.max_attempts
+                or possible_executions >= call.route.max_attempts
             ):
                 break
-        if possible_runs == 0:
+        if possible_executions == 0:
             return no_upstream_failure(call, last, self._RETRY_AFTER_S)
         if call.remaining_s <= 0:
             return Failure(ErrorKind.TIMED_OUT)
@@ -97,10 +98,10 @@
 
     async def _attempt(
         self, call: Call, state: ReplicaState
-    ) -> Result[BufferedResponse, SendFailure]:
+    ) -> Result[BufferedResponse, AttemptFailure]:
         settings = self._settings
         retriable = call.is_retriable
-        options = SendOptions(
+        options = AttemptOptions(
             response_timeout_s=(
                 settings.retriable_response_timeout_s
                 if retriable and call.route.max_attempts > 1
@@ -118,7 +119,7 @@
 
 async def _buffer_response(
     call: Call, exchange: Exchange
-) -> Result[BufferedResponse, SendFailure]:
+) -> Result[BufferedResponse, AttemptFailure]:
     try:
         body = await exchange.read_body(call.deadline_at)
     finally:
@@ -126,7 +127,7 @@
     return body.map(
         lambda content: BufferedResponse(exchange.head, content)
     ).alt(
-        lambda reason: SendFailure(
+        lambda reason: AttemptFailure(
             exchange.replica_id, Executed.UNKNOWN, reason
         )
     )
--- a/libs/gateway/src/masticdale_gateway/upstreams.py
+++ b/libs/gateway/src/masticdale_gateway/upstreams.py
@@ -21,7 +21,7 @@
 
 
 class UpstreamConnection(TransportProtocol):
-    """One connection to a replica.
+    """A connection to one server: a replica, or the server of an HttpClient.
 
     A response is read as a sequence: its head, the chunks of its body, its
     end. Bytes that arrive while no response is awaited belong to no request;
@@ -29,14 +29,14 @@
 
     Attributes:
         idle_since: End of the last exchange, in loop seconds.
-        keep_alive_s: The replica's keep-alive timeout; None if unspecified.
+        keep_alive_s: The server's keep-alive timeout; None if unspecified.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.idle_since = 0.0
         self.keep_alive_s: float | None = None
-        self._is_dirty = False
+        self._must_close = False
         self._is_awaiting = False
         self._is_discarding = False
         self._is_close_delimited = False
@@ -53,7 +53,7 @@
     def is_reusable(self) -> bool:
         """Whether the connection may carry another request."""
         return not (
-            self._is_dirty
+            self._must_close
             or self._is_awaiting
             or self._items
             or self.lost.is_set()
@@ -74,13 +74,13 @@
             and not self._is_discarding
         ):
             self._end_message()
-        self._is_dirty = True
+        self._must_close = True
         return False
 
     def data_received(self, data: bytes) -> None:
         """See ``asyncio.Protocol``."""
         if not self._is_awaiting:
-            self._is_dirty = True
+            self._must_close = True
             self.abort()
             return
         try:
@@ -90,7 +90,7 @@
             httptools.HttpParserCallbackError,
             httptools.HttpParserUpgrade,
         ) as error:
-            self._is_dirty = True
+            self._must_close = True
             self._error = MalformedResponseError(str(error))
             self._arrived.set()
             self.abort()
@@ -127,7 +127,7 @@
         """Waits for the next chunk of the body; None after the last one.
 
         Raises:
-            ConnectionLostError: The body was cut off.
+            ConnectionLostError: The connection closed inside the body.
             MalformedResponseError: The bytes are not a valid response.
         """
         item = await self._next_item()
@@ -171,12 +171,12 @@
             and status not in (204, 304)
         )
         keeps_alive = self._parser.should_keep_alive()
-        self._is_dirty = self._is_dirty or not keeps_alive
+        self._must_close = self._must_close or not keeps_alive
         self.keep_alive_s = _keep_alive_s(headers)
         head = ResponseHead(status, headers, keeps_alive)
         self._is_discarding = not self._matches(head)
         if self._is_discarding:
-            self._is_dirty = True
+            self._must_close = True
             return
         self._put(head)
 
@@ -202,7 +202,7 @@
         if not self._is_awaiting:
             # A second response arrived in the same read as the end of the
             # first.
-            self._is_dirty = True
+            self._must_close = True
             return
         self._items.append(item)
         self._arrived.set()
--- a/libs/ledger/src/masticdale_ledger/admissions.py
+++ b/libs/ledger/src/masticdale_ledger/admissions.py
@@ -1,9 +1,8 @@
 """Answers admission requests before the asking host's timeout.
 
-A decision may wait for the store, the standby or a failed owner for longer
-than the asking host does. A host that gets no answer takes the owner for dead
-and has its shards taken over, although the owner is alive and most of its
-programs need neither store nor standby.
+A decision may wait for the store, the standby, a lost owner or reservations of
+other turns, for longer than the asking host does. That host would take the
+owner for dead and have its shards taken over, although the owner is alive.
 """
 
 import asyncio
@@ -17,33 +16,33 @@
 from masticdale_ledger.owner import ShardOwner
 
 # A request that is undecided after this long is answered with
-# LEDGER_UNAVAILABLE, in seconds. 0.15 less than the asking host waits, for the
-# network and a busy processor.
+# LEDGER_UNAVAILABLE, in seconds. Must be shorter than the asking host's
+# ``client.CALL_TIMEOUT_S``, which also covers the network.
 REPLY_TIMEOUT_S = 0.25
 
 
 class Admissions:
     """Pending admission decisions; a repeated request joins its decision."""
 
-    def __init__(self, owner: ShardOwner, acting: StandbyFailover) -> None:
+    def __init__(self, owner: ShardOwner, failover: StandbyFailover) -> None:
         self._owner = owner
-        self._acting = acting
+        self._failover = failover
         self._pending_by_request: dict[
             tuple[str, str], asyncio.Task[Result[None, Failure]]
         ] = {}
 
     async def admit(
-        self, shard: int, claim: TurnClaim
+        self, shard_number: int, claim: TurnClaim
     ) -> Result[None, Failure]:
         """Decides on a turn, or reports that the decision is pending.
 
         Failures: those of ``ShardOwner.admit``; LEDGER_UNAVAILABLE also while
-        the decision is pending. Asking again joins it.
+        the decision is pending. A repeated request joins it.
         """
         key = (claim.program_id, claim.request_id)
         decision = self._pending_by_request.get(key)
         if decision is None:
-            decision = asyncio.create_task(self._decide(shard, claim))
+            decision = asyncio.create_task(self._decide(shard_number, claim))
             self._pending_by_request[key] = decision
             decision.add_done_callback(
                 lambda _: self._pending_by_request.pop(key, None)
@@ -51,17 +50,17 @@
         await asyncio.wait((decision,), timeout=REPLY_TIMEOUT_S)
         if decision.done():
             return decision.result()
-        detail = f"shard {shard}: decision waits for the store or the standby"
+        detail = f"shard {shard_number}: the decision is pending"
         return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
 
     async def _decide(
-        self, shard: int, claim: TurnClaim
+        self, shard_number: int, claim: TurnClaim
     ) -> Result[None, Failure]:
-        outcome = await self._owner.admit(shard, claim)
+        outcome = await self._owner.admit(shard_number, claim)
         if not _is_not_owner(outcome):
             return outcome
-        await self._acting.fail_over(shard)
-        return await self._owner.admit(shard, claim)
+        await self._failover.fail_over(shard_number)
+        return await self._owner.admit(shard_number, claim)
 
 
 def _is_not_owner(outcome: Result[None, Failure]) -> bool:
--- a/libs/ledger/src/masticdale_ledger/claims.py
+++ b/libs/ledger/src/masticdale_ledger/claims.py
@@ -1,4 +1,8 @@
-"""Writes the owner and the standby of each shard to the store."""
+"""Claims shards in the store and assigns their standbys and arbiters.
+
+A claim is a conditional write of the shard's record. The new owner restores the
+accounts that it knows, charged with what other hosts may have granted.
+"""
 
 import contextlib
 import dataclasses
@@ -8,6 +12,7 @@
 from returns.result import Result, Success
 
 from masticdale_common import ErrorKind, Failure, logs
+from masticdale_ledger.account_codec import account_from_state
 from masticdale_ledger.accounts import Accounts
 from masticdale_ledger.arbiter import ArbiterClient, Side
 from masticdale_ledger.client import LedgerClient
@@ -16,8 +21,8 @@
 from masticdale_ledger.isolation import (
     Isolation,
     IsolationQuota,
-    charge_first_step,
     charge_peer_quotas,
+    charge_unrecorded_limit,
     isolation_quotas,
 )
 from masticdale_ledger.leases import LEASE_S, Lease
@@ -26,18 +31,18 @@
 from masticdale_ledger.peer_selector import PeerSelector
 from masticdale_ledger.records import ProgramRecords
 from masticdale_ledger.shards import (
-    PreviousOwner,
+    PreviousOwnerState,
     ShardMap,
     ShardRecord,
-    ShardView,
+    VersionedShardRecord,
     parse_shard,
     shard_key,
 )
-from masticdale_ledger.states import account_from_state
 from masticdale_platform import ObjectStore, StoredObject
 
 # After the accounts of a shard are lost, programs that they counted may return
-# for this long, in seconds; twice the longest time that callers keep one.
+# for this long, in seconds: as long as an owner keeps the account of an idle
+# program (``accounts._IDLE_TIMEOUT_S``).
 RECOVERY_WINDOW_S = 120.0
 
 
@@ -46,25 +51,25 @@
     """What the next owner knows of a shard.
 
     Attributes:
-        previous: Whether the previous owner has certainly stopped.
+        previous: State of the previous owner.
         accounts: Accounts of the shard's programs.
         incomplete_for_s: Seconds for which earlier programs may still be
             missing from the accounts.
-        predecessor: Incarnation of the process whose accounts these are
-            exactly; empty if they may lack changes of the previous owner.
+        predecessor_incarnation: The process whose accounts these are exactly;
+            empty if they may lack changes of the previous owner.
         acting_shard: The shard for which this host acts as standby until the
             claim is written; its accounts then replace these.
     """
 
-    previous: PreviousOwner
+    previous: PreviousOwnerState
     accounts: tuple[AccountState, ...] = ()
     incomplete_for_s: float = 0.0
-    predecessor: str = ""
+    predecessor_incarnation: str = ""
     acting_shard: OwnedShard | None = None
 
 
-# Returning programs count as half spent, or as spent up to their records.
-LOST_ACCOUNTS = TakeoverState(PreviousOwner.ENDED, (), RECOVERY_WINDOW_S)
+# Returning programs count as spent up to the unrecorded limit or their record.
+LOST_ACCOUNTS = TakeoverState(PreviousOwnerState.ENDED, (), RECOVERY_WINDOW_S)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -86,8 +91,8 @@
     """Claims shards for this host and assigns their standbys.
 
     Attributes:
-        partners: Chooses the standbys and arbiters.
-        arbitration: Asks the arbiters.
+        peer_selector: Chooses the standbys and arbiters.
+        arbiter_client: Asks the arbiters.
     """
 
     def __init__(
@@ -100,7 +105,7 @@
         lease: Lease,
         client: LedgerClient,
         hosts: Hosts,
-        seen: LiveHosts,
+        live_hosts: LiveHosts,
     ) -> None:
         self._identity = identity
         self._store = store
@@ -112,12 +117,14 @@
         self._hosts = hosts
         self._locked_shards: set[int] = set()
         self._unconfirmed_by_shard: dict[int, UnconfirmedClaim] = {}
-        self.arbitration = ArbiterClient(hosts)
-        self.partners = PeerSelector(identity, shard_map, lease, hosts, seen)
+        self.arbiter_client = ArbiterClient(hosts)
+        self.peer_selector = PeerSelector(
+            identity, shard_map, lease, hosts, live_hosts
+        )
 
-    async def refresh(self, number: int) -> bool:
+    async def refresh(self, shard_number: int) -> bool:
         """Reads a shard's record; returns whether the store answered."""
-        found = await self._store.read(shard_key(number))
+        found = await self._store.read(shard_key(shard_number))
         if isinstance(found, Failed):
             return False
         stored = found.unwrap()
@@ -126,12 +133,12 @@
         return True
 
     async def claim(
-        self, number: int, version: int, takeover: TakeoverState
+        self, shard_number: int, version: int, takeover: TakeoverState
     ) -> Result[None, Failure]:
         """Writes this host's ownership of a shard, then starts to own it.
 
         Args:
-            number: The shard.
+            shard_number: The shard.
             version: Current version of its object; 0 if there is none.
             takeover: What is known of the shard.
 
@@ -139,60 +146,69 @@
         is writing its record; WRITE_UNKNOWN if the claim may have been
         written; otherwise the store's failure.
         """
-        with self._try_lock(number) as locked:
+        with self._try_lock(shard_number) as locked:
             if locked:
-                return await self._write_record(number, version, takeover)
+                return await self._claim_locked(shard_number, version, takeover)
         return Failed(Failure(ErrorKind.CONFLICT, "another claim in progress"))
 
-    async def _write_record(
-        self, number: int, version: int, takeover: TakeoverState
+    async def _claim_locked(
+        self, shard_number: int, version: int, takeover: TakeoverState
     ) -> Result[None, Failure]:
-        known = self._map.get(number)
+        known = self._map.get(shard_number)
         epoch = (known.record.epoch if known else 0) + 1
         record = self._new_record(epoch, takeover.previous)
         unconfirmed = UnconfirmedClaim(record, version, takeover)
-        written = await self._write(number, record, version)
+        written = await self._write(shard_number, record, version)
         if isinstance(written, Failed):
             if written.failure().kind is ErrorKind.WRITE_UNKNOWN:
-                self._unconfirmed_by_shard[number] = unconfirmed
+                self._unconfirmed_by_shard[shard_number] = unconfirmed
             return written
-        view = ShardView(record, written.unwrap())
-        started = await self._start_owning(number, view, takeover)
+        view = VersionedShardRecord(record, written.unwrap())
+        started = await self._start_owning(shard_number, view, takeover)
         if isinstance(started, Failed):
-            # The claim is written although the shard isn't owned yet. The
-            # failure keeps a host that offered the shard from serving it on.
-            self._unconfirmed_by_shard[number] = unconfirmed
+            # The claim is in the store, although this host does not own the
+            # shard yet. WRITE_UNKNOWN stops a host that has offered the shard
+            # from serving it.
+            self._unconfirmed_by_shard[shard_number] = unconfirmed
             detail = str(started.failure())
             return Failed(Failure(ErrorKind.WRITE_UNKNOWN, detail))
         return started
 
     async def resolve_unconfirmed(self) -> None:
         """Starts to own shards whose unconfirmed claims were written."""
-        for number, claim in list(self._unconfirmed_by_shard.items()):
-            view = self._map.get(number)
+        for shard_number, claim in list(self._unconfirmed_by_shard.items()):
+            view = self._map.get(shard_number)
             if view is None or view.version <= claim.version:
                 continue
             if view.record == claim.record:
-                await self._resume(number, view, claim.takeover)
+                await self._resume(shard_number, view, claim.takeover)
             else:
-                self._unconfirmed_by_shard.pop(number, None)
+                self._unconfirmed_by_shard.pop(shard_number, None)
 
-    async def resume(self, number: int, view: ShardView) -> None:
+    async def resume(
+        self, shard_number: int, view: VersionedShardRecord
+    ) -> None:
         """Continues a shard whose record this process has written."""
-        await self._resume(number, view, LOST_ACCOUNTS)
+        await self._resume(shard_number, view, LOST_ACCOUNTS)
 
     async def _resume(
-        self, number: int, view: ShardView, takeover: TakeoverState
+        self,
+        shard_number: int,
+        view: VersionedShardRecord,
+        takeover: TakeoverState,
     ) -> None:
-        with self._try_lock(number) as locked:
+        with self._try_lock(shard_number) as locked:
             if not locked:
                 return
-            started = await self._start_owning(number, view, takeover)
+            started = await self._start_owning(shard_number, view, takeover)
             if not isinstance(started, Failed):
-                self._unconfirmed_by_shard.pop(number, None)
+                self._unconfirmed_by_shard.pop(shard_number, None)
 
     async def _start_owning(
-        self, number: int, view: ShardView, takeover: TakeoverState
+        self,
+        shard_number: int,
+        view: VersionedShardRecord,
+        takeover: TakeoverState,
     ) -> Result[None, Failure]:
         record = view.record
         # Read only after the claim is written. Later record writes of the
@@ -201,17 +217,18 @@
         if isinstance(bounds, Failed):
             return bounds
         accounts = Accounts(bounds.unwrap())
-        shard = takeover.acting_shard or self._owner.owned().get(number)
+        shard = takeover.acting_shard or self._owner.owned().get(shard_number)
         if shard is not None:
-            # This host has served the shard, up to now or to its sealing.
+            # This host has admitted turns of the shard as its owner or acting
+            # owner. Its accounts are complete even if it was sealed since.
             takeover = self.retained_state(shard)
         accounts.restore(
             [account_from_state(state) for state in takeover.accounts]
         )
-        self._install(number, view, accounts, takeover)
+        self._install(shard_number, view, accounts, takeover)
         logs.write(
             "shard_taken",
-            shard=number,
+            shard=shard_number,
             epoch=record.epoch,
             previous=takeover.previous,
             records=len(bounds.unwrap()),
@@ -223,35 +240,39 @@
 
     def _install(
         self,
-        number: int,
-        view: ShardView,
+        shard_number: int,
+        view: VersionedShardRecord,
         accounts: Accounts,
         takeover: TakeoverState,
     ) -> None:
         incomplete_s = takeover.incomplete_for_s
-        if takeover.previous is PreviousOwner.LOST:
-            # The previous owner may admit programs until its lease expires;
-            # they are unknown here.
+        if takeover.previous is PreviousOwnerState.LOST:
+            # The previous owner may admit programs that are unknown here until
+            # its lease expires.
             incomplete_s = LEASE_S + RECOVERY_WINDOW_S
         self._owner.take(
             OwnedShard(
-                number,
+                shard_number,
                 view,
                 accounts,
                 incomplete_s,
                 self._lease,
                 self._copier(view.record),
-                takeover.predecessor,
+                takeover.predecessor_incarnation,
             )
         )
-        self._client.unreachable_by_shard.pop(number, None)
-        self.arbitration.appoint(number, view.record)
+        self._client.unreachable_by_shard.pop(shard_number, None)
+        self.arbiter_client.appoint(shard_number, view.record)
         value = view.record.model_dump_json().encode()
-        self._map.put(StoredObject(shard_key(number), view.version, value))
+        self._map.put(
+            StoredObject(shard_key(shard_number), view.version, value)
+        )
 
-    def _new_record(self, epoch: int, previous: PreviousOwner) -> ShardRecord:
-        standby = self.partners.choose_standby() or ("", 0)
-        arbiter = self.partners.choose_arbiter(standby) or ("", 0)
+    def _new_record(
+        self, epoch: int, previous: PreviousOwnerState
+    ) -> ShardRecord:
+        standby = self.peer_selector.choose_standby() or ("", 0)
+        arbiter = self.peer_selector.choose_arbiter(standby) or ("", 0)
         return ShardRecord(
             owner=self._identity.host,
             incarnation=self._identity.incarnation,
@@ -286,18 +307,18 @@
     async def _replace_standby(self, shard: OwnedShard) -> None:
         copied = await shard.replicate_now()
         if _is_sealed(copied) and shard.isolation is None:
-            # The host that sealed the standby is about to claim the shard, and
-            # accounts for what an isolated owner may grant.
+            # The host that sealed the standby will claim the shard and charges
+            # the quotas of this owner, which are all that it grants from now.
             self._isolate(shard)
             return
         if isinstance(copied, Failed):
             failure = await self._write_standby(shard)
-            if _is_store_unavailable(failure) and shard.isolation is None:
+            if _is_store_unreachable(failure) and shard.isolation is None:
                 self._isolate(shard)
             return
         shard.isolation = None
         self._owner.replication_failure_by_shard.pop(shard.number, None)
-        if shard.is_standby_leaving:
+        if shard.is_standby_stopping:
             await self._write_standby(shard)
 
     async def assign_standby(self, shard: OwnedShard) -> None:
@@ -307,47 +328,59 @@
                 await self._write_standby(shard)
 
     @contextlib.contextmanager
-    def _try_lock(self, number: int) -> Iterator[bool]:
+    def _try_lock(self, shard_number: int) -> Iterator[bool]:
         """Yields whether this task alone may write a shard's record.
 
-        Concurrent writes of this host would conflict, and each would take the
-        other for that of another host.
+        Concurrent writes of this host would conflict, and each would be taken
+        for a write of another host.
         """
-        if number in self._locked_shards:
+        if shard_number in self._locked_shards:
             yield False
             return
-        self._locked_shards.add(number)
+        self._locked_shards.add(shard_number)
         try:
             yield True
         finally:
-            self._locked_shards.discard(number)
+            self._locked_shards.discard(shard_number)
 
     async def ask_arbiter(self, shard: OwnedShard) -> None:
-        """Asks the arbiter if the standby may have admitted new programs."""
-        if shard.won_arbitration or not shard.standby_may_admit_new:
+        """Asks the arbiter if the standby may have admitted unknown programs.
+
+        An arbiter that decides for this host keeps the standby from admitting
+        them later.
+        """
+        if shard.won_arbitration or not shard.standby_may_have_admitted_unknown:
             return
-        side = await self.arbitration.decide(
+        side = await self.arbiter_client.decide(
             Side.OWNER, shard.number, shard.view.record
         )
         shard.won_arbitration = side is Side.OWNER
 
-    async def allowance_holder(self, number: int, record: ShardRecord) -> Side:
-        """Returns the side that may have used an allowance of a single turn.
-
-        Serves the takeover of a shard whose standby has not acted. Afterwards
-        the arbiter decides for neither the owner nor the standby.
+    async def remainder_side(
+        self, shard_number: int, record: ShardRecord
+    ) -> Side:
+        """Returns the side that may have used the remainder of the quotas.
+
+        For the takeover of a shard whose standby has not acted. With OWNER, the
+        owner's charged quota includes the remainder: the arbiter has decided
+        for the owner or does not answer. With STANDBY it does not: there is no
+        arbiter, or it has decided for the standby or the successor. An arbiter
+        that had not decided yet decides for the successor, this host, and so
+        for neither owner nor standby.
         """
         if not record.arbiter_address:
             return Side.STANDBY
-        side = await self.arbitration.decide(Side.SUCCESSOR, number, record)
+        side = await self.arbiter_client.decide(
+            Side.SUCCESSOR, shard_number, record
+        )
         return Side.OWNER if side in (None, Side.OWNER) else Side.STANDBY
 
     async def _write_standby(self, shard: OwnedShard) -> Failure | None:
         """Writes another standby; returns the failure, or None."""
         await self.ask_arbiter(shard)
         old = shard.view.record
-        self.partners.mark_failed(old.standby_address, old.standby_port)
-        record = self._new_record(old.epoch + 1, PreviousOwner.ENDED)
+        self.peer_selector.mark_failed(old.standby_address, old.standby_port)
+        record = self._new_record(old.epoch + 1, PreviousOwnerState.ENDED)
         written = await self._write(shard.number, record, shard.view.version)
         logs.write_bounded(
             "standby_replaced",
@@ -368,43 +401,48 @@
         accounts.restore(
             [account_from_state(state) for state in takeover.accounts]
         )
-        view = ShardView(record, written.unwrap())
+        view = VersionedShardRecord(record, written.unwrap())
         self._install(shard.number, view, accounts, takeover)
         return None
 
     def retained_state(self, shard: OwnedShard) -> TakeoverState:
         """Returns what this host knows of a shard that it keeps serving.
 
-        The old standby may have acted and can't be asked, so that its share
-        counts as spent. If it may have admitted programs that are unknown
-        here, they count as half spent when they arrive.
+        The old standby may have acted and can't be asked, so that its quotas
+        count as spent. If it may have admitted programs that are unknown here,
+        these count as spent up to the unrecorded limit when they arrive.
         """
         states = shard.states(None)
         if shard.isolation is not None:
             states = shard.states_with_peer_spending()
-        elif shard.standby_may_act and not shard.is_standby_leaving:
-            states = charge_peer_quotas(states, _owner_shares(shard))
+        elif shard.standby_may_act and not shard.is_standby_stopping:
+            states = charge_peer_quotas(states, _owner_quotas(shard))
         incomplete_for_s = shard.incomplete_for_s
-        if shard.standby_may_admit_new:
+        if shard.standby_may_have_admitted_unknown:
             incomplete_for_s = max(incomplete_for_s, RECOVERY_WINDOW_S)
             unacknowledged = shard.unacknowledged_program_ids()
             states = tuple(
-                charge_first_step(s) if s.program_id in unacknowledged else s
+                charge_unrecorded_limit(s)
+                if s.program_id in unacknowledged
+                else s
                 for s in states
             )
         return TakeoverState(
-            PreviousOwner.ENDED, states, incomplete_for_s, shard.predecessor
+            PreviousOwnerState.ENDED,
+            states,
+            incomplete_for_s,
+            shard.predecessor_incarnation,
         )
 
     def _isolate(self, shard: OwnedShard) -> None:
-        shares = _owner_shares(shard)
-        shard.isolation = Isolation(shares, admits_unknown=False)
-        logs.write("shard_alone", shard=shard.number, programs=len(shares))
+        quotas = _owner_quotas(shard)
+        shard.isolation = Isolation(quotas, admits_unknown=False)
+        logs.write("shard_alone", shard=shard.number, programs=len(quotas))
 
     async def _write(
-        self, number: int, record: ShardRecord, version: int
+        self, shard_number: int, record: ShardRecord, version: int
     ) -> Result[int, Failure]:
-        key = shard_key(number)
+        key = shard_key(shard_number)
         value = record.model_dump_json().encode()
         sent_at = self._lease.now()
         outcome = await self._store.write(key, value, version)
@@ -431,10 +469,10 @@
         return outcome
 
 
-def _owner_shares(shard: OwnedShard) -> dict[str, IsolationQuota]:
-    holder = Side.OWNER if shard.won_arbitration else Side.STANDBY
+def _owner_quotas(shard: OwnedShard) -> dict[str, IsolationQuota]:
+    remainder_side = Side.OWNER if shard.won_arbitration else Side.STANDBY
     return isolation_quotas(
-        shard.accounts.all(), is_standby=False, remainder_side=holder
+        shard.accounts.all(), is_standby=False, remainder_side=remainder_side
     )
 
 
@@ -444,7 +482,7 @@
     )
 
 
-def _is_store_unavailable(failure: Failure | None) -> bool:
+def _is_store_unreachable(failure: Failure | None) -> bool:
     return failure is not None and failure.kind in (
         ErrorKind.PLATFORM_UNAVAILABLE,
         ErrorKind.WRITE_UNKNOWN,
--- a/libs/ledger/src/masticdale_ledger/owner.py
+++ b/libs/ledger/src/masticdale_ledger/owner.py
@@ -10,6 +10,7 @@
 
 from masticdale_common import ErrorKind, Failure, Metrics, logs
 from masticdale_gateway.calls import TurnClaim
+from masticdale_ledger.account_codec import account_to_state
 from masticdale_ledger.accounts import (
     Account,
     Accounts,
@@ -22,23 +23,22 @@
 from masticdale_ledger.leases import Lease
 from masticdale_ledger.messages import AccountState, Settlement
 from masticdale_ledger.records import ProgramRecords, record_name
-from masticdale_ledger.shards import ShardView
-from masticdale_ledger.states import account_to_state
+from masticdale_ledger.shards import VersionedShardRecord
 
-# Interval at which settled turns are replicated to standbys, in seconds; the
-# same as that at which hosts send settlements.
+# Interval at which settled turns are replicated to standbys, in seconds.
 REPLICATION_INTERVAL_S = 0.15
-# The owner of this shard deletes orphaned records for all, at this interval in
-# seconds.
+# The owner of this shard deletes the expired records of all shards, at this
+# interval in seconds.
 _CLEANUP_SHARD = 0
 _CLEANUP_INTERVAL_S = 3600.0
-# Attempts to evaluate one turn and write its record. After a conflict the next
-# attempt starts from the bound that another owner has written.
+# Attempts to evaluate one turn and raise its bound. After a conflict the next
+# attempt starts from the bound found in the store. If conflicts persist, the
+# turn is rejected with LEDGER_UNAVAILABLE.
 _MAX_ATTEMPTS = 4
-# A turn that is over budget only because of reserved tokens waits this long for
-# them, in seconds: about three usual turns. Turns reserve their maximum and use
-# a fraction of it. Without the wait, sub-agents that start together would get a
-# 402, which ends their program.
+# Time in seconds for which a turn that is over budget only because of reserved
+# tokens waits for them to be settled. Turns reserve their maximum and rarely
+# use it. Without the wait, sub-agents that start together would get a 402,
+# which ends their program.
 _RESERVATION_WAIT_S = 1.0
 _RETRY_INTERVAL_S = 0.03
 
@@ -51,23 +51,24 @@
         view: Its record in the store, by which it is owned.
         accounts: The accounts of its programs.
         copier: Replicates accounts to the standby; None without a standby.
-        predecessor: Incarnation of the process whose accounts were taken over
+        predecessor_incarnation: The process whose accounts were taken over
             exactly; empty if they may lack changes of the previous owner.
         is_handing_over: Whether it is being handed over.
         is_acting: Whether this host is the standby acting for the owner.
-        isolation: Set while there is neither a standby nor a store.
+        isolation: Limits while this host can't coordinate with the other side,
+            its standby or the owner for which it acts; None otherwise.
         won_arbitration: Whether the arbiter has decided for this host.
     """
 
     def __init__(
         self,
         number: int,
-        view: ShardView,
+        view: VersionedShardRecord,
         accounts: Accounts,
         incomplete_for_s: float,
         lease: Lease,
         copier: Copier | None,
-        predecessor: str = "",
+        predecessor_incarnation: str = "",
     ) -> None:
         """Creates the state of an owned shard.
 
@@ -79,13 +80,13 @@
                 had turns under an earlier owner; 0 if it is certainly new.
             lease: Lease of this host, whose clock measures that time.
             copier: Replicates accounts to the standby.
-            predecessor: See the attribute.
+            predecessor_incarnation: See the attribute.
         """
         self.number = number
         self.view = view
         self.accounts = accounts
         self.copier = copier
-        self.predecessor = predecessor
+        self.predecessor_incarnation = predecessor_incarnation
         self.is_handing_over = False
         self.is_acting = False
         self.isolation: Isolation | None = None
@@ -97,8 +98,8 @@
         """Returns whether an isolated shard must refuse a turn for now."""
         if self.isolation is None:
             return False
-        share = self.isolation.quota_by_program_id.get(claim.program_id)
-        if share is None:
+        quota = self.isolation.quota_by_program_id.get(claim.program_id)
+        if quota is None:
             return not self.isolation.admits_unknown
         account = self.accounts.get(claim.program_id)
         if account is None:
@@ -106,11 +107,11 @@
         if claim.request_id in account.reserved_by_request_id:
             return False
         needed = account.committed_tokens + claim.turn_tokens
-        return needed > share.limit_tokens
+        return needed > quota.limit_tokens
 
     @property
     def incomplete_for_s(self) -> float:
-        """Seconds for which earlier programs may be missing."""
+        """Seconds for which unknown programs may have had turns before."""
         return max(0.0, self._complete_from - self._lease.now())
 
     def get_or_create(self, claim: TurnClaim) -> Account:
@@ -136,13 +137,13 @@
     @property
     def needs_replication(self) -> bool:
         """Whether the standby lacks changes or the state of the store."""
-        has_store = not self._lease.is_store_lost
+        has_store = not self._lease.is_store_unreachable
         return self.copier is not None and self.copier.has_pending(
             owner_has_store=has_store
         )
 
     @property
-    def standby_may_admit_new(self) -> bool:
+    def standby_may_have_admitted_unknown(self) -> bool:
         """Whether the standby may have admitted programs unknown here."""
         if self.copier is None or not self.copier.standby_may_hold_copy:
             return False
@@ -155,11 +156,11 @@
 
     @property
     def standby_may_act(self) -> bool:
-        """Whether the standby may act without this host."""
+        """Whether the standby may become the acting owner."""
         return self.copier is not None and self.copier.standby_may_hold_copy
 
     @property
-    def is_standby_leaving(self) -> bool:
+    def is_standby_stopping(self) -> bool:
         """Whether the standby has said that it is stopping."""
         return self.copier is not None and self.copier.is_standby_stopping
 
@@ -170,9 +171,11 @@
         }
 
     def states_with_peer_spending(self) -> tuple[AccountState, ...]:
-        """Returns all accounts, with what the other host may have granted."""
-        shares = self.isolation.quota_by_program_id if self.isolation else {}
-        return charge_peer_quotas(self.states(None), shares)
+        """Returns all accounts, charged with the quotas of the other side."""
+        quota_by_program_id = (
+            self.isolation.quota_by_program_id if self.isolation else {}
+        )
+        return charge_peer_quotas(self.states(None), quota_by_program_id)
 
     async def replicate(self) -> Result[None, Failure]:
         """Replicates all changes, unless isolated or without a standby."""
@@ -184,13 +187,13 @@
         """Replicates all changes, also while the shard is isolated."""
         if self.copier is None:
             return Failed(Failure(ErrorKind.PEER_UNAVAILABLE, "no standby"))
-        state = CopyHeader(
+        header = CopyHeader(
             self.number,
             self.view.record.epoch,
             self.incomplete_for_s,
-            owner_has_store=not self._lease.is_store_lost,
+            owner_has_store=not self._lease.is_store_unreachable,
         )
-        return await self.copier.send(state, self)
+        return await self.copier.send(header, self)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -230,36 +233,42 @@
         self._shard_by_number[shard.number] = shard
         self.replication_failure_by_shard.pop(shard.number, None)
 
-    def drop(self, number: int) -> None:
+    def drop(self, shard_number: int) -> None:
         """Stops owning a shard."""
-        self._shard_by_number.pop(number, None)
-        self.replication_failure_by_shard.pop(number, None)
+        self._shard_by_number.pop(shard_number, None)
+        self.replication_failure_by_shard.pop(shard_number, None)
 
     async def admit(
-        self, number: int, claim: TurnClaim
+        self, shard_number: int, claim: TurnClaim
     ) -> Result[None, Failure]:
         """Reserves the maximum of a turn; see ``BudgetLedger.admit``."""
         wait_until = time.monotonic() + _RESERVATION_WAIT_S
         while True:
-            outcome = await self._decide(number, claim)
+            outcome = await self._decide(shard_number, claim)
             if not isinstance(outcome, _OverBudget):
                 return outcome
             if outcome.verdict.is_final or time.monotonic() >= wait_until:
-                return Failed(self._over_budget_failure(number, claim, outcome))
+                return Failed(
+                    self._over_budget_failure(shard_number, claim, outcome)
+                )
             await asyncio.sleep(_RETRY_INTERVAL_S)
 
     async def _decide(
-        self, number: int, claim: TurnClaim
+        self, shard_number: int, claim: TurnClaim
     ) -> "Result[None, Failure] | _OverBudget":
         for _ in range(_MAX_ATTEMPTS):
-            shard = self._shard_by_number.get(number)
+            shard = self._shard_by_number.get(shard_number)
             if shard is None or shard.is_handing_over:
-                return Failed(Failure(ErrorKind.NOT_OWNER, f"shard {number}"))
+                return Failed(
+                    Failure(ErrorKind.NOT_OWNER, f"shard {shard_number}")
+                )
             if not self._lease.is_valid and not shard.is_acting:
-                detail = f"lease of shard {number}, age {self._lease.age_s}"
+                detail = (
+                    f"lease of shard {shard_number}, age {self._lease.age_s}"
+                )
                 return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
             if shard.is_blocked_by_isolation(claim):
-                return _isolated_failure(number)
+                return _isolated_failure(shard_number)
             account = shard.get_or_create(claim)
             verdict = account.evaluate(claim)
             if isinstance(verdict, Admitted):
@@ -267,10 +276,10 @@
             if isinstance(verdict, BudgetExceeded):
                 return _OverBudget(account, verdict)
             if shard.isolation is not None:
-                # Raising the bound would make tokens that the other host may
-                # have granted count as unspent.
-                return _isolated_failure(number)
-            written = await self._write_record(shard, claim, account)
+                # A higher bound would allow tokens here that the other side
+                # may have granted already.
+                return _isolated_failure(shard_number)
+            written = await self._raise_stored_bound(shard, claim, account)
             if isinstance(written, Failed):
                 return written
         return Failed(
@@ -307,7 +316,7 @@
                 )
 
     async def evict_idle_programs(self) -> None:
-        """Evicts idle programs and deletes their records and orphaned ones."""
+        """Evicts idle programs; deletes their records and expired ones."""
         for shard in list(self._shard_by_number.values()):
             for account in shard.accounts.evict_idle(time.monotonic()):
                 self._write_lock_by_program.pop(account.program_id, None)
@@ -327,7 +336,8 @@
         if shard.copier is not None:
             shard.copier.mark_changed(claim.program_id)
         copied = await shard.replicate()
-        # The host may have been suspended meanwhile, or the shard be gone.
+        # Another host may have taken the shard over meanwhile, for example
+        # while this one was suspended.
         if self._shard_by_number.get(shard.number) is not shard:
             detail = f"shard {shard.number}"
             return Failed(Failure(ErrorKind.NOT_OWNER, detail))
@@ -340,7 +350,7 @@
         detail = f"standby of shard {shard.number}: {copied.failure()}"
         return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
 
-    async def _write_record(
+    async def _raise_stored_bound(
         self, shard: OwnedShard, claim: TurnClaim, account: Account
     ) -> Result[None, Failure]:
         async with self._write_lock_by_program[claim.program_id]:
@@ -369,9 +379,14 @@
         written = found.unwrap()
         account.bound = written.bound if written else None
         account.counts_from_start = False
-        # A write of the predecessor may have been in flight when it handed its
-        # accounts over. It then admitted no turn under that bound.
-        is_known = written is not None and written.writer == shard.predecessor
+        # Without a record, which may have expired, the account's own count
+        # stands and the next attempt creates a new record. A write of the
+        # predecessor may have been in flight when it handed its accounts over;
+        # it then admitted no turn under that bound.
+        is_known = (
+            written is not None
+            and written.writer_incarnation == shard.predecessor_incarnation
+        )
         if written is not None and not is_known:
             account.spent_tokens = max(
                 account.spent_tokens, written.bound.tokens
@@ -380,13 +395,13 @@
             "ledger_bound_of_another_owner",
             program_id=claim.program_id,
             bound_tokens=written.bound.tokens if written else 0,
-            writer=written.writer if written else "",
+            writer=written.writer_incarnation if written else "",
             counts_as_spent=not is_known,
         )
         return Success(None)
 
     def _over_budget_failure(
-        self, number: int, claim: TurnClaim, outcome: "_OverBudget"
+        self, shard_number: int, claim: TurnClaim, outcome: "_OverBudget"
     ) -> Failure:
         account, verdict = outcome.account, outcome.verdict
         self._metrics.count("ledger_refusals_total")
@@ -394,7 +409,7 @@
             "budget_spent",
             request_id=claim.request_id,
             program_id=claim.program_id,
-            shard=number,
+            shard=shard_number,
             budget_tokens=claim.budget_tokens,
             spent_tokens=verdict.spent_tokens,
             reserved_tokens=verdict.reserved_tokens,
@@ -405,6 +420,6 @@
         return Failure(ErrorKind.BUDGET_EXCEEDED)
 
 
-def _isolated_failure(number: int) -> Result[None, Failure]:
-    detail = f"shard {number} has neither standby nor store"
+def _isolated_failure(shard_number: int) -> Result[None, Failure]:
+    detail = f"shard {shard_number} is isolated; no quota for the turn"
     return Failed(Failure(ErrorKind.LEDGER_UNAVAILABLE, detail))
--- a/libs/ledger/src/masticdale_ledger/reconciler.py
+++ b/libs/ledger/src/masticdale_ledger/reconciler.py
@@ -1,4 +1,8 @@
-"""Keeps an owner assigned to every shard and a standby to every owner."""
+"""Assigns an owner to every shard and a standby to every owner.
+
+Each host claims vacant shards, replaces lost standbys of its own shards, renews
+its lease, and hands its shards over at a planned stop.
+"""
 
 import asyncio
 import collections
@@ -13,7 +17,7 @@
     ShardClaims,
     TakeoverState,
 )
-from masticdale_ledger.client import SHARD_COUNT, LedgerClient
+from masticdale_ledger.client import LEDGER_SHARD_COUNT, LedgerClient
 from masticdale_ledger.failover import StandbyFailover
 from masticdale_ledger.hosts import Hosts, Identity, LiveHosts
 from masticdale_ledger.isolation import charge_owner_quota
@@ -30,30 +34,32 @@
 from masticdale_ledger.owner import OwnedShard, ShardOwner
 from masticdale_ledger.shards import (
     SHARD_PREFIX,
-    PreviousOwner,
+    PreviousOwnerState,
     ShardMap,
     ShardRecord,
-    ShardView,
+    VersionedShardRecord,
 )
 from masticdale_platform import MUST_NOT_EXIST, ObjectStore
-from masticdale_rpc import was_sent
+from masticdale_rpc import may_have_been_sent
 
 # Interval of the reconciliation loop, in seconds.
 RECONCILE_INTERVAL_S = 0.2
 # Interval at which the age of the lease is checked, in seconds.
 LEASE_CHECK_INTERVAL_S = 0.5
-# Age of the lease at which it is renewed, in seconds: a third of its duration,
-# which leaves time for a third attempt after two failures.
+# Age of the lease from which every check tries to renew it, in seconds.
 _RENEW_AFTER_S = LEASE_S / 3
-# An owner that does not answer for this long is replaced, in seconds. Longer
-# than a pause of its process on a busy machine, shorter than callers wait.
+# Time between the first and the last failed call after which an owner counts as
+# lost, in seconds. A shorter pause of its process does not cost it its shards.
 _OWNER_TIMEOUT_S = 0.5
 # Maximum age of the last failed call to an owner, in seconds; without a recent
 # failure the owner counts as reachable.
 _FAILURE_MAX_AGE_S = 1.5
-# Maximum random delay of a claim, in seconds. All hosts see a vacant shard at
-# the same time; the jitter lets one write its claim before the others try.
+# Base of the maximum random delay of a claim, in seconds; ``_is_claim_due``
+# scales it. All hosts find a shard vacant at the same time; the jitter lets one
+# write its claim before the others try.
 _CLAIM_JITTER_S = 1.0
+# Timeout of a seal, in seconds. A handover, which includes a write to the store
+# by the called host, gets twice as long.
 _CALL_TIMEOUT_S = 0.5
 # Maximum number of hosts that are offered a shard during a planned stop.
 _MAX_OFFERS = 3
@@ -71,10 +77,10 @@
         lease: Lease,
         client: LedgerClient,
         claims: ShardClaims,
-        acting: StandbyFailover,
+        failover: StandbyFailover,
         hosts: Hosts,
-        is_store_lost: Callable[[], bool],
-        seen: LiveHosts,
+        is_store_unreachable: Callable[[], bool],
+        live_hosts: LiveHosts,
     ) -> None:
         self.is_stopping = False
         self._identity = identity
@@ -84,38 +90,38 @@
         self._lease = lease
         self._client = client
         self._claims = claims
-        self._acting = acting
+        self._failover = failover
         self._hosts = hosts
-        self._is_store_lost = is_store_lost
-        self._seen = seen
+        self._is_store_unreachable = is_store_unreachable
+        self._live_hosts = live_hosts
         self._random = random.Random(identity.incarnation)
         self._claim_due_at_by_shard: dict[int, float] = {}
 
     async def reconcile(self) -> None:
-        """Drops shards that other hosts own and claims vacant ones."""
+        """Drops superseded shards, claims vacant ones and replaces standbys."""
         await self._drop_superseded()
         if self.is_stopping or not self._map.is_loaded:
             return
         # Concurrently, so that a dead standby does not delay other shards.
         await asyncio.gather(
-            *(self._reconcile_shard(n) for n in range(SHARD_COUNT))
+            *(self._reconcile_shard(n) for n in range(LEDGER_SHARD_COUNT))
         )
 
-    async def _reconcile_shard(self, number: int) -> None:
-        shard = self._owner.owned().get(number)
+    async def _reconcile_shard(self, shard_number: int) -> None:
+        shard = self._owner.owned().get(shard_number)
         if shard is None:
-            await self._claim_if_vacant(number)
+            await self._claim_if_vacant(shard_number)
         elif shard.is_acting:
             await self._claim_acting(shard)
         elif self._needs_standby(shard):
             await self._claims.replace_standby(shard)
 
-    async def _claim_if_vacant(self, number: int) -> None:
-        previous = self._previous_owner_if_vacant(number)
+    async def _claim_if_vacant(self, shard_number: int) -> None:
+        previous = self._previous_owner_if_vacant(shard_number)
         if previous is None:
-            self._claim_due_at_by_shard.pop(number, None)
-        elif self._is_claim_due(number, previous):
-            await self._claim(number, previous)
+            self._claim_due_at_by_shard.pop(shard_number, None)
+        elif self._is_claim_due(shard_number, previous):
+            await self._claim(shard_number, previous)
 
     async def renew_lease(self) -> None:
         """Reads the shard records to renew the lease, if any shard is owned.
@@ -143,11 +149,11 @@
         """Takes over a shard that its owner hands over."""
         if self.is_stopping or not self._map.is_loaded:
             return HandOverReply(Failure(ErrorKind.STOPPING))
-        failure = await self._check_offer(offer)
+        failure = await self._prepare_for_offer(offer)
         if failure is not None:
             return HandOverReply(failure)
         takeover = TakeoverState(
-            PreviousOwner.ENDED,
+            PreviousOwnerState.ENDED,
             offer.accounts,
             offer.incomplete_for_s,
             self._incarnation_of(offer.shard, offer.version),
@@ -157,12 +163,14 @@
             return HandOverReply(claimed.failure())
         return HandOverReply()
 
-    async def _check_offer(self, offer: HandOver) -> Failure | None:
-        """Returns why an offered shard can't be taken over, or None.
+    async def _prepare_for_offer(self, offer: HandOver) -> Failure | None:
+        """Checks an offer; drops an earlier ownership of the same shard.
+
+        A former owner may not have learned of its replacement yet. If it kept
+        the shard, it would use its old accounts instead of the offered ones.
 
-        A former owner that has not learned of its replacement drops the shard
-        first. Otherwise it would count with its old accounts and reuse an
-        epoch, and its standby would reject it as outdated.
+        Returns:
+            Why the shard can't be taken over, or None.
         """
         view = self._map.get(offer.shard)
         if view is None or view.version < offer.version:
@@ -182,132 +190,156 @@
             await self._hand_over(shard)
 
     async def _drop_superseded(self) -> None:
-        """Drops shards that other hosts own.
+        """Drops shards that other hosts have claimed.
 
-        Resolves unconfirmed writes first. If such a write of this process were
+        Resolves unconfirmed claims first. If such a claim of this process were
         taken for another host's, the accounts of the shard would be lost.
         """
         await self._claims.resolve_unconfirmed()
-        for number, shard in self._owner.owned().items():
-            known = self._map.get(number)
+        for shard_number, shard in self._owner.owned().items():
+            known = self._map.get(shard_number)
             if known is None or known.version <= shard.view.version:
                 continue
             if known.record.incarnation == self._identity.incarnation:
-                await self._claims.resume(number, known)
+                await self._claims.resume(shard_number, known)
                 continue
-            self._drop(number, known)
+            self._drop(shard_number, known)
 
-    def _drop(self, number: int, view: ShardView) -> None:
-        self._owner.drop(number)
-        logs.write("shard_lost", shard=number, new_owner=view.record.owner)
+    def _drop(self, shard_number: int, view: VersionedShardRecord) -> None:
+        self._owner.drop(shard_number)
+        logs.write(
+            "shard_lost", shard=shard_number, new_owner=view.record.owner
+        )
 
-    def _previous_owner_if_vacant(self, number: int) -> PreviousOwner | None:
+    def _previous_owner_if_vacant(
+        self, shard_number: int
+    ) -> PreviousOwnerState | None:
         """Returns the state of a vacant shard's owner; None if not vacant."""
-        view = self._map.get(number)
+        view = self._map.get(shard_number)
         if view is None:
-            return PreviousOwner.NONE
-        if number in self._owner.owned():
+            return PreviousOwnerState.NONE
+        if shard_number in self._owner.owned():
             return None
         record = view.record
         if record.owner == self._identity.host:
-            # Only one process of a host runs, so the owning one has ended.
-            return PreviousOwner.ENDED
-        lost = self._client.unreachable_by_shard.get(number)
+            # A host runs only one process at a time, so the owning one has
+            # ended.
+            return PreviousOwnerState.ENDED
+        lost = self._client.unreachable_by_shard.get(shard_number)
         if lost is None or lost.version != view.version:
             return None
         now = asyncio.get_running_loop().time()
         is_lost = lost.last_failed_at - lost.first_failed_at >= _OWNER_TIMEOUT_S
         is_recent = now - lost.last_failed_at < _FAILURE_MAX_AGE_S
-        return PreviousOwner.LOST if is_lost and is_recent else None
+        return PreviousOwnerState.LOST if is_lost and is_recent else None
 
-    def _is_claim_due(self, number: int, previous: PreviousOwner) -> bool:
-        if previous is PreviousOwner.ENDED:
+    def _is_claim_due(
+        self, shard_number: int, previous: PreviousOwnerState
+    ) -> bool:
+        if previous is PreviousOwnerState.ENDED:
             return True
         now = asyncio.get_running_loop().time()
         # Hosts that own shards wait longer, so that shards spread over hosts
         # and the loss of one host affects fewer programs.
         max_delay_s = _CLAIM_JITTER_S * (2 if self._owner.owned() else 1)
-        if previous is PreviousOwner.LOST:
+        if previous is PreviousOwnerState.LOST:
             max_delay_s /= 4
         due_at = self._claim_due_at_by_shard.setdefault(
-            number, now + self._random.uniform(0, max_delay_s)
+            shard_number, now + self._random.uniform(0, max_delay_s)
         )
         return now >= due_at
 
-    async def _claim(self, number: int, previous: PreviousOwner) -> None:
-        self._claim_due_at_by_shard.pop(number, None)
-        # Claims need the store. Sealing the standby without it would stop the
-        # only host that may still serve the shard.
-        if not await self._claims.refresh(number):
+    async def _claim(
+        self, shard_number: int, previous: PreviousOwnerState
+    ) -> None:
+        self._claim_due_at_by_shard.pop(shard_number, None)
+        # A claim needs the store. Sealing the standby without it would stop the
+        # only host that may still admit turns of the shard.
+        if not await self._claims.refresh(shard_number):
             return
-        if self._previous_owner_if_vacant(number) is None:
+        if self._previous_owner_if_vacant(shard_number) is None:
             return
-        view = self._map.get(number)
+        view = self._map.get(shard_number)
         version = view.version if view else MUST_NOT_EXIST
-        takeover = await self._fence_previous_owner(number, view, previous)
-        outcome = await self._claims.claim(number, version, takeover)
+        takeover = await self._fence_previous_owner(
+            shard_number, view, previous
+        )
+        outcome = await self._claims.claim(shard_number, version, takeover)
         if isinstance(outcome, Failed):
             logs.write_bounded(
                 "shard_not_claimed",
-                shard=number,
+                shard=shard_number,
                 previous=takeover.previous,
                 reason=str(outcome.failure()),
             )
 
     async def _fence_previous_owner(
-        self, number: int, view: ShardView | None, previous: PreviousOwner
+        self,
+        shard_number: int,
+        view: VersionedShardRecord | None,
+        previous: PreviousOwnerState,
     ) -> TakeoverState:
-        """Seals the previous owner's standby; returns what is known."""
+        """Fences the previous owner by sealing its standby's copy.
+
+        Returns:
+            What is known of the shard.
+        """
         if view is None:
-            return TakeoverState(PreviousOwner.NONE)
-        if previous is PreviousOwner.LOST:
-            self._claims.partners.mark_failed(
+            return TakeoverState(PreviousOwnerState.NONE)
+        if previous is PreviousOwnerState.LOST:
+            self._claims.peer_selector.mark_failed(
                 view.record.address, view.record.port
             )
-        reply = await self._seal(number, view.record)
+        reply = await self._seal(shard_number, view.record)
         if reply is None:
             return TakeoverState(previous, (), RECOVERY_WINDOW_S)
         if not reply.held:
-            return TakeoverState(PreviousOwner.ENDED, (), RECOVERY_WINDOW_S)
+            return TakeoverState(
+                PreviousOwnerState.ENDED, (), RECOVERY_WINDOW_S
+            )
         accounts = reply.accounts
         if not reply.acted:
-            holder = await self._claims.allowance_holder(number, view.record)
+            remainder_side = await self._claims.remainder_side(
+                shard_number, view.record
+            )
             accounts = tuple(
-                charge_owner_quota(state, holder) for state in accounts
+                charge_owner_quota(state, remainder_side) for state in accounts
             )
         return TakeoverState(
-            PreviousOwner.ENDED,
+            PreviousOwnerState.ENDED,
             accounts,
             reply.incomplete_for_s,
             view.record.incarnation,
         )
 
-    def _incarnation_of(self, number: int, version: int) -> str:
-        view = self._map.get(number)
+    def _incarnation_of(self, shard_number: int, version: int) -> str:
+        view = self._map.get(shard_number)
         if view is None or view.version != version:
             return ""
         return view.record.incarnation
 
     async def _claim_acting(self, shard: OwnedShard) -> None:
-        if self._is_store_lost():
-            self._acting.admit_unknown_programs(shard)
+        if self._is_store_unreachable():
+            self._failover.admit_unknown_programs(shard)
         else:
-            await self._acting.claim(shard)
+            await self._failover.claim(shard)
 
-    async def _seal(self, number: int, record: ShardRecord) -> SealReply | None:
-        """Seals the standby's copy; returns None if it can't be reached."""
+    async def _seal(
+        self, shard_number: int, record: ShardRecord
+    ) -> SealReply | None:
+        """Seals the standby's copy; None without a standby or an answer."""
         if not record.standby_address:
             return None
-        request = SealRequest(number, record.epoch)
+        request = SealRequest(shard_number, record.epoch)
         here = (self._identity.address, self._identity.port)
         if (record.standby_address, record.standby_port) == here:
-            return self._acting.seal(request)
+            return self._failover.seal(request)
         peer = self._hosts.client(record.standby_address, record.standby_port)
         outcome = await peer.call(SEAL, request, _CALL_TIMEOUT_S)
         if isinstance(outcome, Failed):
             logs.write_bounded(
                 "copy_not_sealed",
-                shard=number,
+                shard=shard_number,
                 standby=record.standby_address,
                 reason=str(outcome.failure()),
             )
@@ -315,7 +347,7 @@
         reply = outcome.unwrap()
         logs.write(
             "standby_sealed",
-            shard=number,
+            shard=shard_number,
             epoch=record.epoch,
             standby=record.standby_address,
             held=reply.held,
@@ -326,18 +358,22 @@
 
     def _needs_standby(self, shard: OwnedShard) -> bool:
         is_broken = shard.number in self._owner.replication_failure_by_shard
-        if is_broken or shard.isolation is not None or shard.is_standby_leaving:
+        if (
+            is_broken
+            or shard.isolation is not None
+            or shard.is_standby_stopping
+        ):
             return True
         return (
             shard.copier is None
-            and self._claims.partners.choose_standby() is not None
+            and self._claims.peer_selector.choose_standby() is not None
         )
 
     async def _hand_over(self, shard: OwnedShard) -> None:
-        """Offers a shard to one host after another until one takes it."""
-        if self._is_store_lost():
+        """Offers a shard to one host after another until one may own it."""
+        if self._is_store_unreachable():
             # No host could write its claim. The standby acknowledges turns
-            # until this host ends, and acts for it afterwards.
+            # until this host ends, and then becomes the acting owner.
             return
         shard.is_handing_over = True
         takeover = await self._fence_standby(shard)
@@ -349,14 +385,17 @@
             await self._claims.assign_standby(shard)
 
     async def _fence_standby(self, shard: OwnedShard) -> TakeoverState:
-        """Seals the standby; returns what the next owner needs to know.
+        """Seals the standby's copy before a handover.
 
         A standby that does not learn of the handover would act for this host
-        once it has ended, and nobody would count its share. A sealed standby
-        can't act. If sealing fails, its share counts as spent.
+        once it has ended, and nobody would count the turns that it admits. A
+        sealed standby can't act. If sealing fails, its quotas count as spent.
+
+        Returns:
+            What the next owner needs to know.
         """
         exact = TakeoverState(
-            PreviousOwner.ENDED, shard.states(None), shard.incomplete_for_s
+            PreviousOwnerState.ENDED, shard.states(None), shard.incomplete_for_s
         )
         if shard.copier is None and not shard.is_acting:
             return exact
@@ -370,7 +409,12 @@
     async def _offer(
         self, shard: OwnedShard, target: HostAddress, takeover: TakeoverState
     ) -> bool:
-        """Returns whether the target has certainly not taken the shard."""
+        """Offers a shard to one host, and drops it if that host takes it.
+
+        Returns:
+            False if the host has taken the shard or may have taken it; True if
+            it certainly has not, so that another host can be asked.
+        """
         offer = HandOver(
             shard.number,
             shard.view.version,
@@ -395,23 +439,25 @@
             self._owner.drop(shard.number)
             return False
         # If the outcome is unknown, the target may own the shard with these
-        # accounts. Admitting turns here too would spend budgets twice, so the
-        # shard waits for its takeover.
+        # accounts. If turns were admitted here too, budgets would be spent
+        # twice. The shard therefore stays in handover and admits none.
         if isinstance(outcome, Failed):
-            return not was_sent(failure)
+            return not may_have_been_sent(failure)
         return failure.kind is not ErrorKind.WRITE_UNKNOWN
 
     def _handover_targets(self) -> list[HostAddress]:
         """Returns the hosts that may take a shard, the least loaded first.
 
-        Includes hosts that own no shard. Otherwise a rolling restart gathers
-        all shards on the host that is stopped last, which has no target left,
-        and their accounts are lost.
+        Includes hosts that own no shard. Otherwise a rolling restart would
+        gather all shards on the host that stops last; no target would be left,
+        and their accounts would be lost.
         """
         shards_by_address: collections.Counter[tuple[str, int]] = (
             collections.Counter()
         )
-        host_by_address = {(h.address, h.port): h for h in self._seen.live()}
+        host_by_address = {
+            (h.address, h.port): h for h in self._live_hosts.live()
+        }
         for view in self._map.views().values():
             record = view.record
             if record.owner == self._identity.host:
--- a/libs/ledger/src/masticdale_ledger/shards.py
+++ b/libs/ledger/src/masticdale_ledger/shards.py
@@ -1,4 +1,4 @@
-"""Shard ownership as recorded in the store."""
+"""Records in the store that name each shard's owner, standby and arbiter."""
 
 import asyncio
 import contextlib
@@ -13,13 +13,17 @@
 SHARD_PREFIX = "ledger-shards/"
 
 
-class PreviousOwner(enum.StrEnum):
-    """State of a shard's previous owner when the shard is claimed.
+class PreviousOwnerState(enum.StrEnum):
+    """State of the previous owner when a shard's record is written.
 
     Attributes:
         NONE: The shard had no owner.
-        ENDED: The owner has stopped.
-        LOST: The owner does not answer and may act until its lease expires.
+        ENDED: The previous owner can admit no further turn that the new one
+            does not account for. Its process has ended, it is fenced by a
+            sealed standby, its isolation quota is charged, or it stays the
+            owner and only replaces its standby.
+        LOST: The previous owner does not answer. Unless its standby is sealed,
+            it may admit turns until its lease expires.
     """
 
     NONE = "none"
@@ -36,13 +40,16 @@
             memory don't outlive it.
         address: IP address on which it listens for other hosts.
         port: Port of the address.
-        epoch: One more than in the previous record.
-        previous: Whether the previous owner has certainly stopped.
+        epoch: One more than in the previous record, so that it rises with each
+            change of owner or standby. Standbys and arbiters reject requests
+            of an earlier epoch.
+        previous: State of the previous owner.
         standby_address: Host that has to acknowledge each admitted turn;
             empty for none.
         standby_port: Port of that address.
-        arbiter_address: Host that decides whether owner or standby goes on
-            when they lose each other; empty for none.
+        arbiter_address: Host that decides whether the owner or the standby
+            may admit unknown programs while they are partitioned; empty for
+            none.
         arbiter_port: Port of that address.
     """
 
@@ -53,7 +60,7 @@
     address: str
     port: int
     epoch: int
-    previous: PreviousOwner
+    previous: PreviousOwnerState
     standby_address: str = ""
     standby_port: int = 0
     arbiter_address: str = ""
@@ -61,19 +68,19 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ShardView:
+class VersionedShardRecord:
     """A shard's record and its version in the store."""
 
     record: ShardRecord
     version: int
 
 
-def shard_key(shard: int) -> str:
+def shard_key(shard_number: int) -> str:
     """Returns the key of a shard's record in the store."""
-    return f"{SHARD_PREFIX}shard-{shard}"
+    return f"{SHARD_PREFIX}shard-{shard_number}"
 
 
-def parse_shard(stored: StoredObject) -> ShardView | None:
+def parse_shard(stored: StoredObject) -> VersionedShardRecord | None:
     """Parses a shard's record; returns None if it is invalid."""
     try:
         record = ShardRecord.model_validate_json(stored.value)
@@ -82,7 +89,7 @@
             "shard_record_unreadable", key=stored.key, error=str(error)
         )
         return None
-    return ShardView(record, stored.version)
+    return VersionedShardRecord(record, stored.version)
 
 
 class ShardMap:
@@ -94,14 +101,14 @@
 
     def __init__(self) -> None:
         self.is_loaded = False
-        self._view_by_shard: dict[int, ShardView] = {}
+        self._view_by_shard: dict[int, VersionedShardRecord] = {}
         self._changed = asyncio.Event()
 
-    def get(self, shard: int) -> ShardView | None:
+    def get(self, shard_number: int) -> VersionedShardRecord | None:
         """Returns the latest known record of a shard, or None."""
-        return self._view_by_shard.get(shard)
+        return self._view_by_shard.get(shard_number)
 
-    def views(self) -> dict[int, ShardView]:
+    def views(self) -> dict[int, VersionedShardRecord]:
         """Returns every known shard by number."""
         return dict(self._view_by_shard)
 
@@ -115,20 +122,20 @@
 
     def put(self, stored: StoredObject) -> None:
         """Applies one object of the store unless it is outdated."""
-        shard = _shard_number(stored.key)
-        if shard is None:
+        shard_number = _shard_number(stored.key)
+        if shard_number is None:
             return
-        known = self._view_by_shard.get(shard)
+        known = self._view_by_shard.get(shard_number)
         if known is not None and known.version >= stored.version:
             return
         view = parse_shard(stored)
         if view is None:
             return
         record = view.record
-        self._view_by_shard[shard] = view
+        self._view_by_shard[shard_number] = view
         logs.write_bounded(
             "shard_owner",
-            shard=shard,
+            shard=shard_number,
             owner=record.owner,
             epoch=record.epoch,
             previous=record.previous,
@@ -150,5 +157,5 @@
 
 
 def _shard_number(key: str) -> int | None:
-    number = key.removeprefix(f"{SHARD_PREFIX}shard-")
-    return int(number) if number.isdigit() else None
+    shard_number = key.removeprefix(f"{SHARD_PREFIX}shard-")
+    return int(shard_number) if shard_number.isdigit() else None
--- a/libs/ledger/tests/hosts_case.py
+++ b/libs/ledger/tests/hosts_case.py
@@ -62,21 +62,21 @@
         self.loses_answers = False
 
     @property
-    def is_lost(self):
+    def is_unreachable(self):
         return self.is_cut or self._store.faults.down
 
     async def read(self, key):
-        if self.is_lost:
+        if self.is_unreachable:
             return self._unavailable()
         return await self._store.read(key)
 
     async def list(self, prefix):
-        if self.is_lost:
+        if self.is_unreachable:
             return self._unavailable()
         return await self._store.list(prefix)
 
     async def write(self, key, value, expected_version):
-        if self.is_lost:
+        if self.is_unreachable:
             return self._unavailable()
         outcome = await self._store.write(key, value, expected_version)
         if not self.loses_answers:
@@ -86,7 +86,7 @@
         return Failed(Failure(ErrorKind.WRITE_UNKNOWN, "no answer"))
 
     async def delete(self, key, expected_version):
-        if self.is_lost:
+        if self.is_unreachable:
             return self._unavailable()
         return await self._store.delete(key, expected_version)
 
@@ -147,12 +147,12 @@
         self.is_stopping = False
         self.store = HostStore(world.store)
         self.map = ShardMap()
-        lease = Lease(world.clock, lambda: self.store.is_lost)
+        lease = Lease(world.clock, lambda: self.store.is_unreachable)
         records = ProgramRecords(self.store, identity.incarnation)
         self.owner = ShardOwner(records, lease, Metrics())
         self.copies = StandbyCopies()
         links = Links(world, name)
-        self.seen = LiveHosts(identity.host_address)
+        self.live_hosts = LiveHosts(identity.host_address)
         self.client = types.SimpleNamespace(unreachable_by_shard={})
         claims = ShardClaims(
             identity,
@@ -163,9 +163,9 @@
             lease,
             self.client,
             links,
-            self.seen,
+            self.live_hosts,
         )
-        self.acting = StandbyFailover(
+        self.failover = StandbyFailover(
             identity, self.map, self.owner, lease, self.copies, claims, links
         )
         self.reconciler = ShardReconciler(
@@ -176,18 +176,18 @@
             lease,
             self.client,
             claims,
-            self.acting,
+            self.failover,
             links,
-            lambda: self.store.is_lost,
-            self.seen,
+            lambda: self.store.is_unreachable,
+            self.live_hosts,
         )
         self.service = LedgerService(
             self.owner,
             self.reconciler,
-            self.acting,
+            self.failover,
             self.copies,
             self.store,
-            self.seen,
+            self.live_hosts,
             None,
         )
 
@@ -212,7 +212,7 @@
 
     program: str
     request_id: str
-    asked: Process
+    process: Process
 
 
 class World:
@@ -241,7 +241,7 @@
             await self.start(name)
         for process in self.process_by_name.values():
             for other in self.process_by_name.values():
-                process.seen.record_request(other.identity.host_address)
+                process.live_hosts.record_request(other.identity.host_address)
         first = self.process_by_name[self.names[1]]
         await first.reconciler.reconcile()
         await self.refresh_maps()
@@ -283,10 +283,10 @@
             if not port:
                 continue
             outcome = await self._ask(process, port, request)
-            is_missed = isinstance(outcome, Failed)
+            is_unanswered = isinstance(outcome, Failed)
             if port == record.port:
-                self._note_reachability(process, view, is_missed)
-            if is_missed:
+                self._update_reachability(process, view, is_unanswered)
+            if is_unanswered:
                 continue
             failure = outcome.unwrap().failure
             if failure is None:
@@ -302,18 +302,18 @@
         link = Link(self, process.name, self.names[port])
         return await link.call(ADMIT, request, 0.4)
 
-    def _note_reachability(self, process, view, is_missed):
+    def _update_reachability(self, process, view, is_unanswered):
         known = process.client.unreachable_by_shard
-        if not is_missed:
+        if not is_unanswered:
             known.pop(SHARD, None)
             return
         now = asyncio.get_running_loop().time()
         known[SHARD] = UnreachableOwner(view.version, now - 1.0, now)
 
-    def _record_grant(self, program, request_id, asked):
-        given = self.granted_by_program.setdefault(program, {})
-        given[request_id] = MAX_TURN_TOKENS
-        self.open_turns.append(Turn(program, request_id, asked))
+    def _record_grant(self, program, request_id, process):
+        granted = self.granted_by_program.setdefault(program, {})
+        granted[request_id] = MAX_TURN_TOKENS
+        self.open_turns.append(Turn(program, request_id, process))
 
     async def end_turn(self, used):
         """Ends the oldest turn and sends its settlement."""
@@ -331,7 +331,7 @@
                 self.unsent_settlements.append((turn, used))
 
     async def _settle(self, turn, used):
-        process = turn.asked
+        process = turn.process
         if self.process_by_name.get(process.name) is not process:
             # The settlement was lost with its process.
             return True
@@ -418,10 +418,10 @@
         await self.send_settlements()
 
     def overspent(self):
-        """Returns granted tokens by program, of those beyond the guarantee."""
+        """Returns granted tokens by program, for those beyond the guarantee."""
         total_by_program = {
-            program: sum(given.values())
-            for program, given in self.granted_by_program.items()
+            program: sum(granted.values())
+            for program, granted in self.granted_by_program.items()
         }
         return {
             program: total
@@ -443,7 +443,7 @@
         mock.patch("masticdale_ledger.owner._RESERVATION_WAIT_S", 0.0),
         mock.patch("masticdale_ledger.reconciler._CLAIM_JITTER_S", 0.0),
         mock.patch("masticdale_ledger.standby.boot_time_s", world.clock),
-        mock.patch("masticdale_ledger.reconciler.SHARD_COUNT", 1),
+        mock.patch("masticdale_ledger.reconciler.LEDGER_SHARD_COUNT", 1),
     ):
         yield
 
--- a/libs/peers/src/masticdale_peers/__init__.py
+++ b/libs/peers/src/masticdale_peers/__init__.py
@@ -1,4 +1,4 @@
-"""Membership of hosts and the RPC between them."""
+"""Membership of hosts and the RPCs between them."""
 
 from masticdale_peers.connections import PeerClient, PeerDirectory, connect
 from masticdale_peers.interfaces import (
@@ -52,8 +52,8 @@
     PeerSettings,
     PoolLimits,
     TlsSettings,
+    may_have_been_sent,
     unavailable,
-    was_sent,
 )
 
 __all__ = [
@@ -100,8 +100,8 @@
     "TlsSettings",
     "connect",
     "join",
+    "may_have_been_sent",
     "new_incarnation",
     "serve",
     "unavailable",
-    "was_sent",
 ]
--- a/libs/routing/src/masticdale_routing/limits.py
+++ b/libs/routing/src/masticdale_routing/limits.py
@@ -1,7 +1,9 @@
 """Workspace limits that are enforced across all hosts.
 
-Each host enforces its own share. The shares of all live hosts add up to the
-limit exactly, so that hosts need not communicate per call.
+Each host enforces its own share, so that hosts need not communicate per call.
+While hosts agree on which of them are live, their shares add up to the limits
+of concurrent turns and of the rate. The burst of a share is at least one turn,
+or its host could never start one; bursts may add up to more than the limit.
 """
 
 import dataclasses
@@ -13,6 +15,7 @@
 from masticdale_common import ErrorKind, Failure, hashing
 
 _CONCURRENCY_RETRY_MS = 500
+# Avoids division by zero for a rate of zero.
 _MIN_RATE = 1e-9
 
 
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -60,8 +60,8 @@
     Edit(
         "go on at the same replica",
         f"{_GATEWAY}/streaming.py",
-        "if broke_off and state.replica.id in ids:",
-        "if False and broke_off and state.replica.id in ids:",
+        "if is_interrupted and state.replica.id in ids:",
+        "if False and is_interrupted and state.replica.id in ids:",
     ),
     Edit(
         "lapse grace",
@@ -72,8 +72,8 @@
     Edit(
         "acting standby",
         f"{_LEDGER}/failover.py",
-        "if view is None or not self._can_take_over(number, view):",
-        "if view is None or number >= 0:",
+        "if view is None or not self._can_take_over(shard_number, view):",
+        "if view is None or shard_number >= 0:",
     ),
     Edit(
         "waiting for turns",
@@ -84,8 +84,8 @@
     Edit(
         "watches through seeds",
         f"{_ENTRY}/entry.py",
-        "leaders = self._peers.leaders()",
-        "leaders = self._peers.leaders()[:0]",
+        "watch_sources = self._peer_clients.watch_sources()",
+        "watch_sources = self._peer_clients.watch_sources()[:0]",
     ),
     Edit(
         "records one turn ahead",
@@ -95,15 +95,15 @@
     ),
     Edit(
         "calls by way of others",
-        f"{_LEDGER}/store_relay.py",
+        f"{_LEDGER}/fallback_store.py",
         "_RELAYS = 2",
         "_RELAYS = 0",
     ),
     Edit(
         "pause after changes of replicas",
         f"{_ENTRY}/entry.py",
-        "_REPLICAS_SETTLE_S = 0.3",
-        "_REPLICAS_SETTLE_S = 0.0",
+        "_REPLICAS_DEBOUNCE_S = 0.3",
+        "_REPLICAS_DEBOUNCE_S = 0.0",
     ),
     Edit(
         "half spent after a loss",
--- a/tools/soak/src/masticdale_soak/__init__.py
+++ b/tools/soak/src/masticdale_soak/__init__.py
@@ -1,8 +1,8 @@
-"""A soak: randomized faults on real processes, promises checked throughout."""
+"""Soak tests: random faults on real processes, with checks of guarantees."""
 
 from masticdale_soak.checks import (
     CHECK_BY_NAME,
-    Evidence,
+    Observations,
     Run,
     Violation,
     check,
@@ -12,8 +12,8 @@
 
 __all__ = [
     "CHECK_BY_NAME",
-    "Evidence",
     "Fault",
+    "Observations",
     "Plan",
     "Report",
     "Run",
