--- a/apps/masticctl/src/masticctl/client.py
+++ b/apps/masticctl/src/masticctl/client.py
@@ -1,4 +1,4 @@
-"""Talking to the operators' listeners of the hosts."""
+"""HTTP client of the hosts' operator API."""
 
 import asyncio
 import dataclasses
@@ -11,7 +11,7 @@
 
 from masticctl.errors import (
     EXIT_UNREACHABLE,
-    RefusedError,
+    ApiError,
     ToolError,
     UsageError,
 )
@@ -23,9 +23,9 @@
     ErrorBody,
 )
 
-MAX_ROUNDS = 4
+MAX_ATTEMPTS = 4
 BACKOFF_S = 0.5
-_RESENDABLE = frozenset(
+_RETRYABLE_KINDS = frozenset(
     {
         ErrorKind.WRITE_UNKNOWN,
         ErrorKind.PEER_UNAVAILABLE,
@@ -40,13 +40,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientSettings:
-    """How to reach the hosts.
+    """Connection settings of the operator client.
 
     Attributes:
         servers: Base URLs, tried in this order.
         token: The operator's token; empty to send none.
-        timeout_s: Longest wait for one answer.
-        backoff_s: First wait between two rounds over the servers.
+        timeout_s: Timeout of one request, in seconds.
+        backoff_s: Base of the exponential backoff between attempts, in
+            seconds.
     """
 
     servers: tuple[str, ...]
@@ -56,11 +57,11 @@
 
 
 class OutcomeUnknownError(ToolError):
-    """An apply was sent and no answer came, whatever was tried."""
+    """A change was sent, but no response tells whether it was accepted."""
 
 
 class OperatorClient:
-    """Sends requests to the first server that answers."""
+    """Sends requests to the first available server."""
 
     def __init__(
         self,
@@ -87,150 +88,153 @@
         await self._http.aclose()
 
     async def get(
-        self, path: str, answer: type[ValueT], query: Query | None = None
+        self, path: str, response_type: type[ValueT], query: Query | None = None
     ) -> ValueT:
-        """Reads from the first server that answers.
+        """Sends a GET request to the first available server.
 
         Args:
             path: Path on the server.
-            answer: Type of the answer.
+            response_type: Type that the response body is decoded to.
             query: Query parameters.
         """
-        response = await self._first("GET", path, params=query)
-        return _decode(response, answer)
+        response = await self._send_with_failover("GET", path, params=query)
+        return _decode(response, response_type)
 
     async def get_text(self, path: str) -> str:
-        """Reads text from the first server that answers."""
-        return (await self._first("GET", path)).text
+        """Fetches a text body from the first available server."""
+        return (await self._send_with_failover("GET", path)).text
 
     async def get_json(self, path: str) -> Any:
-        """Reads JSON of no fixed shape."""
-        return (await self._first("GET", path)).json()
+        """Fetches a JSON body without validating its schema."""
+        return (await self._send_with_failover("GET", path)).json()
 
     async def post(
         self,
         path: str,
-        answer: type[ValueT],
+        response_type: type[ValueT],
         body: pydantic.BaseModel | None = None,
     ) -> ValueT:
-        """Posts to the first server that can be connected to.
+        """Sends a POST request to the first server that accepts a connection.
 
-        A request that may have arrived is not sent to another server.
+        A request that may have reached a server is not sent to another one,
+        since it may not be idempotent.
 
         Args:
             path: Path on the server.
-            answer: Type of the answer.
-            body: What to send.
+            response_type: Type that the response body is decoded to.
+            body: Request body; None for an empty one.
         """
         content = body.model_dump_json().encode() if body else b""
-        response = await self._first("POST", path, content=content)
-        return _decode(response, answer)
+        response = await self._send_with_failover("POST", path, content=content)
+        return _decode(response, response_type)
 
     async def declarations(self, query: Query) -> DeclarationPage:
-        """Returns all pages of declarations as one."""
+        """Fetches all pages of declarations and merges them into one."""
         page = await self.get("/v1/config", DeclarationPage, query)
         items = list(page.items)
         revision = page.revision
         while page.next_after:
-            more: Query = query | {"after": page.next_after}
-            page = await self.get("/v1/config", DeclarationPage, more)
+            next_query: Query = query | {"after": page.next_after}
+            page = await self.get("/v1/config", DeclarationPage, next_query)
             items.extend(page.items)
         return DeclarationPage(revision, tuple(items))
 
     async def apply(self, change: ChangeRequest) -> ApplyReport:
-        """Applies a change, sending it again where the answer was lost.
+        """Applies a change, retrying when the response is lost.
 
-        The daemon recognises the ``change_id``, so a change whose first
-        answer was lost is reported as accepted and not applied twice.
+        Retries are idempotent: the daemon deduplicates changes by
+        ``change_id``.
 
         Raises:
-            OutcomeUnknownError: No server gave a definite answer.
-            RefusedError: It was refused and surely not written.
+            OutcomeUnknownError: No server gave a definite response.
+            RefusedError: The change was rejected and has not been written.
         """
-        problem = "no server answered"
-        sent = False
-        for attempt in range(MAX_ROUNDS):
+        last_error = "no server answered"
+        may_have_arrived = False
+        for attempt in range(MAX_ATTEMPTS):
             if attempt:
                 await asyncio.sleep(self._settings.backoff_s * 2**attempt)
             for server in self._settings.servers:
                 try:
-                    return await self._apply_at(server, change)
+                    return await self._send_apply(server, change)
                 except httpx.ConnectError as error:
-                    problem = f"{server}: {_reason(error)}"
+                    last_error = f"{server}: {_describe_error(error)}"
                 except httpx.TransportError as error:
-                    sent = True
-                    problem = f"{server}: {_reason(error)}"
-                except RefusedError as error:
-                    if error.kind in _RESENDABLE:
-                        sent = True
-                        problem = f"{server}: {error}"
+                    may_have_arrived = True
+                    last_error = f"{server}: {_describe_error(error)}"
+                except ApiError as error:
+                    if error.kind in _RETRYABLE_KINDS:
+                        may_have_arrived = True
+                        last_error = f"{server}: {error}"
                         continue
-                    if not sent:
+                    if not may_have_arrived:
                         raise
-                    # The request sent first may still be on its way to the
-                    # platform and be accepted after this refusal.
-                    raise _unknown(change, f"{server}: {error}") from error
-        if not sent:
-            raise _unreachable(problem)
-        raise _unknown(change, problem)
-
-    async def _apply_at(
+                    # An earlier attempt may still be in flight to the platform
+                    # and be accepted after this rejection.
+                    raise _outcome_unknown(
+                        change, f"{server}: {error}"
+                    ) from error
+        if not may_have_arrived:
+            raise _no_server_available(last_error)
+        raise _outcome_unknown(change, last_error)
+
+    async def _send_apply(
         self, server: str, change: ChangeRequest
     ) -> ApplyReport:
         response = await self._http.post(
             f"{server}/v1/config/apply",
             content=change.model_dump_json().encode(),
         )
-        return _decode(_checked(response), ApplyReport)
+        return _decode(_raise_for_error(response), ApplyReport)
 
-    async def _first(
+    async def _send_with_failover(
         self, method: str, path: str, **options: Any
     ) -> httpx.Response:
-        problems = []
+        errors = []
         for server in self._settings.servers:
             try:
                 response = await self._http.request(
                     method, f"{server}{path}", **options
                 )
             except httpx.ConnectError as error:
-                problems.append(f"{server}: {_reason(error)}")
+                errors.append(f"{server}: {_describe_error(error)}")
                 continue
             except httpx.TransportError as error:
-                problems.append(f"{server}: {_reason(error)}")
+                errors.append(f"{server}: {_describe_error(error)}")
                 if method == "GET":
                     continue
                 raise ToolError(
-                    f"{server}: the answer was lost ({_reason(error)});"
+                    f"{server}: response lost ({_describe_error(error)});"
                     " the request may have been carried out.",
-                    "look before you send it again.",
+                    "check its effect before you send it again.",
                     EXIT_UNREACHABLE,
                 ) from error
-            return _checked(response)
-        raise _unreachable("; ".join(problems))
+            return _raise_for_error(response)
+        raise _no_server_available("; ".join(errors))
 
 
 def create_client(
     servers: str, token_file: str, timeout_s: float
 ) -> OperatorClient:
-    """Returns a client for the options of the command line.
+    """Creates a client from command-line options.
 
     Args:
-        servers: Base URLs, separated by commas.
-        token_file: File that holds the token; empty for none.
-        timeout_s: Longest wait for one answer.
+        servers: Comma-separated base URLs.
+        token_file: File that holds the token; empty to send none.
+        timeout_s: Timeout of one request, in seconds.
 
     Raises:
-        UsageError: An option is wrong.
+        UsageError: A server URL is invalid or the token file cannot be read.
     """
     urls = tuple(s.strip().rstrip("/") for s in servers.split(",") if s.strip())
     if not urls:
         raise UsageError(
-            "--server: no address", "give http://ADDRESS:PORT, or several."
+            "--server: no address", "give one or more http://ADDRESS:PORT."
         )
     for url in urls:
         if not url.startswith(("http://", "https://")):
             raise UsageError(
-                f"--server: {url!r} is no URL", "give http://ADDRESS:PORT."
+                f"--server: {url!r} is not a URL", "give http://ADDRESS:PORT."
             )
     token = _read_token(token_file)
     return OperatorClient(ClientSettings(urls, token, timeout_s))
@@ -248,50 +252,52 @@
         ) from error
 
 
-def _checked(response: httpx.Response) -> httpx.Response:
+def _raise_for_error(response: httpx.Response) -> httpx.Response:
     if response.is_success:
         return response
     try:
         adapter = pydantic.TypeAdapter(ErrorBody)
         body = adapter.validate_json(response.content)
     except pydantic.ValidationError as error:
-        raise _not_ours(response) from error
-    raise RefusedError(body)
+        raise _unexpected_response(response) from error
+    raise ApiError(body)
 
 
-def _decode(response: httpx.Response, answer: type[ValueT]) -> ValueT:
+def _decode(response: httpx.Response, response_type: type[ValueT]) -> ValueT:
     try:
-        return pydantic.TypeAdapter(answer).validate_json(
+        return pydantic.TypeAdapter(response_type).validate_json(
             response.content or b"null"
         )
     except pydantic.ValidationError as error:
-        raise _not_ours(response) from error
+        raise _unexpected_response(response) from error
 
 
-def _not_ours(response: httpx.Response) -> ToolError:
+def _unexpected_response(response: httpx.Response) -> ToolError:
     return ToolError(
-        f"{response.url}: status {response.status_code} with a body that is"
-        " not the daemon's",
-        "--server must name the operators' listener of a host; or the tool"
-        " and the daemon are of different releases.",
+        f"{response.url}: status {response.status_code} with an unexpected"
+        " body",
+        "check that --server names the operator listener of a host, and that"
+        " the tool and the daemon are of the same release.",
     )
 
 
-def _unknown(change: ChangeRequest, problem: str) -> OutcomeUnknownError:
+def _outcome_unknown(
+    change: ChangeRequest, problem: str
+) -> OutcomeUnknownError:
     return OutcomeUnknownError(
         f"change {change.change_id} may or may not have been accepted."
-        f" Last answer: {problem}",
+        f" Last response: {problem}",
         exit_code=EXIT_UNREACHABLE,
     )
 
 
-def _unreachable(problem: str) -> ToolError:
+def _no_server_available(problem: str) -> ToolError:
     return ToolError(
-        f"no server answers: {problem}",
-        "--server takes several addresses, separated by commas.",
+        f"no server available: {problem}",
+        "--server takes a comma-separated list of addresses.",
         EXIT_UNREACHABLE,
     )
 
 
-def _reason(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     return str(error) or type(error).__name__
--- a/apps/masticctl/src/masticctl/errors.py
+++ b/apps/masticctl/src/masticctl/errors.py
@@ -17,7 +17,7 @@
     " host's settings list.",
     ErrorKind.FORBIDDEN: "use a token with the role 'operate'.",
     ErrorKind.NOT_FOUND: "'masticctl get', 'masticctl program list' and"
-    " 'masticctl revisions list' show what there is.",
+    " 'masticctl revisions list' list the existing objects.",
     ErrorKind.CONFLICT: "see the other change with 'masticctl revisions"
     " show', then plan again.",
     ErrorKind.PLATFORM_UNAVAILABLE: "nothing was written; try again once the"
@@ -26,10 +26,10 @@
 
 
 class ToolError(Exception):
-    """Ends a command with a message, a hint and an exit code.
+    """Error that ends a command with a message, a hint and an exit code.
 
     Attributes:
-        hint: What the operator can do about it.
+        hint: Suggested action for the operator; may be empty.
         exit_code: Exit code of the process.
     """
 
@@ -42,25 +42,25 @@
 
 
 class UsageError(ToolError):
-    """The command line or a local file is wrong."""
+    """The command line or a local file is invalid."""
 
     def __init__(self, message: str, hint: str = "") -> None:
         super().__init__(message, hint, EXIT_USAGE)
 
 
-class RefusedError(ToolError):
-    """The daemon refused.
+class ApiError(ToolError):
+    """The daemon returned an error response.
 
     Attributes:
-        kind: The error kind.
+        kind: Kind of the error.
     """
 
     def __init__(self, body: ErrorBody) -> None:
         self.kind = ErrorKind(body.kind)
         text = body.message
         if body.detail:
-            gap = "\n" if "\n" in body.detail else " "
-            text = f"{text}{gap}{body.detail}"
+            separator = "\n" if "\n" in body.detail else " "
+            text = f"{text}{separator}{body.detail}"
         super().__init__(
             text,
             HINT_BY_KIND.get(self.kind, ""),
