--- a/apps/masticctl/src/masticctl/__init__.py
+++ b/apps/masticctl/src/masticctl/__init__.py
@@ -1,1 +1,1 @@
-"""The command-line tool of operators."""
+"""Command-line tool for operators of masticdale."""
--- a/apps/masticctl/src/masticctl/changes.py
+++ b/apps/masticctl/src/masticctl/changes.py
@@ -1,4 +1,7 @@
-"""Planning and applying changes, and keeping one whose answer was lost."""
+"""Planning and applying configuration changes.
+
+A change with an unknown outcome is saved to a file so that it can be resent.
+"""
 
 import pathlib
 
@@ -12,19 +15,19 @@
 
 
 async def plan(session: Session, change: ChangeRequest) -> PlanReport:
-    """Asks what a change would do."""
+    """Requests a dry run of a change."""
     return await session.client.post("/v1/config/plan", PlanReport, change)
 
 
 async def confirm_and_apply(
     session: Session, change: ChangeRequest, yes: bool
 ) -> int:
-    """Shows what a change would do, asks, and applies it.
+    """Shows the plan of a change and applies it after confirmation.
 
     Args:
         session: The session.
         change: The change.
-        yes: True to apply without asking.
+        yes: Whether to skip the confirmation prompt.
 
     Returns:
         The exit code.
@@ -43,18 +46,19 @@
 
 
 async def apply(session: Session, change: ChangeRequest) -> int:
-    """Applies a change; one whose answer was lost is kept in a file.
+    """Applies a change and saves it to a file if its outcome is unknown.
 
     Raises:
-        OutcomeUnknownError: With a hint that names the file.
+        OutcomeUnknownError: No definite response was received; the hint names
+            the file.
     """
     try:
         report = await session.client.apply(change)
     except OutcomeUnknownError as error:
-        kept = pathlib.Path(f"masticctl-{change.change_id}.json")
-        save(change, kept)
+        path = pathlib.Path(f"masticctl-{change.change_id}.json")
+        save(change, path)
         error.hint = (
-            f"send it again with 'masticctl apply --plan {kept}'; if it was"
+            f"send it again with 'masticctl apply --plan {path}'; if it was"
             " accepted, that is recognised."
         )
         raise
@@ -66,7 +70,7 @@
 
 
 def save(change: ChangeRequest, path: pathlib.Path) -> None:
-    """Writes a change to a file that ``load`` reads."""
+    """Writes a change to a file that ``load`` can read."""
     path.write_text(change.model_dump_json(indent=2, exclude_defaults=True))
 
 
@@ -74,7 +78,7 @@
     """Reads a saved change.
 
     Raises:
-        UsageError: There is none.
+        UsageError: The file cannot be read or holds no saved change.
     """
     try:
         return ChangeRequest.model_validate_json(pathlib.Path(path).read_text())
@@ -85,6 +89,6 @@
         ) from error
     except pydantic.ValidationError as error:
         raise UsageError(
-            f"--plan: {path}: is no saved change",
+            f"--plan: {path}: not a saved change",
             "give a file that 'masticctl plan --save FILE' wrote.",
         ) from error
--- a/apps/masticctl/src/masticctl/commands.py
+++ b/apps/masticctl/src/masticctl/commands.py
@@ -44,12 +44,12 @@
 
 @arguments("request_timeout")
 class Commands:
-    """Plan and apply declarations, and look after running programs.
+    """Plan and apply declarations, and manage running programs.
 
-    Exit codes: 0 done; 1 refused or failed; 2 wrong usage or declarations;
-    3 no access; 4 no such object; 5 another change came first; 6 the platform
-    does not answer; 7 hosts or calls lag after --timeout; 8 no server answers
-    or an answer was lost.
+    Exit codes: 0 success; 1 failed or declined; 2 invalid usage or
+    declarations; 3 access denied; 4 not found; 5 another change came first;
+    6 platform unavailable; 7 hosts or calls lag after --timeout; 8 no server
+    available or response lost.
     """
 
     def __init__(
@@ -60,16 +60,16 @@
         output: str = "table",
         request_timeout: float = DEFAULT_TIMEOUT_S,
     ) -> None:
-        """Reads the options that every command takes.
+        """Creates the commands with the global options.
 
         Args:
-            server: Base URLs of operators' listeners, with commas between;
-                the next is tried where one is down. Default: the environment
-                variable MASTICCTL_SERVER, or http://127.0.0.1:8081.
+            server: Comma-separated base URLs of operator listeners, tried in
+                order. Default: the environment variable MASTICCTL_SERVER, or
+                http://127.0.0.1:8081.
             token_file: File that holds your token. Default: the environment
                 variable MASTICCTL_TOKEN_FILE.
             output: table or json.
-            request_timeout: Longest wait for one answer, in seconds.
+            request_timeout: Timeout of one request, in seconds.
         """
         self._options = GlobalOptions(
             server or os.environ.get(SERVER_VARIABLE, DEFAULT_SERVER),
@@ -92,13 +92,13 @@
         reason: str = "",
         prune: bool = False,
     ) -> Invocation:
-        """Show what applying a folder would change, writing nothing.
+        """Show what applying a folder would change, as a dry run.
 
         Args:
-            folder: Folder or file with declarations.
-            save: File that keeps the change, for 'apply --plan'.
-            reason: Why, for the audit log; kept with --save.
-            prune: Delete declarations that no file names.
+            folder: Folder or file of declarations.
+            save: File to save the change to, for 'apply --plan'.
+            reason: Reason for the audit log; saved with --save.
+            prune: Delete active declarations that are in no file.
         """
 
         async def body(session: Session) -> int:
@@ -122,21 +122,20 @@
         prune: bool = False,
         yes: bool = False,
     ) -> Invocation:
-        """Apply a folder of declarations as one revision, or nothing of it.
+        """Apply a folder of declarations atomically, as one revision.
 
         Args:
-            folder: Folder or file with declarations.
-            plan: Saved change to apply in place of a folder, exactly as it
-                was planned: whoever changed the same declarations since then
-                causes a conflict.
-            reason: Why, for the audit log.
-            prune: Delete declarations that no file names.
-            yes: Apply without asking.
+            folder: Folder or file of declarations.
+            plan: Saved change to apply unmodified instead of a folder; fails
+                with a conflict if the declarations changed since then.
+            reason: Reason for the audit log.
+            prune: Delete active declarations that are in no file.
+            yes: Apply without confirmation.
         """
         if bool(folder) == bool(plan):
             raise UsageError(
                 "give either a folder or --plan FILE",
-                "'masticctl apply --help' says more.",
+                "see 'masticctl apply --help'.",
             )
 
         async def body(session: Session) -> int:
@@ -151,12 +150,12 @@
     def diff(
         self, folder: str, *, prune: bool = False, exit_code: bool = False
     ) -> Invocation:
-        """Show in which fields a folder differs from what is in force.
+        """Show the fields in which a folder differs from the active config.
 
         Args:
-            folder: Folder or file with declarations.
-            prune: Show declarations that no file names as deleted.
-            exit_code: End with 1 where something differs.
+            folder: Folder or file of declarations.
+            prune: Show active declarations that are in no file as deleted.
+            exit_code: Exit with code 1 if there are differences.
         """
 
         async def body(session: Session) -> int:
@@ -170,7 +169,7 @@
 
     @arguments()
     def get(self, what: str = "") -> Invocation:
-        """List declarations in force, or show one.
+        """List active declarations, or show one.
 
         Args:
             what: KIND to list, or KIND/NAME to show; all by default.
@@ -198,10 +197,10 @@
 
         Args:
             what: KIND/NAME.
-            *assignments: PATH=VALUE each, such as spec.weight=2; the value is
-                JSON or else a string; PATH= restores the default.
-            reason: Why, for the audit log.
-            yes: Apply without asking.
+            *assignments: PATH=VALUE each, such as spec.weight=2. A value that
+                is not JSON is a string; PATH= restores the default.
+            reason: Reason for the audit log.
+            yes: Apply without confirmation.
         """
         key = parse_key(what)
         if not assignments:
@@ -210,9 +209,9 @@
             )
 
         async def body(session: Session) -> int:
-            seen = await stored.read(session, key)
-            after = editing.assign(seen.declaration, assignments)
-            return await stored.put(session, seen, after, reason, yes)
+            current = await stored.read(session, key)
+            edited = editing.set_fields(current.declaration, assignments)
+            return await stored.replace(session, current, edited, reason, yes)
 
         return Invocation(self._options, body)
 
@@ -224,8 +223,8 @@
 
         Args:
             *what: KIND/NAME each.
-            reason: Why, for the audit log.
-            yes: Apply without asking.
+            reason: Reason for the audit log.
+            yes: Apply without confirmation.
         """
         keys = [parse_key(text) for text in what]
         if not keys:
@@ -234,9 +233,11 @@
         async def body(session: Session) -> int:
             edits = []
             for key in keys:
-                seen = await stored.read(session, key)
+                current = await stored.read(session, key)
                 edits.append(
-                    EditRequest(kind=key.kind, name=key.name, seen=seen.digest)
+                    EditRequest(
+                        kind=key.kind, name=key.name, seen=current.digest
+                    )
                 )
             change = new_change(edits, reason)
             return await changes.confirm_and_apply(session, change, yes)
@@ -247,12 +248,12 @@
     def rollback(
         self, revision: str, *, reason: str = "", yes: bool = False
     ) -> Invocation:
-        """Restore the declarations of an earlier revision, as a new one.
+        """Restore the declarations of an earlier revision as a new revision.
 
         Args:
-            revision: Number of the revision whose declarations are to hold.
-            reason: Why, for the audit log.
-            yes: Apply without asking.
+            revision: Number of the revision to restore.
+            reason: Reason for the audit log.
+            yes: Apply without confirmation.
         """
         number = parse_number(revision, "REVISION")
 
@@ -270,19 +271,19 @@
     def status(
         self, *, wait: bool = False, revision: str = "0", timeout: float = 30.0
     ) -> Invocation:
-        """Show the hosts and the revision in force on each.
+        """Show the hosts and the active revision of each.
 
         Args:
-            wait: Return once all live hosts have the revision; else end with
-                7 and name those that lag.
-            revision: Revision to wait for; the newest known by default.
-            timeout: Longest wait, in seconds.
+            wait: Wait until all live hosts have the revision; exit with code
+                7 and list the lagging hosts at the timeout.
+            revision: Revision to wait for; 0 for the newest.
+            timeout: Timeout of --wait, in seconds.
         """
         number = parse_number(revision, "--revision")
 
         async def body(session: Session) -> int:
             if wait:
-                return await waiting.wait_in_force(
+                return await waiting.wait_for_rollout(
                     session, number, float(timeout)
                 )
             report = await waiting.read_status(session)
@@ -293,13 +294,13 @@
 
     @arguments("yes")
     def takeover(self, shard: str, *, yes: bool = False) -> Invocation:
-        """Take a shard over by force, where its copy holders are gone.
+        """Force the takeover of a shard whose replicas are unreachable.
 
-        Acknowledged work that only they held is lost; the report names it.
+        Acknowledged work that only they held is lost; the report lists it.
 
         Args:
             shard: Number of the shard.
-            yes: Take over without asking.
+            yes: Take over without confirmation.
         """
         number = parse_number(shard, "SHARD")
 
@@ -314,7 +315,7 @@
 
     @arguments()
     def dump(self) -> Invocation:
-        """Show the state of the answering host's process, as JSON."""
+        """Show the process state of the responding host as JSON."""
 
         async def body(session: Session) -> int:
             state = await session.client.get_json("/v1/dump")
@@ -325,7 +326,7 @@
 
     @arguments()
     def metrics(self) -> Invocation:
-        """Show the answering host's metrics in the Prometheus text format."""
+        """Show the metrics of the responding host in Prometheus text format."""
 
         async def body(session: Session) -> int:
             session.output.text(await session.client.get_text("/metrics"))
@@ -337,16 +338,16 @@
 async def _folder_change(
     session: Session, folder: str, reason: str, prune: bool
 ) -> ChangeRequest:
-    wanted_by_key = read_folder(folder)
-    in_force = await session.client.declarations({})
-    return new_change(to_edits(wanted_by_key, in_force, prune), reason)
+    desired_by_key = read_folder(folder)
+    active = await session.client.declarations({})
+    return new_change(to_edits(desired_by_key, active, prune), reason)
 
 
 async def _apply_saved(
     session: Session, change: ChangeRequest, yes: bool
 ) -> int:
-    # Not planned anew: where the change was accepted and only its answer was
-    # lost, a plan would report a conflict of the change with itself.
+    # Planning again would report a false conflict if the change was already
+    # accepted and only the response was lost.
     question = f"Apply the saved change {change.change_id}?"
     if not yes and not session.confirm(question):
         session.output.note("Nothing was written.")
--- a/apps/masticctl/src/masticctl/declarations.py
+++ b/apps/masticctl/src/masticctl/declarations.py
@@ -1,4 +1,4 @@
-"""Declarations in files: one or several in each JSON file of a folder."""
+"""Reading declarations from JSON files and computing edits from them."""
 
 import pathlib
 import uuid
@@ -25,15 +25,15 @@
 
 
 def read_folder(folder: str) -> DeclarationByKey:
-    """Reads every declaration of a folder or of one file.
+    """Reads all declarations from a folder or a file.
 
     Args:
-        folder: A folder, searched for ``*.json`` at any depth, or a file. A
-            file holds one declaration or a list of them.
+        folder: Folder that is searched recursively for ``*.json``, or a single
+            file. Each file holds one declaration or a list of them.
 
     Raises:
-        UsageError: A file cannot be read or holds something wrong; every
-            wrong field of every file is named.
+        UsageError: A file cannot be read or a declaration is invalid; the
+            message lists every invalid field of every file.
     """
     path = pathlib.Path(folder)
     if not path.exists():
@@ -44,7 +44,7 @@
     files = sorted(path.rglob("*.json")) if path.is_dir() else [path]
     if not files:
         raise UsageError(
-            f"{folder}: holds no *.json file",
+            f"{folder}: contains no *.json file",
             "give the folder that holds your declarations.",
         )
     declaration_by_key: DeclarationByKey = {}
@@ -60,58 +60,59 @@
 
 
 def to_edits(
-    wanted_by_key: DeclarationByKey,
-    in_force: DeclarationPage,
+    desired_by_key: DeclarationByKey,
+    active: DeclarationPage,
     prune: bool = False,
 ) -> tuple[EditRequest, ...]:
-    """Returns the edits that bring the wanted declarations about.
+    """Returns the edits that lead from the active to the desired state.
 
     Args:
-        wanted_by_key: What the files say.
-        in_force: What holds now.
-        prune: Whether declarations that no file names are deleted.
+        desired_by_key: Desired declarations, from the files.
+        active: Active declarations, from the daemon.
+        prune: Whether to delete active declarations that are not desired.
     """
     digest_by_key = {
-        key_of(item.declaration): item.digest for item in in_force.items
+        key_of(item.declaration): item.digest for item in active.items
     }
     edits = [
         EditRequest(
             kind=key.kind,
             name=key.name,
             seen=digest_by_key.get(key, ABSENT),
-            after=wanted,
+            after=desired,
         )
-        for key, wanted in sorted(wanted_by_key.items(), key=lambda i: i[0])
-        if digest_by_key.get(key) != wanted.digest
+        for key, desired in sorted(desired_by_key.items(), key=lambda i: i[0])
+        if digest_by_key.get(key) != desired.digest
     ]
     if not prune:
         return tuple(edits)
     edits += [
         EditRequest(kind=key.kind, name=key.name, seen=digest)
         for key, digest in sorted(digest_by_key.items())
-        if key not in wanted_by_key
+        if key not in desired_by_key
     ]
     return tuple(edits)
 
 
 def new_change(edits: Iterable[EditRequest], reason: str = "") -> ChangeRequest:
-    """Returns a change with a new id."""
+    """Creates a change with a unique id."""
     return ChangeRequest(
         change_id=uuid.uuid4().hex, reason=reason, edits=tuple(edits)
     )
 
 
 def to_text(declaration: Declaration) -> str:
-    """Returns a declaration as it would stand in a file."""
+    """Serializes a declaration in the format of declaration files."""
     value = declaration.model_dump(mode="json", exclude_defaults=True)
     return orjson.dumps(value, option=orjson.OPT_INDENT_2).decode() + "\n"
 
 
 def parse_text(text: bytes | str, source: str) -> Declaration:
-    """Reads one declaration.
+    """Parses one declaration.
 
     Raises:
-        UsageError: It is wrong; the message names source and fields.
+        UsageError: The declaration is invalid; the message names the source and
+            the fields.
     """
     outcome = parse(text)
     if isinstance(outcome, Failed):
--- a/apps/masticctl/src/masticctl/docstrings.py
+++ b/apps/masticctl/src/masticctl/docstrings.py
@@ -1,4 +1,4 @@
-"""Reading docstrings in the Google style."""
+"""Parsing of Google-style docstrings."""
 
 import dataclasses
 import inspect
@@ -9,11 +9,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Docstring:
-    """A docstring.
+    """A parsed docstring.
 
     Attributes:
-        text: What stands before the section.
-        description_by_name: The section's entries.
+        text: Text before the section.
+        description_by_name: Entries of the section.
     """
 
     text: str
@@ -21,21 +21,21 @@
 
 
 def read_docstring(documented: Any, section: str = "Args") -> Docstring:
-    """Reads a docstring with one section of described names.
+    """Parses the docstring of an object and one of its sections.
 
     Args:
-        documented: Whatever has the docstring.
-        section: Title of the section.
+        documented: Object that has the docstring.
+        section: Title of the section to parse.
     """
-    whole = inspect.getdoc(documented) or ""
-    text, _, entries = whole.partition(f"{section}:\n")
-    found: dict[str, str] = {}
+    docstring = inspect.getdoc(documented) or ""
+    text, _, entries = docstring.partition(f"{section}:\n")
+    description_by_name: dict[str, str] = {}
     name = ""
     for line in textwrap.dedent(entries).splitlines():
-        begun = re.match(r"^\*?(\w+): (.*)", line)
-        if begun:
-            name = begun.group(1)
-            found[name] = begun.group(2)
+        match = re.match(r"^\*?(\w+): (.*)", line)
+        if match:
+            name = match.group(1)
+            description_by_name[name] = match.group(2)
         elif name and line.strip():
-            found[name] += f" {line.strip()}"
-    return Docstring(text.strip(), found)
+            description_by_name[name] += f" {line.strip()}"
+    return Docstring(text.strip(), description_by_name)
--- a/apps/masticctl/src/masticctl/editing.py
+++ b/apps/masticctl/src/masticctl/editing.py
@@ -1,4 +1,4 @@
-"""Changing single fields of a declaration."""
+"""Editing fields of declarations and creating workspaces."""
 
 import functools
 from typing import Any
@@ -18,21 +18,22 @@
 from masticdale_config.kinds import Parameter, ParameterType
 
 
-def assign(declaration: Declaration, assignments: tuple[str, ...]) -> Any:
-    """Returns a declaration with fields set.
+def set_fields(declaration: Declaration, assignments: tuple[str, ...]) -> Any:
+    """Returns a copy of a declaration with fields set.
 
     Args:
-        declaration: The declaration as it is.
-        assignments: ``PATH=VALUE`` each; the value is JSON or else a string,
-            an empty one takes the field away, so that its default holds.
+        declaration: Declaration to copy.
+        assignments: ``PATH=VALUE`` each. A value that is not JSON is a
+            string; an empty value removes the field, which restores its
+            default.
 
     Raises:
-        UsageError: A path leads nowhere or the result is wrong.
+        UsageError: A path does not exist or the result is invalid.
     """
     value = declaration.model_dump(mode="json", exclude_defaults=True)
     for assignment in assignments:
         path, text = parse_assignment(assignment)
-        _set(value, path, text)
+        _set_field(value, path, text)
     return parse_text(orjson.dumps(value), "after the edit")
 
 
@@ -42,16 +43,16 @@
     upstreams: tuple[str, ...],
     assignments: tuple[str, ...],
 ) -> Workspace:
-    """Returns a workspace that fills a template in.
+    """Creates a workspace from a template.
 
     Args:
         template: The template.
         name: Name of the workspace.
-        upstreams: Upstreams it may use.
-        assignments: ``PARAMETER=VALUE`` each, read by the parameter's type.
+        upstreams: Upstreams that the workspace may use.
+        assignments: ``PARAMETER=VALUE`` each, parsed by the parameter's type.
 
     Raises:
-        UsageError: A parameter is unknown or a value does not fit its type.
+        UsageError: A parameter is unknown or its value has the wrong type.
     """
     value_by_name: dict[str, Any] = {}
     for assignment in assignments:
@@ -64,7 +65,9 @@
                 f" {parameter_name!r}",
                 f"its parameters are: {known}.",
             )
-        value_by_name[parameter_name] = _typed(parameter, parameter_name, text)
+        value_by_name[parameter_name] = _parse_parameter(
+            parameter, parameter_name, text
+        )
     value = {
         "kind": "Workspace",
         "name": name,
@@ -76,68 +79,70 @@
     }
     declaration = parse_text(orjson.dumps(value), f"Workspace/{name}")
     if not isinstance(declaration, Workspace):
-        raise TypeError(f"{declaration.kind} is no workspace")
+        raise TypeError(f"{declaration.kind} is not a workspace")
     return declaration
 
 
 def with_caller_key(workspace: Workspace, caller: str, key: str) -> Workspace:
-    """Returns a workspace with one caller key more, stored as its digest."""
+    """Returns a copy of a workspace with a caller key added as its digest."""
     value = workspace.model_dump(mode="json", exclude_defaults=True)
     keys = value["spec"].setdefault("caller_keys", [])
     keys.append({"name": caller, "sha256": caller_key_digest(key)})
     return Workspace.model_validate_json(orjson.dumps(value))
 
 
-def missing(key: DeclarationKey) -> UsageError:
-    """Returns the error for a declaration that is not in force."""
+def not_found(key: DeclarationKey) -> UsageError:
+    """Returns the error for a declaration that does not exist."""
     return UsageError(
-        f"there is no {key}", f"'masticctl get {key.kind}' lists what there is."
+        f"there is no {key}", f"'masticctl get {key.kind}' lists them."
     )
 
 
-def _set(value: Any, path: str, text: str) -> None:
+def _set_field(value: Any, path: str, text: str) -> None:
     names = path.split(".")
     try:
-        holder = functools.reduce(_step, names[:-1], value)
+        container = functools.reduce(_descend, names[:-1], value)
         if text == "":
-            _remove(holder, names[-1])
+            _remove(container, names[-1])
             return
-        holder[_index(holder, names[-1])] = _loads(text)
+        container[_index(container, names[-1])] = _parse_json_or_string(text)
     except (KeyError, IndexError, TypeError, ValueError):
         raise UsageError(
-            f"{path}: there is no such field",
+            f"{path}: no such field",
             "'masticctl get KIND/NAME' shows the declaration.",
         ) from None
 
 
-def _step(holder: Any, name: str) -> Any:
-    if isinstance(holder, dict):
-        return holder.setdefault(name, {})
-    return holder[int(name)]
+def _descend(container: Any, name: str) -> Any:
+    if isinstance(container, dict):
+        return container.setdefault(name, {})
+    return container[int(name)]
 
 
-def _index(holder: Any, name: str) -> str | int:
-    return name if isinstance(holder, dict) else int(name)
+def _index(container: Any, name: str) -> str | int:
+    return name if isinstance(container, dict) else int(name)
 
 
-def _remove(holder: Any, name: str) -> None:
-    if isinstance(holder, dict):
-        holder.pop(name, None)
+def _remove(container: Any, name: str) -> None:
+    if isinstance(container, dict):
+        container.pop(name, None)
     else:
-        del holder[int(name)]
+        del container[int(name)]
 
 
-def _loads(text: str) -> Any:
+def _parse_json_or_string(text: str) -> Any:
     try:
         return orjson.loads(text)
     except orjson.JSONDecodeError:
         return text
 
 
-def _typed(parameter: Parameter, name: str, text: str) -> Any:
+def _parse_parameter(parameter: Parameter, name: str, text: str) -> Any:
     if parameter.type is ParameterType.STRING:
         return text
-    value = _loads(text)
+    value = _parse_json_or_string(text)
     if isinstance(value, str):
-        raise UsageError(f"parameter {name}: {text!r} is no {parameter.type}")
+        raise UsageError(
+            f"parameter {name}: {text!r} is not of type {parameter.type}"
+        )
     return value
--- a/apps/masticctl/src/masticctl/groups.py
+++ b/apps/masticctl/src/masticctl/groups.py
@@ -1,4 +1,4 @@
-"""Groups of commands below ``masticctl``."""
+"""Command groups of ``masticctl``."""
 
 import asyncio
 import pathlib
@@ -19,18 +19,18 @@
     TakeoverReport,
 )
 
-_POLL_S = 0.5
+_POLL_INTERVAL_S = 0.5
 
 
 class Group:
-    """Commands that share the global options."""
+    """Base class of command groups."""
 
     def __init__(self, options: GlobalOptions) -> None:
         self._options = options
 
 
 class UpstreamCommands(Group):
-    """Take upstreams out of use and see how far that is."""
+    """Drain upstreams."""
 
     @arguments("yes", "wait", "timeout")
     def drain(
@@ -42,26 +42,30 @@
         wait: bool = False,
         timeout: float = 60.0,
     ) -> Invocation:
-        """Give an upstream no new work; calls in flight finish.
+        """Stop sending new calls to an upstream; calls in flight finish.
 
-        To use it again: masticctl edit Upstream/NAME spec.draining=false
+        To undo: masticctl edit Upstream/NAME spec.draining=false
 
         Args:
             name: Name of the upstream.
-            reason: Why, for the audit log.
-            yes: Apply without asking.
-            wait: Return once no call is in flight there.
-            timeout: Longest wait, in seconds.
+            reason: Reason for the audit log.
+            yes: Apply without confirmation.
+            wait: Wait until the upstream has no calls in flight.
+            timeout: Timeout of --wait, in seconds.
         """
 
         async def body(session: Session) -> int:
             key = DeclarationKey(Kind.UPSTREAM, name)
-            seen = await stored.read(session, key)
-            after = editing.assign(seen.declaration, ("spec.draining=true",))
-            code = await stored.put(session, seen, after, reason, yes)
+            stored_declaration = await stored.read(session, key)
+            drained = editing.set_fields(
+                stored_declaration.declaration, ("spec.draining=true",)
+            )
+            code = await stored.replace(
+                session, stored_declaration, drained, reason, yes
+            )
             if code != EXIT_OK:
                 return code
-            return await _follow_drain(session, name, wait, float(timeout))
+            return await _report_drain(session, name, wait, float(timeout))
 
         return Invocation(self._options, body)
 
@@ -86,34 +90,34 @@
         Args:
             name: Name of the new workspace.
             *parameters: Values of the template's parameters, as NAME=VALUE.
-            from_template: Template it fills in.
-            upstreams: Names of the upstreams it may use, with commas between.
+            from_template: Name of the template.
+            upstreams: Comma-separated names of the upstreams it may use.
             caller: Name of its first caller; needs --key-file.
             key_file: File that holds that caller's key; its digest is stored.
-            reason: Why, for the audit log.
-            yes: Apply without asking.
+            reason: Reason for the audit log.
+            yes: Apply without confirmation.
         """
 
         async def body(session: Session) -> int:
             key = DeclarationKey(Kind.TEMPLATE, from_template)
             template = (await stored.read(session, key)).declaration
             if not isinstance(template, Template):
-                raise editing.missing(key)
+                raise editing.not_found(key)
             workspace = editing.new_workspace(
-                template, name, _split(upstreams), parameters
+                template, name, _split_names(upstreams), parameters
             )
             if caller or key_file:
-                caller_key = _read_key(caller, key_file)
+                caller_key = _read_caller_key(caller, key_file)
                 workspace = editing.with_caller_key(
                     workspace, caller, caller_key
                 )
-            return await stored.put(session, None, workspace, reason, yes)
+            return await stored.replace(session, None, workspace, reason, yes)
 
         return Invocation(self._options, body)
 
 
 class ProgramCommands(Group):
-    """Look at running programs and stop them."""
+    """Inspect and stop running programs."""
 
     @arguments()
     def list(
@@ -127,10 +131,10 @@
         """List programs by id.
 
         Args:
-            workspace: Only this workspace's.
-            state: Only those in this state, such as running.
-            after: Only ids after this one, to see the next page.
-            limit: Most programs shown.
+            workspace: Only programs of this workspace.
+            state: Only programs in this state, such as running.
+            after: Only ids after this one, for the next page.
+            limit: Maximum number of programs.
         """
         query: dict[str, str | int] = {
             "workspace": workspace,
@@ -143,7 +147,9 @@
             page = await session.client.get("/v1/programs", ProgramPage, query)
             session.output.show(page, views.programs_table(page))
             for host in page.unanswered_hosts:
-                session.output.note(f"{host} did not answer; its programs miss")
+                session.output.note(
+                    f"{host} did not answer; its programs are not listed"
+                )
             if page.next_after:
                 session.output.note(f"more with --after {page.next_after}")
             return EXIT_OK
@@ -152,14 +158,14 @@
 
     @arguments()
     def inspect(self, program_id: str) -> Invocation:
-        """Show a program, what it spent and what its calls wait for.
+        """Show a program, its usage and what its calls wait for.
 
         Args:
             program_id: The program's id.
         """
 
         async def body(session: Session) -> int:
-            path = f"/v1/programs/{_segment(program_id)}"
+            path = f"/v1/programs/{_path_segment(program_id)}"
             detail = await session.client.get(path, ProgramDetail)
             session.output.show(detail, views.program_text(detail))
             return EXIT_OK
@@ -168,18 +174,18 @@
 
     @arguments("yes")
     def stop(self, program_id: str, *, yes: bool = False) -> Invocation:
-        """End a program; its calls in flight are cancelled.
+        """Stop a program and cancel its calls in flight.
 
         Args:
             program_id: The program's id.
-            yes: Stop without asking.
+            yes: Stop without confirmation.
         """
 
         async def body(session: Session) -> int:
             if not yes and not session.confirm(f"Stop program {program_id}?"):
                 session.output.note("Nothing was stopped.")
                 return EXIT_FAILED
-            path = f"/v1/programs/{_segment(program_id)}/stop"
+            path = f"/v1/programs/{_path_segment(program_id)}/stop"
             detail = await session.client.post(path, ProgramDetail)
             session.output.show(detail, views.program_text(detail))
             return EXIT_OK
@@ -188,7 +194,7 @@
 
 
 class QuarantineCommands(Group):
-    """Requests that are refused because they crashed their replicas."""
+    """Manage requests that are rejected because they crashed replicas."""
 
     @arguments()
     def list(self) -> Invocation:
@@ -205,11 +211,11 @@
 
     @arguments("yes")
     def release(self, digest: str, *, yes: bool = False) -> Invocation:
-        """Let a quarantined request be tried again.
+        """Release a request from quarantine so that it can be retried.
 
         Args:
-            digest: Its digest, as 'quarantine list' shows it.
-            yes: Release without asking.
+            digest: Digest of the request, from 'quarantine list'.
+            yes: Release without confirmation.
         """
 
         async def body(session: Session) -> int:
@@ -217,7 +223,7 @@
             if not yes and not session.confirm(question):
                 session.output.note("Nothing was released.")
                 return EXIT_FAILED
-            path = f"/v1/quarantine/{_segment(digest)}/release"
+            path = f"/v1/quarantine/{_path_segment(digest)}/release"
             await session.client.post(path, type(None))
             session.output.show({"released": digest}, f"Released {digest}.")
             return EXIT_OK
@@ -226,14 +232,14 @@
 
 
 class RevisionCommands(Group):
-    """Look at accepted changes."""
+    """Inspect accepted changes."""
 
     @arguments()
     def list(self, *, limit: str = "20") -> Invocation:
         """List accepted revisions, newest first.
 
         Args:
-            limit: Most revisions shown.
+            limit: Maximum number of revisions.
         """
         query: dict[str, str | int] = {"limit": parse_number(limit, "--limit")}
 
@@ -264,7 +270,7 @@
 
 
 async def take_over(session: Session, shard: int) -> int:
-    """Takes a shard over by force and names what may be lost."""
+    """Forces the takeover of a shard and shows which work may be lost."""
     report = await session.client.post(
         f"/v1/shards/{shard}/takeover", TakeoverReport
     )
@@ -272,18 +278,18 @@
     return EXIT_OK
 
 
-async def _follow_drain(
+async def _report_drain(
     session: Session, name: str, wait: bool, timeout_s: float
 ) -> int:
     deadline = time.monotonic() + timeout_s
-    path = f"/v1/upstreams/{_segment(name)}/drain"
+    path = f"/v1/upstreams/{_path_segment(name)}/drain"
     while True:
         report = await session.client.post(path, DrainReport)
         is_idle = report.draining and report.in_flight == 0
-        is_late = time.monotonic() >= deadline
-        if not wait or is_idle or is_late:
+        is_timed_out = time.monotonic() >= deadline
+        if not wait or is_idle or is_timed_out:
             break
-        await asyncio.sleep(_POLL_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
     text = (
         f"{name}: {report.in_flight} calls in flight, prefixes of"
         f" {report.programs} programs"
@@ -292,21 +298,21 @@
     return EXIT_LAGGING if wait and not is_idle else EXIT_OK
 
 
-def _split(names: str) -> tuple[str, ...]:
+def _split_names(names: str) -> tuple[str, ...]:
     return tuple(n.strip() for n in names.split(",") if n.strip())
 
 
-def _segment(text: str) -> str:
+def _path_segment(text: str) -> str:
     if "/" in text or "?" in text or "#" in text or not text:
-        raise UsageError(f"{text!r} is no id")
+        raise UsageError(f"{text!r} is not a valid id")
     return text
 
 
-def _read_key(caller: str, key_file: str) -> str:
+def _read_caller_key(caller: str, key_file: str) -> str:
     if not (caller and key_file):
         raise UsageError(
             "a first caller needs both --caller and --key-file",
-            "write the caller's key to a file and name both.",
+            "write the caller's key to a file and give both options.",
         )
     try:
         key = pathlib.Path(key_file).read_text().strip()
--- a/apps/masticctl/src/masticctl/help.py
+++ b/apps/masticctl/src/masticctl/help.py
@@ -1,4 +1,4 @@
-"""Help pages, read from the commands' signatures and docstrings."""
+"""Help pages, generated from the signatures and docstrings of commands."""
 
 import dataclasses
 import inspect
@@ -12,7 +12,7 @@
 
 PROGRAM = "masticctl"
 HELP_OPTIONS = frozenset({"--help", "-h"})
-RENAMED_OPTION = {"from-template": "from"}
+OPTION_BY_PARAMETER = {"from-template": "from"}
 _WIDTH = 78
 _INDENT = 2
 _MAX_TERM = 24
@@ -20,17 +20,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Page:
-    words: tuple[str, ...]
+    command_path: tuple[str, ...]
     component: Any
 
 
 def wants_help(argv: Sequence[str]) -> bool:
-    """Returns whether a command line asks for help."""
+    """Returns whether a command line requests help."""
     return not argv or not HELP_OPTIONS.isdisjoint(argv)
 
 
 def render(argv: Sequence[str]) -> str:
-    """Returns the help page of the command that a command line names."""
+    """Renders the help page of the command on a command line."""
     page = _find(argv)
     if isinstance(page.component, Commands | Group):
         return _group_page(page)
@@ -38,9 +38,9 @@
 
 
 def usage(argv: Sequence[str]) -> str:
-    """Returns how the command that a command line names is used."""
+    """Returns the usage line of the command on a command line."""
     page = _find(argv)
-    words = " ".join((PROGRAM, *page.words))
+    words = " ".join((PROGRAM, *page.command_path))
     if isinstance(page.component, Commands | Group):
         return f"Usage: {words} [OPTIONS] COMMAND [ARGS]..."
     arguments = [
@@ -50,7 +50,7 @@
 
 
 def command_names() -> list[str]:
-    """Returns every command as it is typed, sorted."""
+    """Returns the full names of all commands, sorted."""
     names: list[str] = []
     for name, member in _members(Commands()).items():
         if isinstance(member, Group):
@@ -61,7 +61,7 @@
 
 
 def flags(argv: Sequence[str]) -> frozenset[str]:
-    """Returns the options without a value of the command that is named."""
+    """Returns the flags (options without a value) of a command."""
     component = _find(argv).component
     if isinstance(component, Commands | Group):
         return frozenset()
@@ -97,7 +97,7 @@
 
 def _group_page(page: _Page) -> str:
     described = read_docstring(page.component)
-    sections = [usage(page.words), _paragraphs(described.text)]
+    sections = [usage(page.command_path), _paragraphs(described.text)]
     if isinstance(page.component, Commands):
         sections.append(_options_section(Commands.__init__))
     members = [
@@ -105,14 +105,14 @@
         for name, member in sorted(_members(page.component).items())
     ]
     sections.append(f"Commands:\n{_definitions(members)}")
-    words = " ".join((PROGRAM, *page.words))
-    sections.append(f"'{words} COMMAND --help' says more of each.")
+    words = " ".join((PROGRAM, *page.command_path))
+    sections.append(f"'{words} COMMAND --help' describes a command.")
     return "\n\n".join(sections) + "\n"
 
 
 def _command_page(page: _Page) -> str:
     described = read_docstring(page.component)
-    sections = [usage(page.words), _paragraphs(described.text)]
+    sections = [usage(page.command_path), _paragraphs(described.text)]
     arguments = [
         (p.name.upper(), described.description_by_name.get(p.name, ""))
         for p in _parameters(page.component)
@@ -154,7 +154,7 @@
 
 def _option(parameter: inspect.Parameter) -> str:
     name = parameter.name.replace("_", "-")
-    name = RENAMED_OPTION.get(name, name)
+    name = OPTION_BY_PARAMETER.get(name, name)
     if isinstance(parameter.default, bool):
         return f"--{name}"
     return f"--{name} {_value_name(parameter)}"
--- a/apps/masticctl/src/masticctl/main.py
+++ b/apps/masticctl/src/masticctl/main.py
@@ -14,15 +14,15 @@
 from masticctl.errors import EXIT_OK, ToolError, UsageError
 from masticctl.session import Invocation
 
-# Fire takes options from parameter names, and ``from`` is a Python keyword.
-_RENAMED_BY_OPTION = {
+# Fire derives options from parameter names, and ``from`` is a keyword.
+_PARAMETER_BY_OPTION = {
     f"--{shown}": f"--{name}"
-    for name, shown in help_pages.RENAMED_OPTION.items()
+    for name, shown in help_pages.OPTION_BY_PARAMETER.items()
 }
 
 
 def main(argv: Sequence[str] | None = None) -> None:
-    """Runs one command and exits with its code."""
+    """Runs one command and exits the process with its exit code."""
     sys.exit(run(sys.argv[1:] if argv is None else argv))
 
 
@@ -30,7 +30,7 @@
     """Runs one command.
 
     Args:
-        argv: The arguments after the program's name.
+        argv: Command-line arguments without the program name.
 
     Returns:
         The exit code.
@@ -46,55 +46,55 @@
 
 
 def parse(argv: Sequence[str]) -> Invocation:
-    """Reads a command line, running nothing yet.
+    """Parses a command line without running the command.
 
     Args:
-        argv: The arguments after the program's name.
+        argv: Command-line arguments without the program name.
 
     Raises:
-        UsageError: It cannot be understood.
+        UsageError: The command line is invalid.
     """
-    printed = io.StringIO()
+    discarded = io.StringIO()
     try:
-        # Fire's own usage text names internals, so it is not shown.
-        with contextlib.redirect_stderr(printed):
+        # Fire's usage text exposes internals, so it is discarded.
+        with contextlib.redirect_stderr(discarded):
             result = fire.Fire(
                 Commands,
-                command=_for_fire(argv),
+                command=_to_fire_arguments(argv),
                 name=help_pages.PROGRAM,
-                serialize=_hide,
+                serialize=_serialize_nothing,
             )
     except FireExit as error:
         reason = error.trace.elements[-1].ErrorAsStr()
-        raise _misunderstood(argv, reason) from None
+        raise _usage_error(argv, reason) from None
     if not isinstance(result, Invocation):
-        raise _misunderstood(argv, "the command is incomplete")
+        raise _usage_error(argv, "the command is incomplete")
     return result
 
 
-def _for_fire(argv: Sequence[str]) -> list[str]:
-    # Fire would take the word after a flag as its value: in 'apply --yes
-    # FOLDER' the folder.
+def _to_fire_arguments(argv: Sequence[str]) -> list[str]:
+    # Fire would parse the argument after a flag as its value, such as FOLDER
+    # in 'apply --yes FOLDER'.
     flags = help_pages.flags(argv)
-    return [f"{a}=True" if a in flags else _rename(a) for a in argv]
+    return [f"{a}=True" if a in flags else _rename_option(a) for a in argv]
 
 
-def _rename(argument: str) -> str:
+def _rename_option(argument: str) -> str:
     option, equals, value = argument.partition("=")
-    return f"{_RENAMED_BY_OPTION.get(option, option)}{equals}{value}"
+    return f"{_PARAMETER_BY_OPTION.get(option, option)}{equals}{value}"
 
 
-def _hide(result: object) -> None:
+def _serialize_nothing(result: object) -> None:
     del result
 
 
-def _misunderstood(argv: Sequence[str], reason: str) -> UsageError:
+def _usage_error(argv: Sequence[str], reason: str) -> UsageError:
     usage = help_pages.usage(argv)
     return UsageError(f"{reason}\n{usage}", "add --help to see its options.")
 
 
 def report(error: ToolError) -> None:
-    """Tells the operator why a command ended and what to do."""
+    """Writes an error and its hint to standard error."""
     sys.stderr.write(f"Error: {error}\n")
     if error.hint:
         sys.stderr.write(f"Hint: {error.hint}\n")
--- a/apps/masticctl/src/masticctl/output.py
+++ b/apps/masticctl/src/masticctl/output.py
@@ -1,4 +1,4 @@
-"""Writing results as tables for people or JSON for programs."""
+"""Output of results as tables or JSON."""
 
 import dataclasses
 import enum
@@ -13,14 +13,14 @@
 
 
 class OutputFormat(enum.StrEnum):
-    """How results are written."""
+    """Format of results."""
 
     TABLE = "table"
     JSON = "json"
 
 
 class Writer(Protocol):
-    """Where text goes."""
+    """Text stream."""
 
     def write(self, text: str, /) -> Any:
         """Writes text."""
@@ -33,8 +33,8 @@
 
     Attributes:
         headers: Column headers.
-        rows: Cells, as many in each row as there are headers.
-        empty: What is said where there are no rows.
+        rows: Cells of each row, one for each header.
+        empty: Text shown when there are no rows.
     """
 
     headers: tuple[str, ...]
@@ -57,15 +57,15 @@
 
     @property
     def is_json(self) -> bool:
-        """Whether results are read by a program."""
+        """Whether results are written as JSON."""
         return self._format is OutputFormat.JSON
 
     def show(self, value: object, text: str | Table) -> None:
         """Writes one result.
 
         Args:
-            value: What JSON shows.
-            text: What people see.
+            value: Result that is serialized in JSON format.
+            text: Text or table that is written in table format.
         """
         if self.is_json:
             self.text(to_json(value))
@@ -77,12 +77,12 @@
         self._out.write(text if text.endswith("\n") else f"{text}\n")
 
     def note(self, text: str) -> None:
-        """Writes a note for people to standard error."""
+        """Writes a message to standard error, apart from results."""
         self._err.write(f"{text}\n")
 
 
 def to_json(value: object) -> str:
-    """Returns a value as indented JSON."""
+    """Serializes a value as indented JSON."""
     encoded = orjson.dumps(
         value,
         default=_encode,
@@ -92,7 +92,7 @@
 
 
 def format_table(table: Table) -> str:
-    """Returns a table with aligned columns."""
+    """Formats a table with aligned columns."""
     if not table.rows:
         return f"{table.empty}\n"
     lines = [table.headers, *table.rows]
@@ -101,7 +101,7 @@
 
 
 def join(values: Iterable[str], limit: int = 4) -> str:
-    """Returns the first values, and how many more there are."""
+    """Joins the first values with commas and counts the rest."""
     items = list(values)
     shown = ", ".join(items[:limit])
     hidden = len(items) - limit
@@ -120,4 +120,4 @@
 def _encode(value: object) -> Any:
     if isinstance(value, pydantic.BaseModel):
         return value.model_dump(mode="json", exclude_defaults=True)
-    raise TypeError(f"no JSON for {type(value)}")
+    raise TypeError(f"cannot serialize {type(value)} as JSON")
--- a/apps/masticctl/src/masticctl/session.py
+++ b/apps/masticctl/src/masticctl/session.py
@@ -1,4 +1,4 @@
-"""What a command has at hand, and the commands it is started from."""
+"""Global options, sessions and deferred execution of commands."""
 
 import dataclasses
 import sys
@@ -17,10 +17,10 @@
     """Options that every command takes.
 
     Attributes:
-        server: Base URLs of operators' listeners, separated by commas.
+        server: Comma-separated base URLs of operator listeners.
         token_file: File that holds the operator's token.
         output: ``table`` or ``json``.
-        request_timeout: Longest wait for one answer, in seconds.
+        request_timeout: Timeout of one request, in seconds.
     """
 
     server: str
@@ -31,12 +31,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Session:
-    """What a running command works with.
+    """Context of a running command.
 
     Attributes:
-        client: Sends requests to the daemon.
-        output: Takes the results.
-        confirm: Asks the operator a question; True for yes.
+        client: Client of the operator API.
+        output: Destination of results and notes.
+        confirm: Prompts the operator for a confirmation.
     """
 
     client: OperatorClient
@@ -44,20 +44,20 @@
     confirm: Callable[[str], bool]
 
 
-Body = Callable[[Session], Awaitable[int]]
+CommandBody = Callable[[Session], Awaitable[int]]
 
 
 class Invocation:
-    """A parsed command that has not run yet.
+    """A parsed command that is executed later.
 
-    Fire calls a command before it has looked at the rest of the line. A
-    mistyped option would be reported only after the change was made; so
-    commands return this, and it runs once the whole line is understood.
+    Fire calls a command before it has parsed the rest of the command line, so
+    an invalid option would be reported only after the command took effect.
+    Commands therefore return an invocation, which runs after parsing.
     """
 
     __slots__ = ("_body", "_options")
 
-    def __init__(self, options: GlobalOptions, body: Body) -> None:
+    def __init__(self, options: GlobalOptions, body: CommandBody) -> None:
         self._options = options
         self._body = body
 
@@ -76,15 +76,15 @@
 
 
 def confirm(question: str) -> bool:
-    """Asks on the terminal.
+    """Prompts for a confirmation on the terminal.
 
     Raises:
-        UsageError: Nobody is there to answer.
+        UsageError: Standard input is not a terminal.
     """
     if not sys.stdin.isatty():
         raise UsageError(
-            "this needs a confirmation and the input is no terminal",
-            "give --yes once you have read what 'masticctl plan' shows.",
+            "a confirmation is required, but standard input is not a terminal",
+            "review the output of 'masticctl plan', then give --yes.",
         )
     sys.stderr.write(f"{question} [y/N]: ")
     sys.stderr.flush()
@@ -97,5 +97,6 @@
     except ValueError:
         known = ", ".join(OutputFormat)
         raise UsageError(
-            f"--output: {name!r} is no format", f"choose one of {known}."
+            f"--output: {name!r} is not an output format",
+            f"choose one of {known}.",
         ) from None
--- a/apps/masticctl/src/masticctl/stored.py
+++ b/apps/masticctl/src/masticctl/stored.py
@@ -1,52 +1,55 @@
-"""Reading single declarations in force and putting others in their place."""
+"""Reading and replacing single active declarations."""
 
 from masticctl import changes
 from masticctl.declarations import new_change
-from masticctl.editing import missing
+from masticctl.editing import not_found
 from masticctl.session import Session
 from masticdale_config import ABSENT, Declaration, DeclarationKey, key_of
 from masticdale_config.messages import EditRequest, StoredDeclaration
 
 
 async def read(session: Session, key: DeclarationKey) -> StoredDeclaration:
-    """Returns a declaration in force.
+    """Fetches an active declaration.
 
     Raises:
-        UsageError: There is none.
+        UsageError: The declaration does not exist.
     """
     page = await session.client.declarations(
         {"kind": key.kind.value, "name": key.name}
     )
     if not page.items:
-        raise missing(key)
+        raise not_found(key)
     return page.items[0]
 
 
-async def put(
+async def replace(
     session: Session,
-    seen: StoredDeclaration | None,
-    after: Declaration,
+    previous: StoredDeclaration | None,
+    declaration: Declaration,
     reason: str,
     yes: bool,
 ) -> int:
-    """Applies one declaration in place of the one seen.
+    """Creates or replaces one declaration.
+
+    The daemon rejects the change if the declaration is no longer as
+    ``previous`` has it.
 
     Args:
         session: The session.
-        seen: What it replaces; None where there was none.
-        after: What it is to be.
-        reason: Why, for the audit log.
-        yes: True to apply without asking.
+        previous: Declaration to replace; None to create a new one.
+        declaration: New declaration.
+        reason: Reason for the audit log.
+        yes: Whether to skip the confirmation prompt.
 
     Returns:
         The exit code.
     """
-    key = key_of(after)
+    key = key_of(declaration)
     edit = EditRequest(
         kind=key.kind,
         name=key.name,
-        seen=ABSENT if seen is None else seen.digest,
-        after=after,
+        seen=ABSENT if previous is None else previous.digest,
+        after=declaration,
     )
     change = new_change([edit], reason)
     return await changes.confirm_and_apply(session, change, yes)
--- a/apps/masticctl/src/masticctl/views.py
+++ b/apps/masticctl/src/masticctl/views.py
@@ -1,4 +1,4 @@
-"""Tables of what the daemon reports."""
+"""Formatting of the daemon's responses as text and tables."""
 
 import datetime
 
@@ -22,7 +22,7 @@
 
 
 def plan_text(report: PlanReport) -> str:
-    """Returns a plan, declaration by declaration."""
+    """Formats a plan as a list of edits and affected workspaces."""
     if not report.edits:
         return f"Nothing would change at revision {report.base}.\n"
     lines = [edits_text(report.edits)]
@@ -36,7 +36,7 @@
 
 
 def edits_text(edits: tuple[PlannedEdit, ...]) -> str:
-    """Returns edits, one line each and one for each field."""
+    """Formats edits with one line per declaration and per changed field."""
     lines = []
     for edit in edits:
         sign = _SIGN_BY_ACTION.get(edit.action, "?")
@@ -49,7 +49,7 @@
 
 
 def declarations_table(page: DeclarationPage) -> Table:
-    """Returns declarations, one a row."""
+    """Returns a table of declarations."""
     rows = [
         (str(key_of(i.declaration).kind), i.declaration.name, i.digest)
         for i in page.items
@@ -58,7 +58,7 @@
 
 
 def status_text(report: StatusReport) -> str:
-    """Returns the status of all hosts."""
+    """Formats the status of all hosts."""
     ready = "ready"
     if not report.readiness.ready:
         ready = f"not ready: {report.readiness.reason}"
@@ -81,7 +81,7 @@
 
 
 def revisions_table(revisions: tuple[RevisionSummary, ...]) -> Table:
-    """Returns accepted revisions, newest first."""
+    """Returns a table of accepted revisions, newest first."""
     rows = [
         (
             str(r.revision),
@@ -96,7 +96,7 @@
 
 
 def revision_text(report: RevisionReport) -> str:
-    """Returns one accepted revision."""
+    """Formats one accepted revision."""
     accepted = datetime.datetime.fromtimestamp(
         report.accepted_at_ms / 1000, datetime.UTC
     )
@@ -109,7 +109,7 @@
 
 
 def programs_table(page: ProgramPage) -> Table:
-    """Returns programs, one a row."""
+    """Returns a table of programs."""
     rows = [
         (
             p.program_id,
@@ -137,7 +137,7 @@
 
 
 def program_text(detail: ProgramDetail) -> str:
-    """Returns one program, field by field."""
+    """Formats the details of a program."""
     summary = detail.summary
     lines = [
         f"program {summary.program_id}: {summary.state}",
@@ -155,7 +155,7 @@
 
 
 def quarantine_table(report: QuarantineReport) -> Table:
-    """Returns quarantined requests, one a row."""
+    """Returns a table of quarantined requests."""
     rows = [
         (r.digest, r.workspace, str(r.crashes), f"{r.age_s:.0f} s")
         for r in report.requests
@@ -165,7 +165,7 @@
 
 
 def takeover_text(report: TakeoverReport) -> str:
-    """Returns what a forced takeover did and what may be lost."""
+    """Formats the result of a forced takeover, with possible data loss."""
     lines = [
         f"shard {report.shard} is owned under epoch {report.epoch};"
         f" records up to {report.committed_sequence} are kept"
@@ -179,5 +179,5 @@
 
 
 def json_text(value: object) -> str:
-    """Returns a value of no fixed shape."""
+    """Formats a value without a fixed schema as JSON."""
     return to_json(value)
--- a/apps/masticctl/src/masticctl/waiting.py
+++ b/apps/masticctl/src/masticctl/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting until a revision is in force on every live host."""
+"""Waiting until a revision is active on all live hosts."""
 
 import asyncio
 import time
@@ -8,52 +8,52 @@
 from masticctl.session import Session
 from masticdale_config.messages import HostStatus, StatusReport
 
-POLL_S = 0.2
+POLL_INTERVAL_S = 0.2
 
 
 async def read_status(session: Session, newest: bool = False) -> StatusReport:
-    """Returns the status as the first server that answers knows it.
+    """Fetches the status of all hosts from the first available server.
 
     Args:
         session: The session.
-        newest: True to let that host ask the platform first which revision
-            is the newest.
+        newest: Whether that host first fetches the newest revision from the
+            platform.
     """
     query: dict[str, str | int] = {"newest": "true"} if newest else {}
     return await session.client.get("/v1/status", StatusReport, query)
 
 
-async def wait_in_force(
+async def wait_for_rollout(
     session: Session, revision: int, timeout_s: float
 ) -> int:
-    """Waits until all live hosts report a revision, then shows the status.
+    """Waits until all live hosts have applied a revision and shows the status.
 
     Args:
         session: The session.
-        revision: The revision; 0 for the newest that is accepted.
-        timeout_s: Longest wait.
+        revision: Revision to wait for; 0 for the newest accepted one.
+        timeout_s: Timeout, in seconds.
 
     Returns:
-        The exit code; ``EXIT_LAGGING`` after naming the hosts that lag.
+        The exit code; ``EXIT_LAGGING`` if hosts still lag at the timeout.
     """
     deadline = time.monotonic() + timeout_s
-    # Without asking the platform, a host that lags would report its own old
-    # revision, and the operator would take the newest one for in force.
+    # A lagging host knows only its own old revision; without a read from the
+    # platform, an incomplete rollout would be reported as complete.
     report = await read_status(session, newest=not revision)
     if not revision and not report.is_newest:
         session.output.note(
             "The platform does not answer; waiting for the newest revision"
             " that the hosts know."
         )
-    wanted = revision or max(
+    target_revision = revision or max(
         [report.revision, *(host.revision for host in report.hosts)]
     )
-    while lagging := lagging_hosts(report, wanted):
+    while lagging := lagging_hosts(report, target_revision):
         if time.monotonic() >= deadline:
             session.output.show(report, views.status_text(report))
-            session.output.note(_describe(lagging, wanted))
+            session.output.note(_describe_lag(lagging, target_revision))
             return EXIT_LAGGING
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
         report = await read_status(session)
     session.output.show(report, views.status_text(report))
     return EXIT_OK
@@ -62,7 +62,7 @@
 def lagging_hosts(
     report: StatusReport, revision: int
 ) -> tuple[HostStatus, ...]:
-    """Returns the live hosts that have not reported a revision."""
+    """Returns the live hosts whose revision is older than the given one."""
     return tuple(
         host
         for host in report.hosts
@@ -70,7 +70,7 @@
     )
 
 
-def _describe(lagging: tuple[HostStatus, ...], revision: int) -> str:
+def _describe_lag(lagging: tuple[HostStatus, ...], revision: int) -> str:
     hosts = ", ".join(
         f"{h.name} (at {h.revision}, heard {h.age_s:.1f} s ago)"
         for h in lagging
