--- a/apps/masticctl/tests/hosts.py
+++ b/apps/masticctl/tests/hosts.py
@@ -1,4 +1,4 @@
-"""Two hosts in memory, reached over HTTP by the command-line tool."""
+"""Test harness that runs masticctl against two in-memory hosts."""
 
 import contextlib
 import dataclasses
@@ -24,21 +24,23 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """What goes wrong on the way to the hosts.
+    """Faults injected between the tool and the hosts.
 
     Attributes:
-        down: Hosts that cannot be connected to.
-        lose_answers: This many requests are carried out and not answered.
-        drop_requests: This many requests are neither.
+        unreachable_hosts: Hosts that refuse connections.
+        lost_responses: Number of next requests that are executed but whose
+            responses are lost.
+        dropped_requests: Number of next requests that are lost before they are
+            executed.
     """
 
-    down: set[str] = dataclasses.field(default_factory=set)
-    lose_answers: int = 0
-    drop_requests: int = 0
+    unreachable_hosts: set[str] = dataclasses.field(default_factory=set)
+    lost_responses: int = 0
+    dropped_requests: int = 0
 
 
 class FaultyTransport(httpx.AsyncBaseTransport):
-    """Carries requests to applications in this process."""
+    """Routes requests to an in-process application, injecting faults."""
 
     def __init__(self, app, faults):
         self._inner = httpx.ASGITransport(app=app)
@@ -47,21 +49,21 @@
 
     async def handle_async_request(self, request):
         self.requests.append(f"{request.method} {request.url}")
-        if request.url.host in self._faults.down:
+        if request.url.host in self._faults.unreachable_hosts:
             raise httpx.ConnectError("connection refused")
-        if self._faults.drop_requests > 0:
-            self._faults.drop_requests -= 1
+        if self._faults.dropped_requests > 0:
+            self._faults.dropped_requests -= 1
             raise httpx.ReadTimeout("no answer")
         response = await self._inner.handle_async_request(request)
-        if self._faults.lose_answers > 0:
-            self._faults.lose_answers -= 1
+        if self._faults.lost_responses > 0:
+            self._faults.lost_responses -= 1
             raise httpx.ReadTimeout("no answer")
         return response
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Finished:
-    """How a command ended."""
+class CommandResult:
+    """Exit code and output of a command."""
 
     code: int
     out: str
@@ -69,11 +71,11 @@
 
 
 @contextlib.contextmanager
-def _without_debug_notes():
-    """Keeps asyncio's notes on slow steps out of a tool's output.
+def _without_slow_callback_warnings():
+    """Suppresses asyncio's warnings about slow callbacks.
 
-    Under load a test's event loop, which runs in debug mode, reports steps of
-    over 0.1 s on standard error, where the tool's own output is collected.
+    Test event loops run in debug mode. Under load, they would log warnings to
+    standard error, which captures the tool's output.
     """
     logger = logging.getLogger("asyncio")
     level = logger.level
@@ -84,8 +86,8 @@
         logger.setLevel(level)
 
 
-class Tool:
-    """Runs commands of the tool against hosts in memory."""
+class ToolHarness:
+    """Runs masticctl commands against in-memory hosts."""
 
     def __init__(self):
         self.context = create_context()
@@ -95,20 +97,20 @@
         self.token = OPERATE_TOKEN
 
     async def run(self, *argv):
-        """Runs one command line."""
+        """Runs one command and returns its exit code and output."""
         out, err = io.StringIO(), io.StringIO()
         with (
             mock.patch.object(session, "create_client", self._client),
             contextlib.redirect_stdout(out),
             contextlib.redirect_stderr(err),
-            _without_debug_notes(),
+            _without_slow_callback_warnings(),
         ):
             try:
                 code = await main.parse(argv).execute()
             except ToolError as error:
                 main.report(error)
                 code = error.exit_code
-        return Finished(code, out.getvalue(), err.getvalue())
+        return CommandResult(code, out.getvalue(), err.getvalue())
 
     def _client(self, servers, token_file, timeout_s):
         del servers, token_file
--- a/apps/masticctl/tests/test_commands.py
+++ b/apps/masticctl/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the commands against hosts in memory."""
+"""Tests of the commands against in-memory hosts."""
 
 import json
 import os
@@ -24,7 +24,7 @@
 
 class CommandsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.tool = hosts.Tool()
+        self.tool = hosts.ToolHarness()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.addCleanup(os.chdir, os.getcwd())
@@ -50,7 +50,7 @@
         self.assertEqual(done.code, 0, done.err)
         return json.loads(done.out)
 
-    async def test_plan_then_apply_then_nothing_is_left_to_change(self):
+    async def test_apply_is_idempotent(self):
         self.write(*testing.tengri_trails())
         planned = await self.tool.run("plan", "declarations")
         self.assertIn("+ Workspace/tengri-trails (create)", planned.out)
@@ -62,7 +62,7 @@
         self.assertIn("Nothing would change at revision 1.", again.out)
         self.assertEqual(again.code, 0)
 
-    async def test_diff_names_fields_and_its_exit_code_can_be_asked_for(self):
+    async def test_diff_shows_fields_and_sets_the_exit_code(self):
         await self.apply(testing.engine("e", "m"))
         self.write(testing.engine("e", "m", port=9000))
         done = await self.tool.run("diff", "declarations", "--exit-code")
@@ -71,11 +71,7 @@
         self.assertIn(line, done.out)
 
     async def test_a_saved_plan_conflicts_with_a_change_made_since(self):
-        """An operator reviews a plan while another changes the same upstream.
-
-        Applying the saved plan must not undo the other's change unseen: it
-        is refused with exit code 5 and names the change that came first.
-        """
+        """A saved plan must not silently overwrite a concurrent change."""
         await self.apply(testing.engine("e", "m"))
         self.write(testing.engine("e", "m", port=9000))
         await self.tool.run("plan", "declarations", "--save", "p.json")
@@ -84,47 +80,40 @@
         self.assertEqual(done.code, 5)
         self.assertIn("Upstream/e: spec.slots: changed by revision 2", done.err)
 
-    async def test_an_apply_whose_answer_was_lost_is_recognised(self):
-        """The daemon accepts a change and the connection goes silent.
-
-        The tool times out, sends the change again under the same change_id
-        to the next host, and reports the revision it was accepted as.
-        """
+    async def test_apply_with_a_lost_response_is_idempotent(self):
+        """A retry with the same change_id returns the accepted revision."""
         self.write(testing.engine("e", "m"))
         await self.tool.run("plan", "declarations", "--save", "p.json")
-        self.tool.faults.lose_answers = 1
+        self.tool.faults.lost_responses = 1
         done = await self.tool.run("apply", "--plan", "p.json", "--yes")
         self.assertIn("Accepted as revision 1.", done.out)
         self.assertEqual(self.tool.context.in_force.number, 1)
 
-    async def test_a_change_with_no_answer_at_all_is_kept_to_send_again(self):
-        """Every answer to an apply is lost until the tool gives up.
-
-        It cannot say whether the change was accepted: it says so, keeps the
-        change in a file, and sending that file later settles it.
-        """
+    async def test_a_change_with_unknown_outcome_is_saved_for_retry(self):
+        """All responses are lost; applying the saved file resolves it."""
         self.write(testing.engine("e", "m"))
         await self.tool.run("plan", "declarations", "--save", "p.json")
-        self.tool.faults.lose_answers = 100
+        self.tool.faults.lost_responses = 100
         done = await self.tool.run("apply", "--plan", "p.json", "--yes")
         self.assertEqual(done.code, 8)
         self.assertIn("may or may not have been accepted", done.err)
-        self.tool.faults.lose_answers = 0
-        (kept,) = [f for f in os.listdir() if f.startswith("masticctl-")]
-        again = await self.tool.run("apply", "--plan", kept, "--yes")
+        self.tool.faults.lost_responses = 0
+        (saved_change,) = [
+            f for f in os.listdir() if f.startswith("masticctl-")
+        ]
+        again = await self.tool.run("apply", "--plan", saved_change, "--yes")
         self.assertIn("Accepted as revision 1.", again.out)
 
-    async def test_a_refusal_after_a_lost_answer_is_not_taken_for_final(self):
-        """An apply gets no answer; sent again, it meets another's change.
+    async def test_conflict_after_a_lost_request_is_reported_as_unknown(self):
+        """The retry conflicts, but the first request may still be accepted.
 
-        The first request may still be on its way and be accepted later. Told
-        of a plain conflict, the operator would believe it surely is not.
+        A plain conflict would claim that the change was not written.
         """
         await self.apply(testing.engine("e", "m"))
         self.write(testing.engine("e", "m", port=9000))
         await self.tool.run("plan", "declarations", "--save", "p.json")
         await self.tool.run("edit", "Upstream/e", "spec.slots=4", "--yes")
-        self.tool.faults.drop_requests = 1
+        self.tool.faults.dropped_requests = 1
         done = await self.tool.run("apply", "--plan", "p.json", "--yes")
         self.assertEqual(done.code, 8)
         self.assertIn("may or may not have been accepted", done.err)
@@ -132,27 +121,23 @@
         again = await self.tool.run("apply", "--plan", "p.json", "--yes")
         self.assertEqual(again.code, 5)
 
-    async def test_the_next_server_is_tried_where_one_is_down(self):
-        self.tool.faults.down.add("host-1")
+    async def test_failover_to_the_next_server(self):
+        self.tool.faults.unreachable_hosts.add("host-1")
         status = await self.run_json("status")
         self.assertEqual(status["host"], "host-1")
         self.assertIn("http://host-2", self.tool.transport.requests[-1])
-        self.tool.faults.down.add("host-2")
+        self.tool.faults.unreachable_hosts.add("host-2")
         done = await self.tool.run("status")
         self.assertEqual(done.code, 8)
 
-    async def test_a_write_that_may_have_arrived_is_not_sent_elsewhere(self):
-        """A takeover is sent and its answer is lost.
-
-        Sent to the next host it would be carried out twice, so the tool
-        ends and says that it may have been carried out.
-        """
-        self.tool.faults.lose_answers = 1
+    async def test_post_with_a_lost_response_is_not_retried(self):
+        """Retrying a takeover on the next host would execute it twice."""
+        self.tool.faults.lost_responses = 1
         done = await self.tool.run("takeover", "7", "--yes")
         self.assertEqual(done.code, 8)
         self.assertEqual(len(self.tool.transport.requests), 1)
 
-    async def test_wrong_declarations_are_all_named_before_anything_is_sent(
+    async def test_invalid_declarations_are_all_reported_before_sending(
         self,
     ):
         self.write(testing.engine("e", "m"))
@@ -165,14 +150,14 @@
         self.assertIn("wrong.json: Upstream/Bad Name.name", done.err)
         self.assertEqual(self.tool.transport.requests, [])
 
-    async def test_a_folder_that_cannot_be_accepted_is_refused_whole(self):
+    async def test_a_folder_is_rejected_atomically(self):
         self.write(*testing.tengri_trails()[:-2], testing.tengri_trails()[-1])
         done = await self.tool.run("apply", "declarations", "--yes")
         self.assertEqual(done.code, 2)
         self.assertIn("there is no upstream 'permit-desk-4'", done.err)
         self.assertEqual(self.tool.context.in_force.number, 0)
 
-    async def test_get_shows_what_can_be_applied_again(self):
+    async def test_get_output_can_be_applied(self):
         await self.apply(testing.engine("e", "m"))
         done = await self.tool.run("get", "upstream/e")
         self.assertEqual(done.out, to_text(testing.engine("e", "m")))
@@ -233,18 +218,14 @@
         )
         self.assertIn("no parameter 'modle'", unknown.err)
 
-    async def test_status_wait_returns_when_all_hosts_have_it(self):
+    async def test_status_wait_returns_when_no_host_lags(self):
         await self.apply(testing.engine("e", "m"))
         self.tool.context.revision_by_host = {"host-2": 1}
         done = await self.tool.run("status", "--wait", "--timeout", "0")
         self.assertEqual(done.code, 0)
 
     async def test_status_wait_names_the_hosts_that_lag(self):
-        """One host is paused and reports an old revision.
-
-        The change is in force on the others; the operator must learn which
-        host lags rather than wait for ever.
-        """
+        """A host stuck on an old revision ends the wait at the timeout."""
         await self.apply(testing.engine("e", "m"))
         self.tool.context.revision_by_host = {"host-2": 0}
         done = await self.tool.run("status", "--wait", "--timeout", "0")
@@ -252,10 +233,9 @@
         self.assertIn("Revision 1 is not in force on: host-2 (at 0", done.err)
 
     async def test_status_wait_asks_for_the_newest_accepted_revision(self):
-        """A change was accepted through another host; the one asked lags.
+        """The queried host itself lags behind a revision accepted elsewhere.
 
-        Its own status would say that revision 1 is everywhere. The operator
-        waits for revision 2, which another host has not got.
+        Its own status alone would report the rollout as complete.
         """
         await self.apply(testing.engine("e", "m"))
         other = ConfigStore(self.tool.context.store, ActiveConfig())
@@ -266,7 +246,9 @@
         self.assertEqual(done.code, 7)
         self.assertIn("Revision 2 is not in force on: host-2", done.err)
 
-    async def test_status_wait_in_an_outage_says_what_it_waits_for(self):
+    async def test_status_wait_in_an_outage_uses_the_newest_known_revision(
+        self,
+    ):
         await self.apply(testing.engine("e", "m"))
         self.tool.context.store.faults.down = True
         done = await self.tool.run("status", "--wait", "--timeout", "0")
@@ -295,14 +277,14 @@
         self.assertIn("calls_total", (await self.tool.run("metrics")).out)
         self.assertIn("config", await self.run_json("dump"))
 
-    async def test_a_reading_token_is_told_which_role_it_lacks(self):
+    async def test_a_read_token_cannot_apply(self):
         self.tool.token = READ_TOKEN
         self.write(testing.engine("e", "m"))
         done = await self.tool.run("apply", "declarations", "--yes")
         self.assertEqual(done.code, 3)
         self.assertIn("this needs operate", done.err)
 
-    async def test_an_outage_ends_with_6_and_nothing_written(self):
+    async def test_apply_in_an_outage_exits_with_6(self):
         self.write(testing.engine("e", "m"))
         self.tool.context.store.faults.down = True
         done = await self.tool.run("apply", "declarations", "--yes")
--- a/apps/masticctl/tests/test_main.py
+++ b/apps/masticctl/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Tests of the command line itself: parsing, help and usage errors."""
+"""Tests of command-line parsing, help pages and usage errors."""
 
 import contextlib
 import io
@@ -16,7 +16,7 @@
 
 
 class MainTest(unittest.TestCase):
-    def test_every_command_has_a_page_that_describes_each_option(self):
+    def test_help_describes_every_option_of_every_command(self):
         code, out, _ = run("--help")
         self.assertEqual(code, 0)
         self.assertIn("5 another change came first", out)
@@ -34,7 +34,7 @@
                 if line.strip().startswith("--"):
                     self.assertGreater(len(line.split()), 2, line)
 
-    def test_pages_show_arguments_defaults_and_given_names(self):
+    def test_help_shows_arguments_defaults_and_renamed_options(self):
         _, page, _ = run("apply", "--help")
         self.assertIn("Usage: masticctl apply [OPTIONS] [FOLDER]", page)
         _, page, _ = run("workspace", "create", "--help")
@@ -42,7 +42,7 @@
         _, page, _ = run("status", "--help")
         self.assertIn("[default: 30.0]", page)
 
-    def test_usage_errors_end_with_2_and_say_what_and_how(self):
+    def test_usage_errors_exit_with_2(self):
         for argv in (
             ["bogus"],
             ["program"],
@@ -60,11 +60,7 @@
             self.assertIn("Error: ", err)
 
     def test_a_mistyped_option_runs_nothing(self):
-        """An operator mistypes an option of a command that changes things.
-
-        Fire calls a command before it looks at the rest of the line; the
-        change would be made before the mistake is reported.
-        """
+        """Guards against Fire running a command before parsing all options."""
         with self.assertRaises(UsageError) as caught:
             main.parse(["takeover", "7", "--yse"])
         self.assertIn("--yse", str(caught.exception))
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -99,7 +99,7 @@
 
     async def test_console_examples_print_what_the_page_shows(self):
         self.enter_folder()
-        tool = hosts.Tool()
+        tool = hosts.ToolHarness()
         tool.context.program_by_id[PROGRAM_ID] = program(PROGRAM_ID)
         tool.context.quarantined_digests.add(QUARANTINED_DIGEST)
         blocks = read_blocks("console")
