--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Edit:
-    """One mechanism and the edit that switches it off."""
+    """Edit of a source file that disables one mechanism."""
 
     name: str
     path: str
@@ -115,7 +115,11 @@
 
 
 def apply(edit: Edit, copy: pathlib.Path) -> None:
-    """Edits one file of a copy; an edit that finds nothing is an error."""
+    """Applies an edit to a copy of the tree.
+
+    Raises:
+        ValueError: The text to replace is not in the file.
+    """
     if not edit.path:
         return
     path = copy / edit.path
@@ -125,24 +129,24 @@
     path.write_text(text.replace(edit.old, edit.new, 1))
 
 
-def play_without(edit: Edit, args: argparse.Namespace) -> list[play.Worth]:
-    """Plays all days without one mechanism."""
+def play_without(edit: Edit, args: argparse.Namespace) -> list[play.DayResult]:
+    """Plays all days with one mechanism disabled."""
     copy = pathlib.Path(tempfile.mkdtemp(prefix="play-", dir=play.ROOT.parent))
     try:
         play.copy_tree(copy)
         apply(edit, copy)
-        play.call_bench(copy, ["build"], "ablate-build")
+        play.run_bench(copy, ["build"], "ablate-build")
         plays = [play.Play(d, s) for d in args.days for s in args.seeds]
         args.why = f"ablation: without {edit.name}"
         args.tag = f"ablate-{edit.name.replace(' ', '-')}-"
         play.play_days(copy, args.site.resolve(), plays, args)
-        return play.take_journal(copy)
+        return play.import_journal(copy)
     finally:
         shutil.rmtree(copy)
 
 
 def main() -> int:
-    """Plays, prints a row a mechanism."""
+    """Plays all days for each mechanism and prints one row for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("site", type=pathlib.Path)
     parser.add_argument("days", nargs="+")
@@ -155,9 +159,9 @@
     for edit in EDITS:
         if args.only and edit.name not in args.only:
             continue
-        worths = play_without(edit, args)
-        values = [w.worth for w in worths]
-        broken = [f"{w.day}: {w.rules}" for w in worths if not w.is_clean]
+        results = play_without(edit, args)
+        values = [w.score for w in results]
+        broken = [f"{w.day}: {w.rules}" for w in results if not w.is_clean]
         print(
             f"{edit.name:<34}{sum(values) / len(values):7.3f}"
             f"{min(values):8.3f}{max(values):8.3f}  {'; '.join(broken)}",
--- a/scripts/play.py
+++ b/scripts/play.py
@@ -29,11 +29,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Play:
-    """One day to be played.
+    """One run of a day.
 
     Attributes:
-        day: Its name in the site file, or the path of a file of our own.
-        seed: Its luck; None for the day's own.
+        day: Name of the day in the site file, or path of a day file.
+        seed: Random seed; None for the seed of the day.
     """
 
     day: str
@@ -41,17 +41,17 @@
 
     @property
     def label(self) -> str:
-        """Names the play in tables and files."""
+        """Label of the play in tables and file names."""
         name = pathlib.Path(self.day).stem
         return name if self.seed is None else f"{name}-s{self.seed}"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Worth:
-    """What the bench's journal says of one played day."""
+class DayResult:
+    """Result of one played day, from the bench's journal."""
 
     day: str
-    worth: float
+    score: float
     rules: str
     fault: str
 
@@ -62,16 +62,19 @@
 
 
 def copy_tree(target: pathlib.Path) -> None:
-    """Copies what git knows of the working tree, without the journal."""
+    """Copies the files of the working tree that git does not ignore.
+
+    The journal is left out, except for its incidents.
+    """
     command = ["git", "ls-files", "-z", "--cached", "--others"]
     command += ["--exclude-standard", "--", ".", ":!journal"]
     listed = subprocess.run(command, cwd=ROOT, capture_output=True, check=True)
     for name in filter(None, listed.stdout.decode().split("\0")):
         if not (ROOT / name).is_file():
             continue
-        place = target / name
-        place.parent.mkdir(parents=True, exist_ok=True)
-        shutil.copy2(ROOT / name, place)
+        destination = target / name
+        destination.parent.mkdir(parents=True, exist_ok=True)
+        shutil.copy2(ROOT / name, destination)
     if (ROOT / "target").is_dir():
         shutil.copytree(ROOT / "target", target / "target")
     incidents = ROOT / "journal/incidents"
@@ -79,12 +82,12 @@
         shutil.copytree(incidents, target / "journal/incidents")
 
 
-def call_bench(copy: pathlib.Path, words: list[str], name: str) -> str:
-    """Runs the bench in a copy; returns its output, which is also kept."""
+def run_bench(copy: pathlib.Path, arguments: list[str], name: str) -> str:
+    """Runs the bench in a copy, writes its output to a log and returns it."""
     output = OUTPUT / f"{name}.log"
     with output.open("w") as file:
         subprocess.run(
-            [str(BENCH.resolve()), *words],
+            [str(BENCH.resolve()), *arguments],
             cwd=copy,
             stdout=file,
             stderr=subprocess.STDOUT,
@@ -93,11 +96,11 @@
     return output.read_text(errors="replace")
 
 
-def read_worths(entry: pathlib.Path) -> list[Worth]:
-    """Reads the days of one journal entry."""
+def read_results(entry: pathlib.Path) -> list[DayResult]:
+    """Reads the results of the days in one journal entry."""
     days = json.loads(entry.read_text()).get("days") or []
     return [
-        Worth(
+        DayResult(
             day["name"],
             day["G"],
             ", ".join(str(rule) for rule in day["rules"] or []),
@@ -107,28 +110,28 @@
     ]
 
 
-def take_journal(copy: pathlib.Path) -> list[Worth]:
-    """Brings the copy's new journal entries back and reads them."""
-    worths: list[Worth] = []
+def import_journal(copy: pathlib.Path) -> list[DayResult]:
+    """Copies new journal entries from a copy and reads their results."""
+    results: list[DayResult] = []
     for path in sorted((copy / "journal").rglob("*")):
-        place = ROOT / "journal" / path.relative_to(copy / "journal")
-        if path.is_dir() or place.exists():
+        destination = ROOT / "journal" / path.relative_to(copy / "journal")
+        if path.is_dir() or destination.exists():
             continue
-        place.parent.mkdir(parents=True, exist_ok=True)
-        shutil.copy2(path, place)
+        destination.parent.mkdir(parents=True, exist_ok=True)
+        shutil.copy2(path, destination)
         if path.suffix == ".json":
-            worths += read_worths(path)
-    return worths
+            results += read_results(path)
+    return results
 
 
-def summarize(worths: list[Worth]) -> str:
-    """Returns a line a day, over its seeds: mean, least, most, broken."""
-    by_day: dict[str, list[Worth]] = {}
-    for worth in worths:
-        by_day.setdefault(worth.day.split(" --seed")[0], []).append(worth)
+def summarize(results: list[DayResult]) -> str:
+    """Formats a table with one row per day: mean, bounds and violations."""
+    by_day: dict[str, list[DayResult]] = {}
+    for result in results:
+        by_day.setdefault(result.day.split(" --seed")[0], []).append(result)
     rows = [f"{'day':<18}{'plays':>6}{'mean':>8}{'least':>8}{'most':>8}"]
     for day, played in sorted(by_day.items()):
-        values = [w.worth for w in played]
+        values = [w.score for w in played]
         broken = [
             f"{w.day}: {w.rules}{w.fault}" for w in played if not w.is_clean
         ]
@@ -145,22 +148,30 @@
     plays: list[Play],
     args: argparse.Namespace,
 ) -> None:
-    """Plays days beside each other."""
+    """Plays days in parallel."""
 
     def play(one: Play) -> None:
-        words = ["run", str(site), one.day, "--why", args.why, "--jobs", "1"]
+        arguments = [
+            "run",
+            str(site),
+            one.day,
+            "--why",
+            args.why,
+            "--jobs",
+            "1",
+        ]
         if one.seed is not None:
-            words += ["--seed", str(one.seed)]
+            arguments += ["--seed", str(one.seed)]
         if not args.no_logs:
-            words += ["--log", "edge,storage"]
-        call_bench(copy, words, f"{args.tag}{site.stem}-{one.label}")
+            arguments += ["--log", "edge,storage"]
+        run_bench(copy, arguments, f"{args.tag}{site.stem}-{one.label}")
 
     with concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
         list(pool.map(play, plays))
 
 
 def read_arguments() -> argparse.Namespace:
-    """Reads the command line."""
+    """Parses the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("verb", choices=("days", "hunt", "score", "incident"))
     parser.add_argument("site", type=pathlib.Path)
@@ -175,14 +186,14 @@
 
 
 def main() -> int:
-    """Plays, brings the journal back, prints a table."""
+    """Plays days, imports their journal entries and prints a table."""
     args = read_arguments()
     site = args.site.resolve()
     OUTPUT.mkdir(parents=True, exist_ok=True)
     copy = pathlib.Path(tempfile.mkdtemp(prefix="play-", dir=ROOT.parent))
     try:
         copy_tree(copy)
-        call_bench(copy, ["build"], f"{args.tag}build")
+        run_bench(copy, ["build"], f"{args.tag}build")
         if args.verb == "days":
             days = [
                 str(ROOT / d) if d.endswith(".toml") else d for d in args.days
@@ -191,18 +202,18 @@
             plays = [Play(day, seed) for day in days for seed in seeds]
             play_days(copy, site, plays, args)
         else:
-            words = [args.verb, str(site), "--why", args.why]
-            words += ["--jobs", str(args.jobs)]
+            arguments = [args.verb, str(site), "--why", args.why]
+            arguments += ["--jobs", str(args.jobs)]
             if args.verb == "hunt":
-                words += ["--days", str(args.count)]
+                arguments += ["--days", str(args.count)]
             stamp = time.strftime("%H%M%S")
             name = f"{args.tag}{site.stem}-{args.verb}-{stamp}"
-            print(call_bench(copy, words, name)[-6000:])
-        worths = take_journal(copy)
+            print(run_bench(copy, arguments, name)[-6000:])
+        results = import_journal(copy)
     finally:
         shutil.rmtree(copy)
-    print(summarize(worths))
-    return 0 if all(worth.is_clean for worth in worths) else 1
+    print(summarize(results))
+    return 0 if all(result.is_clean for result in results) else 1
 
 
 if __name__ == "__main__":
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -18,21 +18,21 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 FILE_TIMEOUT_S = 400
-# Run after all others, one by one: the soak's many connections may hold ports
-# that other tests choose beforehand and bind later.
-ALONE = pathlib.Path("tools/soak/tests")
+# These run sequentially after all others: their many connections may take
+# ports that other tests have picked but not bound yet.
+SEQUENTIAL_TESTS = pathlib.Path("tools/soak/tests")
 DEFAULT_JOBS = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FileReport:
-    """What one test file's run said.
+    """Result of running one test file.
 
     Attributes:
-        path: The file, relative to the root.
+        path: Path of the file, relative to the root.
         passed: Number of tests that passed.
         failed_ids: Ids of the tests that failed, as ``file::Class.test``.
-        output: What the run printed.
+        output: Standard output and standard error of the run.
     """
 
     path: pathlib.Path
@@ -42,7 +42,7 @@
 
 
 def find_test_files() -> list[pathlib.Path]:
-    """Returns every test file of the workspace, sorted by path."""
+    """Returns all test files of the repository, sorted by path."""
     patterns = (
         "libs/*/tests",
         "apps/*/tests",
@@ -59,10 +59,10 @@
     """Runs one test file.
 
     Args:
-        path: The file, relative to the root.
+        path: Path of the file, relative to the root.
 
     Returns:
-        Its report; a crash or a timeout counts as one failure.
+        The report; a crash or a timeout counts as one failure.
     """
     command = [sys.executable, "-m", "unittest", "-v", path.name]
     environment = dict(os.environ, PYTHONHASHSEED="0")
@@ -85,8 +85,8 @@
             r"^(?:FAIL|ERROR): \w+ \((?:__main__\.)?([\w.]+)\)", output, re.M
         )
     )
-    counted = re.search(r"^Ran (\d+) tests?", output, re.M)
-    total = int(counted.group(1)) if counted else 0
+    ran_line = re.search(r"^Ran (\d+) tests?", output, re.M)
+    total = int(ran_line.group(1)) if ran_line else 0
     failed = tuple(dict.fromkeys(failed))
     if run.returncode != 0 and not failed:
         failed = (f"{path}::crash",)
@@ -94,7 +94,7 @@
 
 
 def known_red_ids() -> set[str]:
-    """Returns the ids of the failures that CI passes over."""
+    """Returns the ids of the known failures that do not fail a run."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text().splitlines()
@@ -103,21 +103,23 @@
 
 
 def main() -> int:
-    """Runs all files and prints the count.
+    """Runs the selected files and prints a summary.
 
     Returns:
-        The exit code: 0 when every failure is a listed one.
+        The exit code: 0 if all failures are known.
     """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--jobs", type=int, default=DEFAULT_JOBS)
     parser.add_argument("--only", default="", help="part of a file's path")
     options = parser.parse_args()
     files = [f for f in find_test_files() if options.only in str(f)]
-    beside = [f for f in files if not f.is_relative_to(ALONE)]
-    alone = [f for f in files if f.is_relative_to(ALONE)]
+    parallel_files = [
+        f for f in files if not f.is_relative_to(SEQUENTIAL_TESTS)
+    ]
+    sequential_files = [f for f in files if f.is_relative_to(SEQUENTIAL_TESTS)]
     with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-        reports = list(pool.map(run_file, beside))
-    reports += [run_file(f) for f in alone]
+        reports = list(pool.map(run_file, parallel_files))
+    reports += [run_file(f) for f in sequential_files]
     known = known_red_ids()
     failed = [i for report in reports for i in report.failed_ids]
     for report in reports:
--- a/scripts/write_field_tables.py
+++ b/scripts/write_field_tables.py
@@ -1,10 +1,10 @@
-"""Writes the tables in the pages of docs/ that follow from the code.
+"""Generates tables in the pages of docs/ from the code.
 
-A line ``<!-- fields: module.Model -->`` is followed by the table of that
-model's fields, ``<!-- errors -->`` by the table of error kinds, and each by
-``<!-- end -->``; what stands between them is replaced.
-Descriptions are those of the model's docstring, so that page and code cannot
-drift; a test fails where the page is not current.
+The text between ``<!-- fields: module.Model -->`` and ``<!-- end -->`` is
+replaced with a table of the model's fields, and the text between
+``<!-- errors -->`` and ``<!-- end -->`` with a table of error kinds.
+Descriptions come from the model's docstring; tests/test_docs.py fails if a page
+is out of date.
 """
 
 import dataclasses
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FieldRow:
-    """One field of a model."""
+    """Table row of one field of a model."""
 
     name: str
     meaning: str
@@ -83,17 +83,17 @@
 
 
 def current_page(text: str) -> str:
-    """Returns the page with each table as the models say."""
+    """Returns the text of a page with regenerated tables."""
     return _ERRORS.sub(_replace_errors, _BLOCK.sub(_replace, text))
 
 
 def documented_models(text: str) -> set[str]:
-    """Returns the models whose tables a page holds."""
+    """Returns the names of the models whose tables a page contains."""
     return set(_BLOCK.findall(text))
 
 
 def load_model(name: str) -> type[pydantic.BaseModel]:
-    """Returns a model by its module and name."""
+    """Imports a model by its qualified name."""
     module_name, _, model_name = name.rpartition(".")
     model: type[pydantic.BaseModel] = getattr(
         importlib.import_module(module_name), model_name
@@ -102,7 +102,7 @@
 
 
 def field_rows(model: type[pydantic.BaseModel]) -> list[FieldRow]:
-    """Returns the fields of a model in their order."""
+    """Returns the table rows of a model in field order."""
     schema = model.model_json_schema()
     meaning_by_name = _read_meanings(model)
     return [
@@ -125,24 +125,29 @@
 def _replace_errors(match: re.Match[str]) -> str:
     del match
     rows = "\n".join(
-        f"| `{kind.value}` | {answer.status} | {answer.ran.value}"
-        f" | {_retry(answer)} | {answer.exit_code} | {answer.message} |"
-        for kind, answer in ERROR_RESPONSE_BY_KIND.items()
+        f"| `{kind.value}` | {response.status} | {response.ran.value}"
+        f" | {_retry(response)} | {response.exit_code} | {response.message} |"
+        for kind, response in ERROR_RESPONSE_BY_KIND.items()
     )
     return f"<!-- errors -->\n\n{_ERRORS_HEADER}{rows}\n\n<!-- end -->"
 
 
-def _retry(answer: ErrorResponse) -> str:
-    if answer.retry_after_ms is None:
+def _retry(response: ErrorResponse) -> str:
+    if response.retry_after_ms is None:
         return "never"
-    return f"{answer.retry_after_ms} ms"
+    return f"{response.retry_after_ms} ms"
 
 
 def _read_meanings(model: type[pydantic.BaseModel]) -> dict[str, str]:
-    found: dict[str, str] = {}
+    description_by_name: dict[str, str] = {}
     for base in reversed(model.__mro__):
-        found |= read_docstring(base, "Attributes").description_by_name
-    return {name: text.replace("``", "`") for name, text in found.items()}
+        description_by_name |= read_docstring(
+            base, "Attributes"
+        ).description_by_name
+    return {
+        name: text.replace("``", "`")
+        for name, text in description_by_name.items()
+    }
 
 
 def _unit(name: str, field: dict[str, Any]) -> str:
@@ -175,7 +180,7 @@
 
 
 def _bounds(field: dict[str, Any], schema: dict[str, Any]) -> str:
-    found: list[str] = []
+    bounds: list[str] = []
     for variant in field.get("anyOf", [field]):
         reference = variant.get("$ref", "").rpartition("/")[2]
         resolved = schema.get("$defs", {}).get(reference, {})
@@ -183,18 +188,18 @@
             k: resolved[k] for k in ("enum", "pattern") if k in resolved
         }
         if "enum" in merged:
-            found.append("one of " + ", ".join(map(str, merged["enum"])))
+            bounds.append("one of " + ", ".join(map(str, merged["enum"])))
         if "const" in merged:
-            found.append(f"`{merged['const']}`")
-        found += [
+            bounds.append(f"`{merged['const']}`")
+        bounds += [
             text.format(_bound(merged[key]))
             for key, text in _BOUNDS
             if key in merged
         ]
     items = field.get("items", {})
     if "pattern" in items:
-        found.append(f"each {_pattern(items['pattern'])}")
-    return ", ".join(found)
+        bounds.append(f"each {_pattern(items['pattern'])}")
+    return ", ".join(bounds)
 
 
 def _bound(value: float | str) -> str:
@@ -214,10 +219,10 @@
 
 
 def main() -> int:
-    """Rewrites the pages; with ``--check`` only says whether they are current.
+    """Rewrites outdated pages; with ``--check``, only reports them.
 
     Returns:
-        The exit code: 1 where ``--check`` found a page that is not current.
+        The exit code: 1 if ``--check`` finds an outdated page.
     """
     check_only = "--check" in sys.argv[1:]
     stale = []
