--- a/scripts/bench_latency.py
+++ b/scripts/bench_latency.py
@@ -1,8 +1,9 @@
-"""Measures what the whole path adds to a direct engine call.
+"""Measures the latency that the system adds to direct engine calls.
 
-Open loop: turns of new programs arrive at a fixed rate, through all daemons
-in turn; then the same prompts go straight to the engines at the same rate.
-The difference of the two distributions' quantiles is what is added.
+An open-loop load sends turns of new programs through the daemons, round-robin,
+at a fixed rate, then sends the same prompts directly to the engines at the same
+rate. The added latency is the difference between the quantiles of both
+distributions.
 """
 
 import argparse
@@ -35,7 +36,7 @@
 )
 
 MAX_US = 60_000_000
-DIGITS = 3
+SIGNIFICANT_DIGITS = 3
 MAX_TOKENS = 32
 SETTLE_S = 3.0
 QUANTILES = (50.0, 95.0, 99.0)
@@ -43,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """Quantiles of one way, in milliseconds."""
+    """Latency quantiles of one path to the engines, in milliseconds."""
 
     way: str
     turns: int
@@ -53,15 +54,15 @@
     p99_ms: float
 
 
-class Meter:
-    """Collects durations."""
+class LatencyRecorder:
+    """Records the durations of successful turns."""
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(1, MAX_US, DIGITS)
+        self._histogram = HdrHistogram(1, MAX_US, SIGNIFICANT_DIGITS)
         self.failed = 0
 
     async def measure(self, work: Awaitable[bool]) -> None:
-        """Times one turn; False counts as failed."""
+        """Times one turn; a turn that returns False counts as failed."""
         started = time.perf_counter()
         if not await work:
             self.failed += 1
@@ -70,7 +71,7 @@
         self._histogram.record_value(int(elapsed_us))
 
     def row(self, way: str) -> Row:
-        """Returns the quantiles."""
+        """Returns the recorded quantiles."""
         p50, p95, p99 = (
             self._histogram.get_value_at_percentile(q) / 1000 for q in QUANTILES
         )
@@ -78,28 +79,28 @@
         return Row(way, count, self.failed, p50, p95, p99)
 
 
-async def drive(
+async def run_open_loop(
     way: str,
     rate: float,
     seconds: float,
     turn: Callable[[int], Awaitable[bool]],
 ) -> Row:
-    """Starts turns at a fixed rate, whatever the earlier ones do."""
-    meter = Meter()
+    """Starts turns at a fixed rate, without waiting for earlier ones."""
+    recorder = LatencyRecorder()
     tasks = []
     started = time.perf_counter()
     for number in range(int(rate * seconds)):
         delay_s = started + number / rate - time.perf_counter()
         await asyncio.sleep(max(0.0, delay_s))
-        tasks.append(asyncio.create_task(meter.measure(turn(number))))
+        tasks.append(asyncio.create_task(recorder.measure(turn(number))))
     await asyncio.gather(*tasks)
-    return meter.row(way)
+    return recorder.row(way)
 
 
 async def measure(
     cluster: LocalCluster, rate: float, seconds: float
 ) -> list[Row]:
-    """Measures the direct way, then the whole path."""
+    """Measures direct engine calls, then turns through the daemons."""
     await asyncio.sleep(SETTLE_S)
     metrics = Metrics()
     engines = [
@@ -112,9 +113,9 @@
     async with httpx.AsyncClient(
         headers=headers, timeout=60, trust_env=False, limits=limits
     ) as http:
-        programs = await begin_programs(http, urls, int(rate * seconds))
+        programs = await create_programs(http, urls, int(rate * seconds))
 
-        async def whole_turn(number: int) -> bool:
+        async def proxied_turn(number: int) -> bool:
             url = urls[number % len(urls)]
             body = {
                 "request_id": "t",
@@ -128,18 +129,18 @@
             return await generate(engines[number % len(engines)], number)
 
         rows = [
-            await drive("direct", rate, seconds, direct_turn),
-            await drive("whole path", rate, seconds, whole_turn),
+            await run_open_loop("direct", rate, seconds, direct_turn),
+            await run_open_loop("whole path", rate, seconds, proxied_turn),
         ]
     for engine in engines:
         await engine.close()
     return rows
 
 
-async def begin_programs(
+async def create_programs(
     http: httpx.AsyncClient, urls: list[str], count: int
 ) -> list[str]:
-    """Begins one program for each turn and returns their ids."""
+    """Creates one program per turn and returns their ids."""
     ids = []
     for number in range(count):
         body = {"request_id": f"bench-{number}", "program": "dossier-build"}
@@ -150,7 +151,7 @@
 
 
 async def generate(engine: EngineClient, number: int) -> bool:
-    """Runs one turn straight at an engine."""
+    """Sends one generation request directly to an engine."""
     request = GenerateRequest(
         request_id=f"direct-{number}",
         program_id=f"direct-{number}",
@@ -165,12 +166,12 @@
 
 
 def prompt(number: int) -> str:
-    """Returns a prompt that no other turn has."""
+    """Returns a prompt that is unique to a turn."""
     return f"turn {number}: check the itinerary of the group. " * 8
 
 
 def plan(hosts: int, engines: int) -> ClusterPlan:
-    """Returns the processes of the measurement."""
+    """Returns the cluster plan of the benchmark."""
     names = tuple(f"host-{n + 1}" for n in range(hosts))
     return ClusterPlan(
         hosts=hosts,
@@ -184,10 +185,10 @@
 
 
 def main() -> int:
-    """Runs the measurement and prints a table, or JSON.
+    """Runs the benchmark and prints a table, or JSON with ``--json``.
 
     Returns:
-        The exit code: 1 when a turn failed.
+        The exit code: 1 if a turn failed.
     """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rate", type=float, default=50.0, help="turns/s")
@@ -196,11 +197,11 @@
     parser.add_argument("--engines", type=int, default=5)
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
-    local = plan(options.hosts, options.engines)
-    cluster = start_cluster(local)
+    cluster_plan = plan(options.hosts, options.engines)
+    cluster = start_cluster(cluster_plan)
     try:
         cluster.apply(select_declarations(tengri_trails(), cluster))
-        start_daemons(cluster, local)
+        start_daemons(cluster, cluster_plan)
         rows = asyncio.run(measure(cluster, options.rate, options.seconds))
     finally:
         cluster.stop()
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,8 +1,8 @@
-"""Starts the whole system on loopback, runs two programs, stops it again.
+"""Starts a system on loopback, runs two programs and stops the system.
 
-Three daemons, nine model engines, two services and the platform's stand-in
-run as processes. A permit program of Tengri Trails and a renewal program of
-Halvorsen run through different hosts, with a sub-agent and a tool pause.
+The system consists of three daemons, nine model engines, two services and a
+platform stand-in, each in a process of its own. The calls of both programs go
+through all hosts, with a sub-agent and tool pauses.
 """
 
 import concurrent.futures
@@ -42,7 +42,7 @@
 
 
 class DemoProgram:
-    """One program as its caller drives it, each call through another host."""
+    """Caller of one program that sends each call to the next host."""
 
     def __init__(self, label: str, key: str, urls: Iterator[str]) -> None:
         self._label = label
@@ -56,16 +56,16 @@
         self._path = "/v1/programs"
 
     def begin(self, kind: str) -> None:
-        """Begins the program."""
+        """Creates the program."""
         answer = self._post("", {"request_id": self._label, "program": kind})
         self._path += f"/{answer['program_id']}"
-        self._say("began", kind, answer["program_id"])
+        self._print_step("began", kind, answer["program_id"])
 
     def turn(self, message: str, branch: str = "main") -> None:
-        """Sends a message and shows the answer's beginning."""
+        """Sends a message and prints the start of the response."""
         body = {"message": message, "branch": branch, "max_tokens": 64}
         answer = self._post("/turns", body | self._request_id())
-        self._say(
+        self._print_step(
             f"turn on {branch}",
             f"{answer['text'][:SHOWN_CHARACTERS]}...",
             f"{answer['cached_tokens']} of {answer['prompt_tokens']} prompt"
@@ -76,17 +76,17 @@
         """Calls a service."""
         body = {"operation": operation, "payload": payload}
         answer = self._post("/calls", body | self._request_id())
-        self._say("call", operation, answer["status"])
+        self._print_step("call", operation, answer["status"])
 
     def branch(self, name: str) -> None:
-        """Opens a sub-agent's branch."""
+        """Opens a branch for a sub-agent."""
         self._post("/branches", {"branch": name})
-        self._say("sub-agent", name, "opened")
+        self._print_step("sub-agent", name, "opened")
 
     def end(self) -> None:
         """Ends the program."""
         answer = self._post("/end", {})
-        self._say(
+        self._print_step(
             "ended",
             answer["state"],
             f"{answer['turns_spent']} turns, {answer['calls_spent']} calls,"
@@ -104,13 +104,13 @@
         answer: dict[str, Any] = response.json()
         return answer
 
-    def _say(self, *parts: str) -> None:
+    def _print_step(self, *parts: str) -> None:
         port = self._host.rsplit(":", 1)[1]
         print(f"[{self._label}] via :{port} ", " | ".join(parts), flush=True)
 
 
 def run_permit(urls: Iterator[str]) -> None:
-    """Runs a dossier of Tengri Trails."""
+    """Runs a permit dossier program of Tengri Trails."""
     program = DemoProgram("permit", TENGRI_KEY, urls)
     program.begin("dossier-build")
     program.turn("Assemble the dossier of the Karakol party of six.")
@@ -127,7 +127,7 @@
 
 
 def run_renewal(urls: Iterator[str]) -> None:
-    """Runs a prescription renewal of Halvorsen."""
+    """Runs a prescription renewal program of Halvorsen."""
     program = DemoProgram("renewal", HALVORSEN_KEY, urls)
     program.begin("prescription-renewal")
     program.turn("The wearer asks to renew; the last exam was in March.")
@@ -141,7 +141,7 @@
 
 
 def demo_plan() -> ClusterPlan:
-    """Returns the demo's processes."""
+    """Returns the cluster plan of the demo."""
     engines = [f"permit-{n + 1}" for n in range(5)]
     engines += [f"refill-{n + 1}" for n in range(4)]
     hosts = tuple(f"host-{n + 1}" for n in range(HOSTS))
@@ -157,28 +157,28 @@
 
 
 def apply(cluster: LocalCluster, declarations: list[Declaration]) -> None:
-    """Applies declarations with masticctl, as an operator would."""
+    """Applies declarations with masticctl."""
     servers = [h.operators_url for h in cluster.daemon_by_name.values()]
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
         token_file = folder / "token"
         token_file.write_text(OPERATOR_TOKEN)
-        declared = folder / "declarations"
-        declared.mkdir()
+        declarations_folder = folder / "declarations"
+        declarations_folder.mkdir()
         for number, declaration in enumerate(declarations):
             text = declaration.model_dump_json()
-            (declared / f"{number}.json").write_text(text)
-        ctl = [
+            (declarations_folder / f"{number}.json").write_text(text)
+        base_command = [
             str(pathlib.Path(sys.executable).with_name("masticctl")),
             f"--server={','.join(servers)}",
             f"--token-file={token_file}",
         ]
         for command in (
-            ["apply", str(declared), "--yes", "--reason=demo"],
+            ["apply", str(declarations_folder), "--yes", "--reason=demo"],
             ["status", "--wait"],
         ):
             print(f"$ masticctl {command[0]}", flush=True)
-            subprocess.run([*ctl, *command], check=True)
+            subprocess.run([*base_command, *command], check=True)
 
 
 def run(cluster: LocalCluster, plan: ClusterPlan) -> None:
--- a/scripts/measure_config.py
+++ b/scripts/measure_config.py
@@ -1,11 +1,11 @@
-"""Measures what configuration costs a host, at two or more sizes.
-
-For each number of workspaces: bytes, processor time and memory of the whole
-state, and of one change to a workspace, to an upstream and to a template. The
-last column is the slope per workspace between the smallest and the largest
-size, for docs/CAPACITY.md. One process, no network. Times are processor time,
-medians of several changes, but for the stall of the event loop, which is the
-longest wall time it did not run while a change was followed.
+"""Measures the cost of configuration on a host at two or more sizes.
+
+For each number of workspaces, reports the size, CPU time and memory of the
+full state, and the cost of changing a workspace, an upstream and a template.
+The last column is the slope per workspace between the smallest and the largest
+size. Everything runs in one process without a network. Times are medians of CPU
+time, except for the event loop stall, which is the longest wall-clock time that
+the loop was blocked while a change was applied.
 """
 
 import argparse
@@ -50,8 +50,8 @@
     """One measured value.
 
     Attributes:
-        name: What was measured; its end is the unit.
-        value: The value.
+        name: Name of the measurement, ending with its unit.
+        value: Measured value.
     """
 
     name: str
@@ -60,15 +60,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SizeReport:
-    """What one number of workspaces costs."""
+    """Measurements for one number of workspaces."""
 
     workspaces: int
     figures: tuple[Figure, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Timed:
-    """A result and the processor time it took."""
+class TimedResult:
+    """Result of a call and its CPU time."""
 
     value: object
     ms: float
@@ -108,7 +108,7 @@
 def declarations(
     workspaces: int, templates: int = MODEL_COUNT
 ) -> list[Declaration]:
-    """Returns every declaration of a fleet with so many workspaces."""
+    """Returns all declarations of a site with a number of workspaces."""
     models = range(MODEL_COUNT)
     return [
         *(template(index) for index in range(templates)),
@@ -117,45 +117,47 @@
     ]
 
 
-class Fleet:
-    """One accepting host and one that follows it."""
+class HostPair:
+    """A host that accepts changes and a follower that applies them."""
 
     def __init__(self) -> None:
-        self._accepting = ActiveConfig()
-        self.following = ActiveConfig()
+        self._leader = ActiveConfig()
+        self.follower = ActiveConfig()
         self._operator = ConfigStore(
-            MemoryStore(), self._accepting, snapshot_every=10**9
+            MemoryStore(), self._leader, snapshot_every=10**9
         )
         self._count = 0
 
     @property
     def state(self) -> states.ConfigState:
-        """The newest state."""
-        return self._accepting.state
+        """Newest accepted state."""
+        return self._leader.state
 
-    async def load(self, wanted: Sequence[Declaration]) -> None:
-        """Accepts many declarations, in batches of one revision each."""
-        for start in range(0, len(wanted), LOAD_BATCH):
-            await self._apply(wanted[start : start + LOAD_BATCH])
+    async def load(self, declarations: Sequence[Declaration]) -> None:
+        """Accepts declarations in batches, one revision per batch."""
+        for start in range(0, len(declarations), LOAD_BATCH):
+            await self._apply(declarations[start : start + LOAD_BATCH])
 
     async def change(
-        self, name: str, wanted: list[Declaration]
+        self, name: str, changed: list[Declaration]
     ) -> list[Figure]:
-        """Measures changes that put one declaration each."""
+        """Measures changes of one declaration each."""
         accepted, followed, planned, sizes = [], [], [], []
-        for declaration in wanted:
+        for declaration in changed:
             edit = self._edit(declaration)
             change = testing.change("a-plan", edit)
             plan = (await self._operator.plan(change)).unwrap()
-            planned.append(_timed(lambda plan=plan: reports.plan_report(plan)))
+            planned.append(
+                _time_call(lambda plan=plan: reports.plan_report(plan))
+            )
             start = time.process_time()
             await self._apply([declaration])
             accepted.append((time.process_time() - start) * MS_PER_S)
-            export = self._accepting.export_after(self.following.number)
+            export = self._leader.export_after(self.follower.number)
             sizes.append(sum(len(revision) for revision in export.revisions))
             followed.append(
-                _timed(
-                    lambda export=export: self.following.apply_export(export)
+                _time_call(
+                    lambda export=export: self.follower.apply_export(export)
                 )
             )
         return [
@@ -165,14 +167,14 @@
             Figure(f"{name} plan report ms", _median_ms(planned)),
         ]
 
-    async def share(self) -> list[Figure]:
-        """Measures a change to the one template that all workspaces share."""
+    async def change_shared_template(self) -> list[Figure]:
+        """Measures a change to the template that all workspaces share."""
         await self._apply([template(0, "Look again.")])
-        export = self._accepting.export_after(self.following.number)
+        export = self._leader.export_after(self.follower.number)
         stalls = asyncio.create_task(_longest_stall())
         await asyncio.sleep(STALL_PROBE_S)
         start = time.process_time()
-        (await self.following.apply_export_in_thread(export)).unwrap()
+        (await self.follower.apply_export_in_thread(export)).unwrap()
         elapsed = (time.process_time() - start) * MS_PER_S
         stalls.cancel()
         return [
@@ -180,9 +182,9 @@
             Figure("shared template loop stall wall ms", await stalls),
         ]
 
-    async def _apply(self, wanted: Sequence[Declaration]) -> None:
+    async def _apply(self, declarations: Sequence[Declaration]) -> None:
         self._count += 1
-        edits = [self._edit(declaration) for declaration in wanted]
+        edits = [self._edit(declaration) for declaration in declarations]
         change = testing.change(f"change-{self._count}", *edits)
         (await self._operator.apply(change)).unwrap()
 
@@ -192,18 +194,18 @@
 
 
 async def measure(workspaces: int, freeze_gc: bool) -> SizeReport:
-    """Returns the figures of one size.
+    """Measures one size.
 
     Args:
         workspaces: Number of workspaces.
-        freeze_gc: True to take what is loaded out of the garbage collector
-            before the loop's stall is measured.
+        freeze_gc: Whether to exempt loaded objects from garbage collection
+            before the event loop stall is measured.
     """
-    fleet = Fleet()
-    await fleet.load(declarations(workspaces))
-    encoded = _timed(lambda: snapshots.encode(fleet.state))
-    snapshot = snapshots.encode(fleet.state)
-    decoded = _timed(lambda: fleet.following.apply_snapshot(snapshot))
+    pair = HostPair()
+    await pair.load(declarations(workspaces))
+    encoded = _time_call(lambda: snapshots.encode(pair.state))
+    snapshot = snapshots.encode(pair.state)
+    decoded = _time_call(lambda: pair.follower.apply_snapshot(snapshot))
     figures = [
         Figure("snapshot bytes", len(snapshot)),
         Figure("snapshot encode ms", encoded.ms),
@@ -211,29 +213,29 @@
         Figure("memory bytes", _memory_bytes(snapshot)),
     ]
     rounds = range(1, REPEATS + 1)
-    figures += await fleet.change(
+    figures += await pair.change(
         "workspace change", [workspace(i, weight=1.0 + i) for i in rounds]
     )
-    figures += await fleet.change(
+    figures += await pair.change(
         "upstream change", [engine(i, 0, port=8000) for i in rounds]
     )
-    figures += await fleet.change(
+    figures += await pair.change(
         "template change", [template(i, "Look again.") for i in rounds]
     )
-    shared = Fleet()
+    shared = HostPair()
     await shared.load(declarations(workspaces, templates=1))
     snapshot = snapshots.encode(shared.state)
-    shared.following.apply_snapshot(snapshot).unwrap()
+    shared.follower.apply_snapshot(snapshot).unwrap()
     if freeze_gc:
         gc.collect()
         gc.freeze()
-    figures += await shared.share()
+    figures += await shared.change_shared_template()
     gc.unfreeze()
     return SizeReport(workspaces, tuple(figures))
 
 
 def format_reports(reports_by_size: Sequence[SizeReport]) -> str:
-    """Returns the figures as a Markdown table with their slopes."""
+    """Formats the measurements and their slopes as a Markdown table."""
     first, last = reports_by_size[0], reports_by_size[-1]
     sizes = [str(report.workspaces) for report in reports_by_size]
     lines = [
@@ -248,10 +250,10 @@
     return "\n".join(lines)
 
 
-def _timed(work: Callable[[], object]) -> Timed:
+def _time_call(work: Callable[[], object]) -> TimedResult:
     start = time.process_time()
     value = work()
-    return Timed(value, (time.process_time() - start) * MS_PER_S)
+    return TimedResult(value, (time.process_time() - start) * MS_PER_S)
 
 
 async def _longest_stall() -> float:
@@ -267,19 +269,19 @@
         return longest * MS_PER_S
 
 
-def _median_ms(timed: Sequence[Timed]) -> float:
-    return statistics.median(item.ms for item in timed)
+def _median_ms(results: Sequence[TimedResult]) -> float:
+    return statistics.median(item.ms for item in results)
 
 
 def _memory_bytes(snapshot: bytes) -> int:
     tracemalloc.start()
-    holder = ActiveConfig()
-    holder.apply_snapshot(snapshot).unwrap()
-    held: RenderedConfig = holder.current
+    config = ActiveConfig()
+    config.apply_snapshot(snapshot).unwrap()
+    rendered: RenderedConfig = config.current
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    if not held.workspace_by_name:
-        raise ValueError("the snapshot holds no workspace")
+    if not rendered.workspace_by_name:
+        raise ValueError("snapshot without workspaces")
     return size
 
 
@@ -292,12 +294,12 @@
     parser.add_argument(
         "--freeze-gc",
         action="store_true",
-        help="freeze what is loaded before the loop's stall is measured",
+        help="exempt loaded objects from GC for the event loop stall",
     )
     options = parser.parse_args()
     sizes = sorted(set(options.sizes))
     if len(sizes) < 2:
-        parser.error("--sizes: a slope needs two sizes")
+        parser.error("--sizes: give at least two distinct sizes")
     measured = [asyncio.run(measure(size, options.freeze_gc)) for size in sizes]
     print(format_reports(measured))
 
--- a/scripts/measure_daemon.py
+++ b/scripts/measure_daemon.py
@@ -1,8 +1,8 @@
-"""Measures what a daemon spends at rest, by replicas and by programs.
+"""Measures the idle cost of a daemon by number of replicas and programs.
 
-Starts a system for each size, waits until it is quiet, and reads processor
-time and memory of the daemons from /proc and the call counts of the platform's
-stand-in. Two or more sizes give the slopes that docs/CAPACITY.md uses.
+Starts a system for each size, waits until it is idle, and reads the CPU time
+and memory of the daemons from /proc and the call counts of the platform
+stand-in.
 """
 
 import argparse
@@ -33,9 +33,9 @@
 )
 from masticdale_standins.settings import PlatformSettings, ServiceSettings
 
-QUIET_S = 4.0
+SETTLE_S = 4.0
 SERVICE = "permit-desk-1"
-PARALLEL = 16
+MAX_CONCURRENCY = 16
 WRITE_CALLS = ("PUT object", "DELETE object")
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """Counters of all daemons and the platform at one moment."""
+    """Counters of all daemons and the platform at one time."""
 
     at: float
     cpu_s: float
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """What one size costs at rest, per daemon."""
+    """Idle cost of one size, per daemon."""
 
     hosts: int
     replicas: int
@@ -66,8 +66,8 @@
     platform_writes_per_s: float
 
 
-def sample(cluster: LocalCluster) -> Sample:
-    """Reads the counters now."""
+def take_sample(cluster: LocalCluster) -> Sample:
+    """Reads the current counters."""
     cpu_s = 0.0
     rss_bytes = 0
     for handle in cluster.daemon_by_name.values():
@@ -85,17 +85,17 @@
 
 
 def measure(options: argparse.Namespace, replicas: int, programs: int) -> Row:
-    """Starts one size and measures it at rest."""
+    """Starts a system of one size and measures its idle cost."""
     plan = make_plan(options.hosts, replicas)
     cluster = start_cluster(plan)
     try:
         cluster.apply(declarations(cluster, replicas))
         start_daemons(cluster, plan)
-        asyncio.run(fill(cluster, programs))
-        time.sleep(QUIET_S)
-        before = sample(cluster)
+        asyncio.run(create_programs(cluster, programs))
+        time.sleep(SETTLE_S)
+        before = take_sample(cluster)
         time.sleep(options.seconds)
-        after = sample(cluster)
+        after = take_sample(cluster)
     finally:
         cluster.stop()
     span_s = (after.at - before.at) * options.hosts
@@ -111,7 +111,7 @@
 
 
 def make_plan(hosts: int, replicas: int) -> ClusterPlan:
-    """Returns the processes of one size."""
+    """Returns the cluster plan of one size."""
     names = tuple(f"host-{n + 1}" for n in range(hosts))
     return ClusterPlan(
         hosts=hosts,
@@ -124,30 +124,30 @@
 
 
 def engine_name(number: int) -> str:
-    """Returns the name of an engine of the measurement."""
+    """Returns the name of an engine by its index."""
     return f"permit-{number + 1}"
 
 
 def declarations(cluster: LocalCluster, replicas: int) -> list[Declaration]:
-    """Returns the sample workspace with that many engines."""
+    """Returns the sample workspace with a number of engines."""
     engines = [engine(engine_name(n), "permit-70b", n) for n in range(replicas)]
-    named = {d.name: d for d in (*tengri_trails(), *engines)}
-    workspace = named[TENGRI].model_dump(mode="json")
+    declaration_by_name = {d.name: d for d in (*tengri_trails(), *engines)}
+    workspace = declaration_by_name[TENGRI].model_dump(mode="json")
     workspace["spec"]["upstreams"] = [e.name for e in engines] + [SERVICE]
-    named[TENGRI] = parse(json.dumps(workspace)).unwrap()
-    return select_declarations(list(named.values()), cluster)
+    declaration_by_name[TENGRI] = parse(json.dumps(workspace)).unwrap()
+    return select_declarations(list(declaration_by_name.values()), cluster)
 
 
-async def fill(cluster: LocalCluster, programs: int) -> None:
-    """Begins programs and sends one turn to each."""
+async def create_programs(cluster: LocalCluster, programs: int) -> None:
+    """Creates programs and sends one turn to each."""
     urls = [handle.callers_url for handle in cluster.daemon_by_name.values()]
     headers = {"authorization": f"Bearer {TENGRI_KEY}"}
-    gate = asyncio.Semaphore(PARALLEL)
+    semaphore = asyncio.Semaphore(MAX_CONCURRENCY)
     async with httpx.AsyncClient(
         headers=headers, timeout=60, trust_env=False
     ) as http:
 
-        async def one(number: int) -> None:
+        async def create_program(number: int) -> None:
             url = f"{urls[number % len(urls)]}/v1/programs"
             begin = {"request_id": f"m{number}", "program": "dossier-build"}
             turn = {
@@ -155,17 +155,19 @@
                 "message": f"program {number}",
                 "max_tokens": 16,
             }
-            async with gate:
-                answer = await http.post(url, json=begin)
-                program = answer.raise_for_status().json()["program_id"]
-                sent = await http.post(f"{url}/{program}/turns", json=turn)
-                sent.raise_for_status()
-
-        await asyncio.gather(*(one(number) for number in range(programs)))
+            async with semaphore:
+                created = await http.post(url, json=begin)
+                program = created.raise_for_status().json()["program_id"]
+                response = await http.post(f"{url}/{program}/turns", json=turn)
+                response.raise_for_status()
+
+        await asyncio.gather(
+            *(create_program(number) for number in range(programs))
+        )
 
 
 def main() -> int:
-    """Measures every size and prints a table, or JSON.
+    """Measures all sizes and prints a table, or JSON with ``--json``.
 
     Returns:
         The exit code.
--- a/scripts/measure_in_force.py
+++ b/scripts/measure_in_force.py
@@ -1,11 +1,11 @@
-"""Measures the time from a change's acceptance until it is in force.
-
-Nine daemons and the platform's stand-in run as processes on loopback. Changes
-are applied one after another at changing hosts; every host's status is polled
-until it reports the revision. Times are wall time from the answer to the
-apply, and include the polling. Scenarios: nothing else going on; writes to the
-platform beside it; one host paused for part of the time, whose own times are
-told apart; every watch gone silent.
+"""Measures the delay between accepting a change and activating it.
+
+Nine daemons and the platform stand-in run on loopback. Changes are applied
+sequentially through different hosts, and the status of each host is polled
+until it reports the revision. Times are wall-clock times from the response to
+the apply request and include the polling interval. The scenarios are: no
+disturbance, concurrent writes to the platform, one host that is paused
+periodically and reported separately, and watches without events.
 """
 
 import argparse
@@ -42,8 +42,8 @@
 HOSTS = 9
 DEFAULT_CHANGES = 40
 POLL_S = 0.02
-GAP_S = 0.2
-PATIENCE_S = 20.0
+CHANGE_INTERVAL_S = 0.2
+TIMEOUT_S = 20.0
 WRITES_PER_S = 150
 PLATFORM_WRITES_PER_S = 300
 PAUSE_S = 2.0
@@ -52,12 +52,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Arrival:
-    """When one revision came into force on one host.
+class Activation:
+    """Activation of one revision on one host.
 
     Attributes:
-        host: The host.
-        seconds: Time since the change was accepted.
+        host: Name of the host.
+        seconds: Time since the change was accepted; infinity on a timeout.
     """
 
     host: str
@@ -66,29 +66,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scenario:
-    """One way to disturb the system while changes are applied.
+    """Fault that is injected while changes are applied.
 
     Attributes:
-        name: Stands in the table.
-        disturb: Runs beside the changes until it is cancelled.
-        apart: Hosts whose arrivals are told apart.
+        name: Name of the scenario in the table.
+        inject_fault: Runs concurrently with the changes until cancelled.
+        separate_hosts: Hosts that are reported in rows of their own.
     """
 
     name: str
-    disturb: Callable[[LocalCluster], Awaitable[None]]
-    apart: frozenset[str] = frozenset()
+    inject_fault: Callable[[LocalCluster], Awaitable[None]]
+    separate_hosts: frozenset[str] = frozenset()
 
 
 class Operator:
-    """Applies changes and watches them come into force."""
+    """Applies changes and waits for their activation."""
 
     def __init__(self, handles: Sequence[DaemonHandle]) -> None:
         self._handles = handles
         self._servers = itertools.cycle(handles)
-        self._seen = ABSENT
+        self._digest = ABSENT
         self._http = httpx.AsyncClient(
             headers={"Authorization": f"Bearer {OPERATOR_TOKEN}"},
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
             trust_env=False,
         )
 
@@ -97,11 +97,11 @@
         await self._http.aclose()
 
     async def change(
-        self, number: int, avoided: frozenset[str]
-    ) -> list[Arrival]:
-        """Applies one change and waits until every host has it."""
+        self, number: int, excluded_hosts: frozenset[str]
+    ) -> list[Activation]:
+        """Applies one change and waits until all hosts have activated it."""
         upstream = testing.engine("measured", "m", port=10_000 + number)
-        server = next(h for h in self._servers if h.name not in avoided)
+        server = next(h for h in self._servers if h.name not in excluded_hosts)
         revision = await self._apply(server, upstream)
         accepted = time.monotonic()
         return await asyncio.gather(
@@ -111,41 +111,45 @@
             )
         )
 
-    async def _apply(self, server: DaemonHandle, after: Declaration) -> int:
-        edit = EditRequest.from_edit(Edit(key_of(after), self._seen, after))
+    async def _apply(
+        self, server: DaemonHandle, declaration: Declaration
+    ) -> int:
+        edit = EditRequest.from_edit(
+            Edit(key_of(declaration), self._digest, declaration)
+        )
         change = ChangeRequest(change_id=uuid.uuid4().hex, edits=(edit,))
-        answer = await self._http.post(
+        response = await self._http.post(
             f"{server.operators_url}/v1/config/apply",
             content=change.model_dump_json(),
         )
-        answer.raise_for_status()
-        self._seen = after.digest
-        return ApplyReport(**answer.json()).revision
+        response.raise_for_status()
+        self._digest = declaration.digest
+        return ApplyReport(**response.json()).revision
 
     async def _wait(
         self, handle: DaemonHandle, revision: int, accepted: float
-    ) -> Arrival:
+    ) -> Activation:
         while await self._revision(handle) < revision:
-            if time.monotonic() - accepted > PATIENCE_S:
-                return Arrival(handle.name, math.inf)
+            if time.monotonic() - accepted > TIMEOUT_S:
+                return Activation(handle.name, math.inf)
             await asyncio.sleep(POLL_S)
-        return Arrival(handle.name, time.monotonic() - accepted)
+        return Activation(handle.name, time.monotonic() - accepted)
 
     async def _revision(self, handle: DaemonHandle) -> int:
-        answer = await self._http.get(f"{handle.operators_url}/v1/status")
-        answer.raise_for_status()
-        revision: int = answer.json()["revision"]
+        response = await self._http.get(f"{handle.operators_url}/v1/status")
+        response.raise_for_status()
+        revision: int = response.json()["revision"]
         return revision
 
 
 async def do_nothing(cluster: LocalCluster) -> None:
-    """Leaves the system alone."""
+    """Injects no fault."""
     del cluster
 
 
-async def write_beside(cluster: LocalCluster) -> None:
-    """Writes other objects to the platform at a steady rate."""
-    store = PlatformClient(cluster.platform.base_url, PATIENCE_S, Metrics())
+async def write_concurrently(cluster: LocalCluster) -> None:
+    """Writes unrelated objects to the platform at a fixed rate."""
+    store = PlatformClient(cluster.platform.base_url, TIMEOUT_S, Metrics())
     try:
         for number in itertools.count():
             key = f"load/{uuid.uuid4().hex}/{number}"
@@ -155,8 +159,8 @@
         await store.close()
 
 
-async def pause_one(cluster: LocalCluster) -> None:
-    """Pauses the first host again and again."""
+async def pause_first_host(cluster: LocalCluster) -> None:
+    """Pauses the first host periodically."""
     process = cluster.daemon_by_name["host-1"].process
     try:
         while True:
@@ -169,7 +173,7 @@
 
 
 async def freeze_watches(cluster: LocalCluster) -> None:
-    """Lets every watch go silent; other calls work."""
+    """Stops all watches from delivering events; other calls work."""
     cluster.faults(cluster.platform, freeze_watches=True)
     try:
         await asyncio.Event().wait()
@@ -179,8 +183,8 @@
 
 SCENARIOS = (
     Scenario("nothing else", do_nothing),
-    Scenario(f"{WRITES_PER_S} writes/s beside", write_beside),
-    Scenario("host-1 paused 2 s of 6", pause_one, frozenset({"host-1"})),
+    Scenario(f"{WRITES_PER_S} writes/s beside", write_concurrently),
+    Scenario("host-1 paused 2 s of 6", pause_first_host, frozenset({"host-1"})),
     Scenario("all watches silent", freeze_watches),
 )
 
@@ -188,29 +192,31 @@
 async def measure(
     cluster: LocalCluster, scenarios: Sequence[Scenario], changes: int
 ) -> None:
-    """Runs scenarios and prints one row for each."""
+    """Runs scenarios and prints their rows."""
     operator = Operator(list(cluster.daemon_by_name.values()))
     print("| scenario | arrivals | p50 s | p99 s | longest s |")
     print("| --- | --- | --- | --- | --- |")
     number = 0
     try:
         for scenario in scenarios:
-            arrivals: list[Arrival] = []
-            async with _disturbed(scenario, cluster):
+            activations: list[Activation] = []
+            async with _fault_injected(scenario, cluster):
                 for _ in range(changes):
                     number += 1
-                    arrivals += await operator.change(number, scenario.apart)
-                    await asyncio.sleep(GAP_S)
-            _print_rows(scenario, arrivals)
+                    activations += await operator.change(
+                        number, scenario.separate_hosts
+                    )
+                    await asyncio.sleep(CHANGE_INTERVAL_S)
+            _print_rows(scenario, activations)
     finally:
         await operator.close()
 
 
 @asynccontextmanager
-async def _disturbed(
+async def _fault_injected(
     scenario: Scenario, cluster: LocalCluster
 ) -> AsyncIterator[None]:
-    task = asyncio.ensure_future(scenario.disturb(cluster))
+    task = asyncio.ensure_future(scenario.inject_fault(cluster))
     try:
         yield
     finally:
@@ -218,12 +224,14 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-def _print_rows(scenario: Scenario, arrivals: Sequence[Arrival]) -> None:
-    others = [a.seconds for a in arrivals if a.host not in scenario.apart]
-    _print_row(scenario.name, others)
-    for host in sorted(scenario.apart):
-        own = [a.seconds for a in arrivals if a.host == host]
-        _print_row(f"{scenario.name}: {host} itself", own)
+def _print_rows(scenario: Scenario, activations: Sequence[Activation]) -> None:
+    other_seconds = [
+        a.seconds for a in activations if a.host not in scenario.separate_hosts
+    ]
+    _print_row(scenario.name, other_seconds)
+    for host in sorted(scenario.separate_hosts):
+        host_seconds = [a.seconds for a in activations if a.host == host]
+        _print_row(f"{scenario.name}: {host} itself", host_seconds)
 
 
 def _print_row(name: str, seconds: list[float]) -> None:
@@ -238,7 +246,7 @@
 
 
 def main() -> None:
-    """Starts the system, measures and stops it."""
+    """Starts the system, runs the scenarios and stops the system."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--changes", type=int, default=DEFAULT_CHANGES)
     parser.add_argument("--only", default="", help="part of a scenario's name")
--- a/scripts/measure_peers.py
+++ b/scripts/measure_peers.py
@@ -1,9 +1,9 @@
-"""Measures what peers cost each host, as slopes over the number of hosts.
+"""Measures the cost of peer communication by the number of hosts.
 
-The hosts of one run share this process. In memory, each call goes through the
-thrift binary codec both ways, so that bytes and processor time are those of
-real messages without the sockets; over loopback, it goes through sockets too.
-Prints a table, or JSON with ``--json``. Processor time is of this machine.
+All hosts of a run share this process. With the memory transport, messages are
+encoded and decoded with the thrift binary codec but use no sockets; with the
+socket transport, they go over loopback. Prints a table, or JSON with
+``--json``.
 """
 
 import argparse
@@ -49,45 +49,46 @@
 _BYTES_LIMIT = 12_000
 _MEMORY_SIZES = (8, 64, 340)
 _SOCKET_SIZES = (3, 9)
-_HALF_THERE = 16
+_HALF_PRESENT_HOSTS = 16
 _RPC_CONNECTIONS = (1, 8)
 _RPC_CALLS = 4000
 _RPC_BYTES = 2000
 _WARM_UP_PERIODS = 4
 _MEASURED_PERIODS = 10
 _CHANGE_PERIODS = 30
-_DETECTIONS = 1
-# Message header, call name and the struct around the one argument, with the
-# TCP and IP headers of its packet.
+_KILLED_HOSTS = 1
+# Message header, call name, argument struct, and TCP and IP headers.
 _FRAME_BYTES = 4 + 4 + 9 + 4 + 4 + 52
 _MB = 1 << 20
 _POLL_S = 0.05
-# Looking at the views of all hosts would take more time than they do.
+# Only a sample is observed: reading the views of all hosts would cost more CPU
+# time than the hosts themselves use.
 _OBSERVERS = 16
-# So many hosts fit on one core with time to spare. With more of them all
-# periods are stretched, and the figures are scaled back.
-_HOSTS_IN_REAL_TIME = 68
+# One core cannot run more hosts than this in real time. Above it, all periods
+# are scaled up and the measurements are scaled back.
+_MAX_UNSCALED_HOSTS = 68
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostCost:
-    """What membership costs one host.
+    """Cost of membership for one host.
 
     Attributes:
         transport: ``memory`` or ``sockets``.
-        hosts: How many hosts there are.
-        absent: How many of those in the settings are not there.
+        hosts: Number of running hosts.
+        absent: Number of configured hosts that do not run.
         messages_per_s: Heartbeats and replies that a host sends.
         bytes_per_s: Bytes that a host sends, with headers.
-        busiest_bytes_per_s: The same of the host that sends most.
-        change_bytes_per_s: Bytes a host sends while all take a new revision.
-        core_share: Processor time of a host, as part of one core.
-        memory_mb: Memory held for one host.
-        revision_s: Until a new revision of all hosts is seen on those that
-            are observed.
-        detect_first_s: Until the first of the observed hosts misses a killed
-            one.
-        detect_all_s: Until each of them misses it.
+        busiest_bytes_per_s: Bytes that the busiest host sends, with headers.
+        change_bytes_per_s: Bytes that a host sends while a new revision
+            spreads.
+        core_share: CPU time of a host, as a fraction of one core.
+        memory_mb: Memory allocated for one host.
+        revision_s: Time until the observed hosts see the new revision of all
+            hosts.
+        detect_first_s: Time until the first observed host detects a killed
+            host.
+        detect_all_s: Time until all observed hosts detect it.
     """
 
     transport: str
@@ -105,7 +106,7 @@
 
     @property
     def fits(self) -> bool:
-        """True where the host stays within the limits asked for."""
+        """Whether the cost is within the limits."""
         return (
             self.core_share <= _CORE_LIMIT
             and self.memory_mb <= _MEMORY_LIMIT_MB
@@ -116,7 +117,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RpcCost:
-    """What one call costs, both ends together, over loopback sockets."""
+    """Cost of one call over loopback, for client and server together."""
 
     connections: int
     calls_per_s: float
@@ -124,7 +125,7 @@
 
 
 class CountingNetwork(MemoryNetwork):
-    """A network in memory that encodes, decodes and counts each message."""
+    """In-memory network that encodes, decodes and counts messages."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -132,7 +133,7 @@
         self.messages = 0
 
     def reset(self) -> None:
-        """Starts to count anew."""
+        """Resets the counters."""
         self.bytes_by_host.clear()
         self.messages = 0
 
@@ -140,15 +141,15 @@
         self, link: Any, rpc: Rpc[Any, Any], request: Any, timeout_s: float
     ) -> Any:
         """See ``MemoryNetwork.deliver``."""
-        request = self._coded(link.origin, request)
+        request = self._round_trip(link.origin, request)
         result = await super().deliver(link, rpc, request, timeout_s)
-        return result.map(lambda reply: self._coded(link.target, reply))
+        return result.map(lambda reply: self._round_trip(link.target, reply))
 
-    def _coded(self, sender: str, message: Any) -> Any:
+    def _round_trip(self, sender: str, message: Any) -> Any:
         data = _encode(message)
         self.messages += 1
-        sent = self.bytes_by_host.get(sender, 0)
-        self.bytes_by_host[sender] = sent + len(data) + _FRAME_BYTES
+        sent_bytes = self.bytes_by_host.get(sender, 0)
+        self.bytes_by_host[sender] = sent_bytes + len(data) + _FRAME_BYTES
         return _decode(type(message), data)
 
 
@@ -164,7 +165,7 @@
 
 
 class _PythonProtocolFactory:
-    """Makes the protocol that the asyncio connections use, not the C one."""
+    """Creates the pure Python protocol, which asyncio connections use."""
 
     def get_protocol(self, transport: Any) -> Any:
         """Returns the protocol on a transport."""
@@ -182,11 +183,11 @@
     """One running host.
 
     Attributes:
-        name: Its name.
-        membership: Its view.
-        revision: The configuration revision it says is in force.
-        directory: Its connections; None in memory.
-        server: Its socket; None in memory.
+        name: Name of the host.
+        membership: Membership view of the host.
+        revision: Active configuration revision that the host reports.
+        directory: Connections to peers; None with the memory transport.
+        server: Peer server; None with the memory transport.
     """
 
     name: str
@@ -198,7 +199,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Revision:
-    """The revision that all hosts say is in force."""
+    """Active configuration revision that all hosts report."""
 
     number: int = 1
 
@@ -207,8 +208,8 @@
     """Hosts under measurement in one process."""
 
     def __init__(self, count: int, absent: int) -> None:
-        self.stretch = max(1.0, (count + absent) / _HOSTS_IN_REAL_TIME)
-        self.limits = _stretched(MembershipLimits(), self.stretch)
+        self.time_scale = max(1.0, (count + absent) / _MAX_UNSCALED_HOSTS)
+        self.limits = _scale_timings(MembershipLimits(), self.time_scale)
         self.names = [f"host-{number:03}" for number in range(count + absent)]
         self.live_names = self.names[:count]
         self.timers_by_host = {name: TimerService() for name in self.names}
@@ -217,7 +218,7 @@
         self.revision = Revision()
 
     async def start(self, transport: str) -> None:
-        """Starts every host that is there."""
+        """Starts all live hosts."""
         addresses = {name: _free_address() for name in self.names[:1]}
         if transport == "sockets":
             addresses = {name: _free_address() for name in self.names}
@@ -231,12 +232,12 @@
             host.membership.start()
 
     def observers(self) -> list[Host]:
-        """Returns some of the live hosts, evenly spread."""
+        """Returns an evenly spaced sample of the live hosts."""
         hosts = list(self.host_by_name.values())
         return hosts[:: max(1, len(hosts) // _OBSERVERS)]
 
     async def kill(self, name: str) -> None:
-        """Stops a host at once."""
+        """Stops a host without a graceful shutdown."""
         host = self.host_by_name.pop(name)
         self.network.detach(name)
         if host.server is not None:
@@ -247,7 +248,7 @@
         await self.timers_by_host[name].close()
 
     async def close(self) -> None:
-        """Stops every host."""
+        """Stops all hosts."""
         for name in list(self.host_by_name):
             await self.kill(name)
 
@@ -255,11 +256,11 @@
         incarnation = new_incarnation()
         revision = self.revision
 
-        def beat() -> Heartbeat:
+        def make_heartbeat() -> Heartbeat:
             return Heartbeat(name, "domain-1", incarnation, revision.number)
 
         timers = self.timers_by_host[name]
-        return join(beat, self.names, peers, timers, self.limits)
+        return join(make_heartbeat, self.names, peers, timers, self.limits)
 
     def _memory_host(self, name: str) -> Host:
         membership = self._join(name, self.network.peers(name))
@@ -281,21 +282,23 @@
         return Host(name, membership, self.revision, directory, server)
 
 
-def _stretched(limits: MembershipLimits, factor: float) -> MembershipLimits:
+def _scale_timings(
+    limits: MembershipLimits, time_scale: float
+) -> MembershipLimits:
     return dataclasses.replace(
         limits,
-        period_s=limits.period_s * factor,
-        timeout_s=limits.timeout_s * factor,
-        lease_s=limits.lease_s * factor,
-        refute_s=limits.refute_s * factor,
-        suspect_s=limits.suspect_s * factor,
-        accuse_again_s=limits.accuse_again_s * factor,
+        period_s=limits.period_s * time_scale,
+        timeout_s=limits.timeout_s * time_scale,
+        lease_s=limits.lease_s * time_scale,
+        refute_s=limits.refute_s * time_scale,
+        suspect_s=limits.suspect_s * time_scale,
+        accuse_again_s=limits.accuse_again_s * time_scale,
     )
 
 
 def _handler(membership: Membership) -> Any:
-    async def heartbeat(beat: Heartbeat) -> Any:
-        return membership.receive_heartbeat(beat)
+    async def heartbeat(message: Heartbeat) -> Any:
+        return membership.receive_heartbeat(message)
 
     async def submit(submission: Submission) -> SubmitReply:
         return SubmitReply(submission.operation)
@@ -309,9 +312,9 @@
         return Address(ip="127.0.0.1", port=probe.getsockname()[1])
 
 
-async def _until(is_done: Any, most_s: float) -> float:
+async def _wait_until(is_done: Any, timeout_s: float) -> float:
     started = time.monotonic()
-    for _ in range(int(most_s / _POLL_S)):
+    for _ in range(int(timeout_s / _POLL_S)):
         if is_done():
             break
         await asyncio.sleep(_POLL_S)
@@ -319,29 +322,29 @@
 
 
 async def measure_hosts(transport: str, count: int, absent: int) -> HostCost:
-    """Measures one number of hosts."""
+    """Measures the cost for one number of hosts."""
     fleet = Fleet(count, absent)
     period_s = fleet.limits.period_s
     gc.collect()
     tracemalloc.start()
-    held_before = tracemalloc.get_traced_memory()[0]
+    allocated_before = tracemalloc.get_traced_memory()[0]
     await fleet.start(transport)
     await asyncio.sleep(2 * period_s)
-    held = tracemalloc.get_traced_memory()[0] - held_before
+    allocated = tracemalloc.get_traced_memory()[0] - allocated_before
     tracemalloc.stop()
-    everyone = tuple(fleet.live_names)
+    live_names = tuple(fleet.live_names)
 
     def all_agree() -> bool:
         hosts = fleet.observers()
-        return all(h.membership.live_names() == everyone for h in hosts)
+        return all(h.membership.live_names() == live_names for h in hosts)
 
-    await _until(all_agree, _CHANGE_PERIODS * period_s)
+    await _wait_until(all_agree, _CHANGE_PERIODS * period_s)
     await asyncio.sleep(_WARM_UP_PERIODS * period_s)
     fleet.network.reset()
     cpu_before, started = time.process_time(), time.monotonic()
     await asyncio.sleep(_MEASURED_PERIODS * period_s)
     cpu_s = time.process_time() - cpu_before
-    took_s = (time.monotonic() - started) / fleet.stretch
+    elapsed_s = (time.monotonic() - started) / fleet.time_scale
     messages = fleet.network.messages
     sent = dict(fleet.network.bytes_by_host) or {"": 0}
     revision_s, change_bytes = await _measure_revision(fleet)
@@ -351,12 +354,12 @@
         transport=transport,
         hosts=count,
         absent=absent,
-        messages_per_s=messages / took_s / count,
-        bytes_per_s=sum(sent.values()) / took_s / count,
-        busiest_bytes_per_s=max(sent.values()) / took_s,
+        messages_per_s=messages / elapsed_s / count,
+        bytes_per_s=sum(sent.values()) / elapsed_s / count,
+        busiest_bytes_per_s=max(sent.values()) / elapsed_s,
         change_bytes_per_s=change_bytes / count,
-        core_share=cpu_s / took_s / count,
-        memory_mb=held / count / _MB,
+        core_share=cpu_s / elapsed_s / count,
+        memory_mb=allocated / count / _MB,
         revision_s=revision_s,
         detect_first_s=first_s,
         detect_all_s=all_s,
@@ -374,13 +377,15 @@
             for member in host.membership.members()
         )
 
-    took_s = await _until(all_seen, 60.0 * fleet.stretch) / fleet.stretch
-    return took_s, sum(fleet.network.bytes_by_host.values()) / took_s
+    elapsed_s = (
+        await _wait_until(all_seen, 60.0 * fleet.time_scale) / fleet.time_scale
+    )
+    return elapsed_s, sum(fleet.network.bytes_by_host.values()) / elapsed_s
 
 
 async def _measure_detection(fleet: Fleet) -> tuple[float, float]:
     first, last = [], []
-    for name in fleet.live_names[1 : 1 + _DETECTIONS]:
+    for name in fleet.live_names[1 : 1 + _KILLED_HOSTS]:
         if len(fleet.host_by_name) < 2:
             break
         await fleet.kill(name)
@@ -391,16 +396,16 @@
                 for host in fleet.observers()
             ]
 
-        most_s = 30.0 * fleet.stretch
-        first_s = await _until(lambda m=missing: any(m()), most_s)
-        last_s = await _until(lambda m=missing: all(m()), most_s)
-        first.append(first_s / fleet.stretch)
-        last.append((first_s + last_s) / fleet.stretch)
+        timeout_s = 30.0 * fleet.time_scale
+        first_s = await _wait_until(lambda m=missing: any(m()), timeout_s)
+        last_s = await _wait_until(lambda m=missing: all(m()), timeout_s)
+        first.append(first_s / fleet.time_scale)
+        last.append((first_s + last_s) / fleet.time_scale)
     return statistics.median(first), max(last)
 
 
 async def measure_rpc(connections: int) -> RpcCost:
-    """Measures unary calls of a 2 kB text over loopback."""
+    """Measures unary calls with a 2 kB payload over loopback."""
     fleet = Fleet(2, 0)
     await fleet.start("sockets")
     directory = fleet.host_by_name["host-000"].directory
@@ -414,13 +419,15 @@
 
     await call(100)
     cpu_before, started = time.process_time(), time.monotonic()
-    share = _RPC_CALLS // connections
-    await asyncio.gather(*(call(share) for _ in range(connections)))
+    calls_per_connection = _RPC_CALLS // connections
+    await asyncio.gather(
+        *(call(calls_per_connection) for _ in range(connections))
+    )
     cpu_s = time.process_time() - cpu_before
-    took_s = time.monotonic() - started
+    elapsed_s = time.monotonic() - started
     await fleet.close()
-    calls = share * connections
-    return RpcCost(connections, calls / took_s, cpu_s / calls * 1e6)
+    calls = calls_per_connection * connections
+    return RpcCost(connections, calls / elapsed_s, cpu_s / calls * 1e6)
 
 
 def _print_table(rows: list[Any]) -> None:
@@ -446,7 +453,7 @@
     hosts = [await measure_hosts("memory", count, 0) for count in sizes]
     rpcs = []
     if socket_sizes:
-        half = _HALF_THERE
+        half = _HALF_PRESENT_HOSTS
         hosts.append(await measure_hosts("memory", half, half))
         for count in socket_sizes:
             hosts.append(await measure_hosts("sockets", count, 0))
@@ -455,10 +462,10 @@
 
 
 def main() -> int:
-    """Measures and prints.
+    """Runs all measurements and prints them.
 
     Returns:
-        The exit code: 0 where every size stays within the limits.
+        The exit code: 0 if all sizes are within the limits.
     """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", action="store_true")
