--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,10 +1,11 @@
-"""Tests that the pages' examples run and that their tables are complete.
-
-Examples are fenced blocks. ``console`` blocks hold ``$ masticctl`` lines, run
-in order through the whole page against a host in memory, each followed by
-what it prints (``...`` stands for anything); ``exit=N`` in the fence is the
-last command's exit code. ``json declaration``, ``json settings`` and ``json
-error`` blocks are read by the models; ``http STATUS`` blocks are requests.
+"""Tests that examples in docs/ work and that its tables are complete.
+
+Examples are fenced blocks. ``console`` blocks contain ``$ masticctl`` commands
+with their expected output, where ``...`` matches any text. The commands of a
+page run in order against an in-memory host, and ``exit=N`` in the fence is the
+exit code of the last command. ``json declaration``, ``json settings`` and
+``json error`` blocks are validated by the models; ``http STATUS`` blocks are
+requests with their expected status.
 """
 
 import dataclasses
@@ -47,16 +48,16 @@
 
 FENCE = re.compile(r"^```(\w+) ?([^\n]*)\n(.*?)^```$", re.M | re.S)
 PROMPT = "$ masticctl "
-FLAGS = doctest.ELLIPSIS | doctest.NORMALIZE_WHITESPACE
+CHECK_OPTIONS = doctest.ELLIPSIS | doctest.NORMALIZE_WHITESPACE
 PROGRAM_ID = "5f2c9a77"
 DOCUMENTED_METRIC = re.compile(r"`(\w+_total|config_revision|hosts_live)")
-# Pages that hold examples; a page that lost its fences must not pass.
+# Guards against a page that lost its examples.
 CONSOLE_PAGE = "OPERATIONS.md"
 
 
 @dataclasses.dataclass(frozen=True)
 class Block:
-    """One fenced block."""
+    """Fenced block of a page."""
 
     page: str
     language: str
@@ -78,7 +79,7 @@
 
 
 def split_commands(text):
-    """Returns each command of a console block with what it should print."""
+    """Returns the commands of a console block with their expected output."""
     commands = []
     for line in text.splitlines(keepends=True):
         if line.startswith(PROMPT):
@@ -114,12 +115,12 @@
         for index, (command, expected) in enumerate(commands):
             done = await tool.run(*shlex.split(command))
             is_last = index == len(commands) - 1
-            shown = f"$ masticctl {command}{done.out}{done.err}"
-            self.assertEqual(done.code, last_code if is_last else 0, shown)
+            transcript = f"$ masticctl {command}{done.out}{done.err}"
+            self.assertEqual(done.code, last_code if is_last else 0, transcript)
             matches = doctest.OutputChecker().check_output(
-                expected, done.out + done.err, FLAGS
+                expected, done.out + done.err, CHECK_OPTIONS
             )
-            self.assertTrue(matches, f"{shown}\nexpected:\n{expected}")
+            self.assertTrue(matches, f"{transcript}\nexpected:\n{expected}")
 
     async def test_http_examples_are_answered_as_the_page_says(self):
         app = listener.create_operator_app(
@@ -130,12 +131,12 @@
         self.assertTrue(blocks)
         async with AsyncTestClient(app) as client:
             for block in blocks:
-                start, _, body = block.text.partition("\n\n")
-                method, path = start.split()
-                answer = await client.request(
+                request_line, _, body = block.text.partition("\n\n")
+                method, path = request_line.split()
+                response = await client.request(
                     method, path, content=body, headers=headers
                 )
-                self.assertEqual(str(answer.status_code), block.info, body)
+                self.assertEqual(str(response.status_code), block.info, body)
 
     def test_json_examples_are_valid(self):
         readers = {
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Tests that the sample declarations can be applied, alone and together."""
+"""Tests that the example declarations are valid, alone and combined."""
 
 import pathlib
 import unittest
@@ -10,14 +10,14 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    def check(self, *folders):
+    def load(self, *folders):
         declaration_by_key = {}
         for folder in folders:
             declaration_by_key |= read_folder(str(EXAMPLES / folder))
         return checks.check_declarations(declaration_by_key, 1).unwrap()
 
     def test_both_deployments_are_accepted_together(self):
-        config = self.check("tengri-trails", "halvorsen")
+        config = self.load("tengri-trails", "halvorsen")
         self.assertEqual(
             sorted(config.workspace_by_name),
             [testing.HALVORSEN, testing.TENGRI],
@@ -31,14 +31,14 @@
             ("tengri-trails", "permit-70b", 5),
             ("halvorsen", "refill-34b", 9),
         ):
-            upstreams = self.check(folder).upstreams
+            upstreams = self.load(folder).upstreams
             engines = upstreams.by_model[model]
             self.assertEqual(len(engines), engine_count)
             self.assertEqual(len({e.failure_domain for e in engines}), 4)
             self.assertEqual(len(upstreams.by_name), engine_count + 4)
 
     def test_what_must_not_happen_twice_is_not_repeatable(self):
-        config = self.check("tengri-trails", "halvorsen")
+        config = self.load("tengri-trails", "halvorsen")
         for operation in ("permits.file", "shipments.place", "cards.charge"):
             for service in config.upstreams.by_operation[operation]:
                 self.assertFalse(service.repeatable_by_operation[operation])
