--- a/tests/system_case.py
+++ b/tests/system_case.py
@@ -1,4 +1,4 @@
-"""A small system of real processes for the tests of one file."""
+"""Base class of tests against a small system of real processes."""
 
 import asyncio
 import contextlib
@@ -33,13 +33,13 @@
 
 DEPLOYMENT = DEPLOYMENTS[0]
 MAX_TOKENS = 24
-POLL_S = 0.05
-WAIT_S = 25.0
+POLL_INTERVAL_S = 0.05
+TIMEOUT_S = 25.0
 SLOW_FACTOR = 6
 
 
 class SystemCase(unittest.IsolatedAsyncioTestCase):
-    """Starts the system of ``plan`` once for the class."""
+    """Starts the system described by ``plan`` once per class."""
 
     plan = SystemPlan(
         name="test",
@@ -51,7 +51,7 @@
         tokens_per_s=30,
         service_ms=1000,
     )
-    numbers = itertools.count()
+    program_numbers = itertools.count()
 
     @classmethod
     def setUpClass(cls):
@@ -60,14 +60,15 @@
         cls.cluster = stack.enter_context(running_system(cls.plan))
 
     async def asyncSetUp(self):
-        # The debug mode that unittest sets is slow and prints slow steps.
+        # unittest enables debug mode, which slows the loop and logs slow
+        # callbacks.
         asyncio.get_running_loop().set_debug(False)
         self.tally = Tally()
-        self.client = self.client_of(*self.cluster.daemon_by_name)
+        self.client = self.client_for(*self.cluster.daemon_by_name)
         self.ledger_by_id = {}
 
-    def client_of(self, *hosts, **settings):
-        """Returns a caller that is sent to these hosts only."""
+    def client_for(self, *hosts, **settings):
+        """Returns a client that sends requests to the given hosts only."""
         urls = {h: self.cluster.daemon_by_name[h].callers_url for h in hosts}
         client = SystemClient(
             Balancer(urls),
@@ -78,29 +79,29 @@
         self.addAsyncCleanup(client.close)
         return client
 
-    def others(self, *hosts):
+    def other_hosts(self, *hosts):
         return sorted(set(self.cluster.daemon_by_name) - set(hosts))
 
     def process(self, host):
         return self.cluster.daemon_by_name[host].process
 
-    async def begin(self, client=None):
-        """Begins a program and returns its id."""
-        number = next(self.numbers)
+    async def create_program(self, client=None):
+        """Creates a program and returns its id."""
+        number = next(self.program_numbers)
         body = CreateProgramBody(
             request_id=f"program-{number}", program=DEPLOYMENT.program
         )
-        begun = (await (client or self.client).create(body)).unwrap()
-        self.ledger_by_id[begun.program_id] = ProgramLedger(
-            begun.program_id,
+        created = (await (client or self.client).create(body)).unwrap()
+        self.ledger_by_id[created.program_id] = ProgramLedger(
+            created.program_id,
             DEPLOYMENT.key,
             DEPLOYMENT.system_prompt,
             MAX_TOKENS,
         )
-        return begun.program_id
+        return created.program_id
 
-    async def turn(self, program_id, request_id, client=None, message=""):
-        """Sends a turn, whose answer is checked by ``check_kept``."""
+    async def send_turn(self, program_id, request_id, client=None, message=""):
+        """Sends a turn and records its answer for ``check_history``."""
         ledger = self.ledger_by_id[program_id]
         ledger.sent_ids.add(request_id)
         message = message or f"message of {request_id}"
@@ -114,12 +115,12 @@
         if isinstance(outcome, Failed):
             self.fail(f"{request_id}: {outcome.failure()}, {self.tally}")
         answer = outcome.unwrap()
-        told = Acknowledged(request_id, message, answer.text)
-        ledger.acknowledged_by_branch[MAIN_BRANCH].append(told)
+        acknowledged = Acknowledged(request_id, message, answer.text)
+        ledger.acknowledged_by_branch[MAIN_BRANCH].append(acknowledged)
         return answer
 
-    async def call(self, program_id, request_id, client=None):
-        """Sends an unrepeatable call."""
+    async def send_unrepeatable_call(self, program_id, request_id, client=None):
+        """Sends a call that must not be executed twice."""
         self.ledger_by_id[program_id].sent_ids.add(request_id)
         body = CallServiceBody(
             request_id=request_id,
@@ -128,7 +129,7 @@
         )
         return await (client or self.client).call(program_id, body)
 
-    def executions(self, program_id, request_id):
+    def execution_count(self, program_id, request_id):
         key = idempotency_key(program_id, request_id)
         return sum(
             execution["count"]
@@ -137,8 +138,8 @@
             if execution["key"] == key
         )
 
-    async def check_kept(self, program_id):
-        """Checks that the history is what callers were told, and no more."""
+    async def check_history(self, program_id):
+        """Checks that the history holds exactly the acknowledged turns."""
         view = (await self.client.read(program_id, MAIN_BRANCH)).unwrap()
         verdict = Verdict()
         history = BranchHistory(program_id, MAIN_BRANCH, view.history)
@@ -148,11 +149,11 @@
         return view
 
     async def owner_of(self, program_id):
-        """Returns the host that the platform says owns a program."""
+        """Returns the owner of a program, as stored in the platform."""
         return (await self.head_of(program_id)).owner
 
     async def head_of(self, program_id):
-        """Returns the head of a program's shard, as it is stored."""
+        """Returns the stored head of a program's shard."""
         store = PlatformClient(self.cluster.platform.base_url, 2.0, Metrics())
         try:
             shard = hashing.shard_of(program_id)
@@ -160,30 +161,30 @@
         finally:
             await store.close()
 
-    async def until(self, condition, what):
-        """Waits until an asynchronous condition holds."""
-        deadline = time.monotonic() + WAIT_S
+    async def wait_until(self, condition, description):
+        """Polls an asynchronous condition; fails the test on a timeout."""
+        deadline = time.monotonic() + TIMEOUT_S
         while time.monotonic() < deadline:
             if await condition():
                 return
-            await asyncio.sleep(POLL_S)
-        self.fail(f"in vain waited for {what}")
+            await asyncio.sleep(POLL_INTERVAL_S)
+        self.fail(f"timed out waiting for {description}")
 
-    async def until_new_owner(self, program_id, old):
+    async def wait_for_new_owner(self, program_id, old_owner):
         async def is_new():
-            return await self.owner_of(program_id) != old
+            return await self.owner_of(program_id) != old_owner
 
-        await self.until(is_new, f"a new owner in place of {old}")
+        await self.wait_until(is_new, f"a new owner in place of {old_owner}")
 
-    async def until_in_flight(self, program_id, client):
+    async def wait_until_in_flight(self, program_id, client):
         async def is_waiting():
             view = (await client.read(program_id, MAIN_BRANCH)).unwrap()
             return any("answer of" in each for each in view.waiting_for)
 
-        await self.until(is_waiting, "a call in flight")
+        await self.wait_until(is_waiting, "a call in flight")
 
     def slow_down_engines(self):
-        """Lets turns last long enough to be found in flight, all of them."""
+        """Slows the engines so that all turns can be observed in flight."""
         for process in self.cluster.engine_by_name.values():
             self.cluster.faults(process, slow_factor=SLOW_FACTOR)
             self.addCleanup(self.cluster.faults, process)
@@ -192,21 +193,21 @@
         self.cluster.restart_daemon(host)
         self.cluster.wait_ready(host)
 
-    async def admin(self, process, path):
+    async def get_admin(self, process, path):
         async with httpx.AsyncClient(trust_env=False) as http:
             response = await http.get(f"{process.base_url}/admin/{path}")
         return json.loads(response.text)
 
     async def engine_stats(self):
         return {
-            name: await self.admin(process, "stats")
+            name: await self.get_admin(process, "stats")
             for name, process in self.cluster.engine_by_name.items()
         }
 
-    async def held_programs(self):
-        """Returns the programs for which engines hold memory."""
-        found = [
-            await self.admin(process, "branches")
+    async def cached_programs(self):
+        """Returns the programs whose prefixes are cached in engines."""
+        branches = [
+            await self.get_admin(process, "branches")
             for process in self.cluster.engine_by_name.values()
         ]
-        return {each["program_id"] for held in found for each in held}
+        return {each["program_id"] for held in branches for each in held}
--- a/tests/test_system_copies.py
+++ b/tests/test_system_copies.py
@@ -1,4 +1,4 @@
-"""Turns acknowledged during an outage through copies, on real processes."""
+"""Tests of turns acknowledged by replication while the platform is down."""
 
 import unittest
 
@@ -10,44 +10,42 @@
         await super().asyncSetUp()
         self.addCleanup(self.cluster.faults, self.cluster.platform)
 
-    async def begin_with_holders(self):
-        program = await self.begin()
-        await self.turn(program, "before")
+    async def create_replicated_program(self):
+        program = await self.create_program()
+        await self.send_turn(program, "before")
 
         async def has_holders():
             return len((await self.head_of(program)).copy_holders) == 2
 
-        await self.until(has_holders, "two copy holders in the head")
+        await self.wait_until(has_holders, "two copy holders in the head")
         return program
 
-    async def test_turns_are_acknowledged_while_the_platform_is_down(self):
-        # The platform is down all the time. Turns are answered because two
-        # hosts in other failure domains hold them; when the platform is back
-        # all stand in the history, once and in order.
-        program = await self.begin_with_holders()
+    async def test_replicas_acknowledge_turns_during_an_outage(self):
+        # Turns replicated to two hosts in other failure domains must be in the
+        # history once and in order after the outage.
+        program = await self.create_replicated_program()
         self.cluster.faults(self.cluster.platform, down=True)
         for number in range(3):
-            await self.turn(program, f"during-{number}")
+            await self.send_turn(program, f"during-{number}")
         self.cluster.faults(self.cluster.platform)
-        view = await self.check_kept(program)
+        view = await self.check_history(program)
         self.assertEqual(len(view.history), 4)
 
     async def test_owner_killed_in_an_outage_loses_no_acknowledged_turn(self):
-        # A turn is acknowledged during the outage and its owner killed before
-        # the platform is back: only the two holders have it. The next owner
-        # seals one of them and finds it there.
-        program = await self.begin_with_holders()
+        # Only the two copy holders have the turn when its owner is killed; the
+        # next owner must recover it from them.
+        program = await self.create_replicated_program()
         owner = await self.owner_of(program)
-        elsewhere = self.client_of(*self.others(owner))
+        elsewhere = self.client_for(*self.other_hosts(owner))
         self.cluster.faults(self.cluster.platform, down=True)
-        await self.turn(program, "during", elsewhere)
+        await self.send_turn(program, "during", elsewhere)
         self.process(owner).kill()
         self.cluster.faults(self.cluster.platform)
         try:
-            await self.turn(program, "after", elsewhere)
+            await self.send_turn(program, "after", elsewhere)
         finally:
             self.restart(owner)
-        view = await self.check_kept(program)
+        view = await self.check_history(program)
         ids = [item.request_id for item in view.history]
         self.assertEqual(ids, ["before", "during", "after"])
 
--- a/tests/test_system_engines.py
+++ b/tests/test_system_engines.py
@@ -1,4 +1,4 @@
-"""Engines that crash, fall silent, cross answers or leave."""
+"""Tests of engines that crash, hang, mix up responses or drain."""
 
 import asyncio
 import unittest
@@ -13,66 +13,70 @@
 MARKER = "poison-zone"
 POISON_SENDS = 10
 CRASHES_ALLOWED = 2
-LEAVING_S = 3.0
-WATCH_S = 2.0
-# Engines keep whole blocks of 64 tokens only.
+DRAIN_S = 3.0
+OBSERVATION_S = 2.0
+# Engines cache prefixes in full blocks of 64 tokens.
 LONG_MESSAGE = "itinerary " * 100
 
 
 class EnginesTest(SystemCase):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.addCleanup(self.engines)
+        self.addCleanup(self.set_engine_faults)
 
-    def engines(self, **faults):
+    def set_engine_faults(self, **faults):
         for process in self.cluster.engine_by_name.values():
             self.cluster.faults(process, **faults)
 
-    async def turn_under(self, **faults):
-        """Runs a turn while a fault strikes its stream; returns its program."""
-        program = await self.begin()
-        await self.turn(program, "first", message=f"first of {program}")
-        # Slow, so that the turn is surely found in flight on a busy machine.
-        self.engines(slow_factor=SLOW_FACTOR)
-        # Its content is this test's own: what a crash in one test makes a
-        # suspect is apart from the others.
+    async def run_turn_with_faults(self, **faults):
+        """Injects faults into the stream of a turn and returns its program."""
+        program = await self.create_program()
+        await self.send_turn(program, "first", message=f"first of {program}")
+        # Slow enough to observe the turn in flight on a busy machine.
+        self.set_engine_faults(slow_factor=SLOW_FACTOR)
+        # Unique content, so that a crash in one test does not make the requests
+        # of another test suspect.
         message = f"second of {program}"
         turn = asyncio.create_task(
-            self.turn(program, "second", message=message)
+            self.send_turn(program, "second", message=message)
         )
-        await self.until_in_flight(program, self.client)
-        self.engines(**faults, slow_factor=SLOW_FACTOR)
+        await self.wait_until_in_flight(program, self.client)
+        self.set_engine_faults(**faults, slow_factor=SLOW_FACTOR)
         await turn
         return program
 
     async def test_silent_stream_is_resumed(self):
-        # Every open connection of the engines goes silent for good while new
-        # ones work. The progress timeout notices, the stream is resumed at
-        # its offset, and the caller gets one whole answer.
-        await self.check_kept(await self.turn_under(freeze_streams=True))
+        # Open connections hang while new ones work: the progress timeout must
+        # resume the stream at its offset.
+        await self.check_history(
+            await self.run_turn_with_faults(freeze_streams=True)
+        )
 
     async def test_crossed_answers_reach_no_caller(self):
-        # The next lines carry another request's id: they are dropped, the
-        # connection is closed, and the answer is the caller's own.
-        await self.check_kept(await self.turn_under(cross_answers=4))
+        # Lines with the id of another request must be dropped and their
+        # connection closed.
+        await self.check_history(
+            await self.run_turn_with_faults(cross_answers=4)
+        )
 
     async def test_truncated_stream_is_not_taken_for_whole(self):
-        # Streams end without their end marker.
-        await self.check_kept(await self.turn_under(truncate=2))
+        # A stream without its end marker must not count as complete.
+        await self.check_history(await self.run_turn_with_faults(truncate=2))
 
     async def test_crash_under_a_turn_is_not_seen_by_the_caller(self):
-        # All engines crash under the turn and refuse calls for a second.
-        await self.check_kept(await self.turn_under(crash_now=True))
+        # All engines crash during the turn and reject calls for a second.
+        await self.check_history(
+            await self.run_turn_with_faults(crash_now=True)
+        )
 
     async def test_poison_request_crashes_two_engines_at_most(self):
-        # A request crashes every engine that runs it, and its caller sends
-        # it ten times under new ids through all hosts. After the second
-        # crash it is refused at once everywhere; others are not harmed.
-        before = await self.crashes()
-        self.engines(crash_marker=MARKER)
-        program = await self.begin()
-        innocent = await self.begin()
-        refusals = []
+        # A request that crashes engines is sent repeatedly under new ids. All
+        # hosts must quarantine it after two crashes and serve other requests.
+        before = await self.crash_count()
+        self.set_engine_faults(crash_marker=MARKER)
+        program = await self.create_program()
+        innocent = await self.create_program()
+        rejections = []
         for number in range(POISON_SENDS):
             host = f"host-{number % self.plan.hosts + 1}"
             body = SendTurnBody(
@@ -80,64 +84,65 @@
                 message=f"File the {MARKER}.",
                 max_tokens=MAX_TOKENS,
             )
-            told, _ = await asyncio.gather(
-                self.client_of(host).turn(program, body),
-                self.turn(innocent, f"innocent-{number}"),
+            outcome, _ = await asyncio.gather(
+                self.client_for(host).turn(program, body),
+                self.send_turn(innocent, f"innocent-{number}"),
             )
-            self.assertIsInstance(told, Failed)
-            refusals.append(told.failure().kind)
-        self.assertEqual(set(refusals), {ErrorKind.QUARANTINED})
-        self.assertLessEqual(await self.crashes() - before, CRASHES_ALLOWED)
-        await self.check_kept(innocent)
+            self.assertIsInstance(outcome, Failed)
+            rejections.append(outcome.failure().kind)
+        self.assertEqual(set(rejections), {ErrorKind.QUARANTINED})
+        self.assertLessEqual(await self.crash_count() - before, CRASHES_ALLOWED)
+        await self.check_history(innocent)
 
-    async def crashes(self):
+    async def crash_count(self):
         stats = await self.engine_stats()
         return sum(each["crashes"] for each in stats.values())
 
     async def test_leaving_engine_gets_no_new_work(self):
-        # The engine itself says that it leaves while callers go on. Within
-        # three seconds it gets its last new call; all turns are answered.
+        # An engine that announces that it is leaving must get no new calls
+        # after three seconds, and no turn may fail.
         name, process = sorted(self.cluster.engine_by_name.items())[0]
-        programs = [await self.begin() for _ in range(6)]
+        programs = [await self.create_program() for _ in range(6)]
         stop = asyncio.Event()
-        load = asyncio.gather(*(self.turns(p, stop) for p in programs))
+        load = asyncio.gather(
+            *(self.send_turns_until(p, stop) for p in programs)
+        )
         try:
             await asyncio.sleep(1)
             self.cluster.faults(process, leaving=True)
-            await asyncio.sleep(LEAVING_S)
+            await asyncio.sleep(DRAIN_S)
             before = (await self.engine_stats())[name]["calls"]
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(OBSERVATION_S)
             after = (await self.engine_stats())[name]["calls"]
         finally:
             stop.set()
             await load
         self.assertEqual(after, before)
         for program in programs:
-            await self.check_kept(program)
+            await self.check_history(program)
 
-    async def turns(self, program, stop):
+    async def send_turns_until(self, program, stop):
         number = 0
         while not stop.is_set():
-            await self.turn(program, f"turn-{number}")
+            await self.send_turn(program, f"turn-{number}")
             number += 1
 
 
 class ReleaseTest(SystemCase):
     async def test_ended_program_leaves_no_engine_memory(self):
-        # The program's turns left prefixes in engines; its end frees them.
-        program = await self.begin()
-        await self.turn(program, "first", message=LONG_MESSAGE)
-        self.assertIn(program, await self.held_programs())
+        # The end of a program must release its prefixes in the engines.
+        program = await self.create_program()
+        await self.send_turn(program, "first", message=LONG_MESSAGE)
+        self.assertIn(program, await self.cached_programs())
         (await self.client.end(program)).unwrap()
-        await self.until_released(program)
+        await self.wait_until_released(program)
 
     async def test_release_stays_owed_when_the_owner_dies(self):
-        # The engines stand still, so the release of an ended program cannot
-        # reach them, and then its owner is killed. The next owner finds the
-        # release owed in the journal and sends it when the engines go on.
-        program = await self.begin()
-        await self.turn(program, "first", message=LONG_MESSAGE)
-        self.assertIn(program, await self.held_programs())
+        # The engines are paused, and the owner is killed before its release is
+        # confirmed: the next owner must send the pending release.
+        program = await self.create_program()
+        await self.send_turn(program, "first", message=LONG_MESSAGE)
+        self.assertIn(program, await self.cached_programs())
         owner = await self.owner_of(program)
         for process in self.cluster.engine_by_name.values():
             process.pause()
@@ -146,32 +151,32 @@
         self.process(owner).kill()
         for process in self.cluster.engine_by_name.values():
             process.resume()
-        # An engine may obey the dead owner's release, which waited in its
-        # socket; only the next owner's confirmation shows the debt was kept.
+        # A release that the dead owner left in the socket may free the memory;
+        # only a confirmation by the next owner shows that it was retried.
         try:
-            await self.until_released(program)
-            await self.until_confirmed(program, owner)
+            await self.wait_until_released(program)
+            await self.wait_until_confirmed(program, owner)
         finally:
             self.restart(owner)
 
-    async def until_confirmed(self, program, old):
-        """Waits until another owner's journal says nothing is owed."""
+    async def wait_until_confirmed(self, program, old_owner):
+        """Waits until the journal of a new owner confirms the release."""
 
         async def is_confirmed():
             head = await self.head_of(program)
-            return head.owner != old and any(
+            return head.owner != old_owner and any(
                 isinstance(record, ReleaseConfirmed)
                 and record.program_id == program
                 for record in head.tail
             )
 
-        await self.until(is_confirmed, "the next owner's confirmation")
+        await self.wait_until(is_confirmed, "the next owner's confirmation")
 
-    async def until_released(self, program):
+    async def wait_until_released(self, program):
         async def is_released():
-            return program not in await self.held_programs()
+            return program not in await self.cached_programs()
 
-        await self.until(is_released, "the release of engine memory")
+        await self.wait_until(is_released, "the release of engine memory")
 
 
 if __name__ == "__main__":
--- a/tests/test_system_platform.py
+++ b/tests/test_system_platform.py
@@ -1,4 +1,4 @@
-"""Outages of the platform's service, on real processes."""
+"""Tests of platform outages."""
 
 import asyncio
 import time
@@ -12,39 +12,40 @@
 from masticdaled.callers.models import CallAnswerBody, CallServiceBody
 
 OUTAGE_S = 4.0
-FIRST_REFUSAL_S = 15.0
+MAX_REJECTION_S = 15.0
 
 
 class PlatformTest(SystemCase):
-    def platform(self, **faults):
+    def set_platform_faults(self, **faults):
         self.cluster.faults(self.cluster.platform, **faults)
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.addCleanup(self.platform)
+        self.addCleanup(self.set_platform_faults)
 
     async def test_unrepeatable_call_is_refused_truthfully(self):
-        # The platform is down, so the intent of a filing cannot be committed
-        # and nothing may be sent. The caller is refused at once with a time
-        # to come back; the refusal says that the call was not run. Sent
-        # again under its id after the outage, it runs, once.
+        # Without the platform, the intent of a call cannot be committed, so the
+        # call must be rejected as not run, with a retry time. A retry after the
+        # outage must run it once.
         for fault in ({"down": True}, {"hang": True}):
             with self.subTest(fault=fault):
-                program = await self.begin()
-                await self.turn(program, "first")
-                self.platform(**fault)
-                refusal = await self.call_once(program, "filing")
-                self.assertEqual(refusal.kind, ErrorKind.PLATFORM_UNAVAILABLE)
-                self.assertEqual(refusal.ran, "no")
-                self.assertGreater(refusal.retry_after_ms, 0)
+                program = await self.create_program()
+                await self.send_turn(program, "first")
+                self.set_platform_faults(**fault)
+                failure = await self.call_without_retry(program, "filing")
+                self.assertEqual(failure.kind, ErrorKind.PLATFORM_UNAVAILABLE)
+                self.assertEqual(failure.ran, "no")
+                self.assertGreater(failure.retry_after_ms, 0)
                 await asyncio.sleep(self.plan.service_ms / 1000)
-                self.assertEqual(self.executions(program, "filing"), 0)
-                self.platform()
-                done = await self.call(program, "filing")
-                self.assertIsInstance(done, Success)
-                self.assertEqual(self.executions(program, "filing"), 1)
+                self.assertEqual(self.execution_count(program, "filing"), 0)
+                self.set_platform_faults()
+                retry_outcome = await self.send_unrepeatable_call(
+                    program, "filing"
+                )
+                self.assertIsInstance(retry_outcome, Success)
+                self.assertEqual(self.execution_count(program, "filing"), 1)
 
-    async def call_once(self, program, request_id):
+    async def call_without_retry(self, program, request_id):
         body = CallServiceBody(
             request_id=request_id,
             operation="permits.file",
@@ -53,67 +54,69 @@
         started = time.monotonic()
         url = self.cluster.daemon_by_name["host-1"].callers_url
         self.ledger_by_id[program].sent_ids.add(request_id)
-        told = await self.client.once(
+        outcome = await self.client.once(
             url, f"/{program}/calls", body, CallAnswerBody
         )
-        self.assertIsInstance(told, Failed)
-        self.assertLess(time.monotonic() - started, FIRST_REFUSAL_S)
-        return told.failure()
+        self.assertIsInstance(outcome, Failed)
+        self.assertLess(time.monotonic() - started, MAX_REJECTION_S)
+        return outcome.failure()
 
     async def test_turns_of_an_outage_are_kept(self):
-        # Turns are sent while the platform is down. Whatever is acknowledged,
-        # during the outage or after it, stands in the history once and in
-        # order when the platform is back.
-        program = await self.begin()
-        await self.turn(program, "before")
-        self.platform(down=True)
-        back = asyncio.get_running_loop().call_later(OUTAGE_S, self.platform)
-        self.addCleanup(back.cancel)
+        # Turns acknowledged during or after an outage must be in the history
+        # once and in order.
+        program = await self.create_program()
+        await self.send_turn(program, "before")
+        self.set_platform_faults(down=True)
+        recovery = asyncio.get_running_loop().call_later(
+            OUTAGE_S, self.set_platform_faults
+        )
+        self.addCleanup(recovery.cancel)
         for number in range(3):
-            await self.turn(program, f"during-{number}")
-        view = await self.check_kept(program)
+            await self.send_turn(program, f"during-{number}")
+        view = await self.check_history(program)
         self.assertEqual(len(view.history), 4)
 
     async def test_lost_answers_of_writes_lose_and_double_nothing(self):
-        # Writes take effect and their connections break: the owner reads
-        # back, finds its own write, and neither gives the shard up nor
-        # appends the records twice.
-        program = await self.begin()
-        self.platform(lose_write_answers=6)
+        # When the response to a write is lost, the owner must read back its own
+        # write and neither give up the shard nor append the records twice.
+        program = await self.create_program()
+        self.set_platform_faults(lose_write_answers=6)
         for number in range(4):
-            await self.turn(program, f"turn-{number}")
-        told = await self.call(program, "filing")
-        self.assertIsInstance(told, Success)
-        self.assertEqual(self.executions(program, "filing"), 1)
-        view = await self.check_kept(program)
+            await self.send_turn(program, f"turn-{number}")
+        outcome = await self.send_unrepeatable_call(program, "filing")
+        self.assertIsInstance(outcome, Success)
+        self.assertEqual(self.execution_count(program, "filing"), 1)
+        view = await self.check_history(program)
         self.assertEqual(len(view.history), 5)
         self.assertEqual(view.turns_spent, 4)
 
     async def test_owner_killed_right_after_an_outage_loses_nothing(self):
-        # A turn is acknowledged around the end of an outage and its owner is
-        # killed at once: the next owner must have it.
-        program = await self.begin()
-        self.platform(down=True)
-        back = asyncio.get_running_loop().call_later(OUTAGE_S, self.platform)
-        self.addCleanup(back.cancel)
-        owner = await self.owner_before(program)
-        elsewhere = self.client_of(*self.others(owner))
-        await self.turn(program, "during", elsewhere)
+        # A turn acknowledged near the end of an outage must survive the
+        # immediate loss of its owner.
+        program = await self.create_program()
+        self.set_platform_faults(down=True)
+        recovery = asyncio.get_running_loop().call_later(
+            OUTAGE_S, self.set_platform_faults
+        )
+        self.addCleanup(recovery.cancel)
+        owner = await self.read_owner_during_outage(program)
+        elsewhere = self.client_for(*self.other_hosts(owner))
+        await self.send_turn(program, "during", elsewhere)
         self.process(owner).kill()
         try:
-            self.platform()
-            await self.turn(program, "after", elsewhere)
+            self.set_platform_faults()
+            await self.send_turn(program, "after", elsewhere)
         finally:
             self.restart(owner)
-        view = await self.check_kept(program)
+        view = await self.check_history(program)
         self.assertEqual(
             [i.request_id for i in view.history], ["during", "after"]
         )
 
-    async def owner_before(self, program):
-        self.platform()
+    async def read_owner_during_outage(self, program):
+        self.set_platform_faults()
         owner = await self.owner_of(program)
-        self.platform(down=True)
+        self.set_platform_faults(down=True)
         return owner
 
 
--- a/tests/test_system_services.py
+++ b/tests/test_system_services.py
@@ -1,4 +1,4 @@
-"""Plain services that lose answers, refuse or cross them."""
+"""Tests of services that lose or mix up responses, or reject calls."""
 
 import unittest
 
@@ -12,12 +12,12 @@
 class ServicesTest(SystemCase):
     plan = SystemCase.plan.model_copy(update={"services": 2, "service_ms": 20})
 
-    def services(self, **faults):
-        self.addCleanup(self.reset)
+    def set_service_faults(self, **faults):
+        self.addCleanup(self.clear_faults)
         for process in self.cluster.service_by_name.values():
             self.cluster.faults(process, **faults)
 
-    def reset(self):
+    def clear_faults(self):
         for process in self.cluster.service_by_name.values():
             self.cluster.faults(process)
 
@@ -31,22 +31,21 @@
         return await self.client.call(program, body)
 
     async def test_lost_answer_of_a_repeatable_call_is_made_good(self):
-        # The lookup runs and its connection breaks before the answer. It may
-        # be repeated, so it is sent again: the caller has nothing to decide,
-        # whereas "outcome unknown" would end its program.
+        # A repeatable call whose response is lost must be retried rather than
+        # reported as "outcome unknown", which would end the caller's program.
         for fault in ({"lose_answers": 1}, {"cross_answers": 1}):
             with self.subTest(fault=fault):
-                program = await self.begin()
-                self.services(**fault)
-                told = await self.look_up_zone(program, "lookup")
-                self.assertEqual(told.unwrap().status, "done")
-                await self.check_kept(program)
+                program = await self.create_program()
+                self.set_service_faults(**fault)
+                outcome = await self.look_up_zone(program, "lookup")
+                self.assertEqual(outcome.unwrap().status, "done")
+                await self.check_history(program)
 
     async def test_repeatable_call_that_never_answers_can_be_sent_again(self):
-        # Every answer is lost: the refusal gives a time to come back, and
-        # the same request succeeds when the services are well again.
-        program = await self.begin()
-        self.services(lose_answers=1000)
+        # When all responses are lost, the failure must carry a retry time, and
+        # the same request must succeed after recovery.
+        program = await self.create_program()
+        self.set_service_faults(lose_answers=1000)
         body = CallServiceBody(
             request_id="lookup",
             operation=DEPLOYMENT.repeatable,
@@ -54,38 +53,42 @@
         )
         url = self.cluster.daemon_by_name["host-1"].callers_url
         path = f"/{program}/calls"
-        told = await self.client.once(url, path, body, dict)
-        self.assertIsInstance(told, Failed)
-        self.assertEqual(told.failure().kind, ErrorKind.UPSTREAM_FAILED)
-        self.assertIsNotNone(told.failure().retry_after_ms)
-        self.reset()
+        outcome = await self.client.once(url, path, body, dict)
+        self.assertIsInstance(outcome, Failed)
+        self.assertEqual(outcome.failure().kind, ErrorKind.UPSTREAM_FAILED)
+        self.assertIsNotNone(outcome.failure().retry_after_ms)
+        self.clear_faults()
         (await self.look_up_zone(program, "lookup")).unwrap()
-        await self.check_kept(program)
+        await self.check_history(program)
 
     async def test_lost_answer_of_an_unrepeatable_call_is_looked_up(self):
-        # The filing ran and its answer was lost or another's. It is not sent
-        # again; the service tells by the idempotency key what became of it.
+        # An unrepeatable call must not be resent; its outcome is looked up by
+        # idempotency key.
         for fault in ({"lose_answers": 2}, {"cross_answers": 2}):
             with self.subTest(fault=fault):
-                program = await self.begin()
-                self.services(**fault)
-                told = await self.call(program, "filing")
-                self.assertEqual(told.unwrap().status, "done")
-                self.assertEqual(self.executions(program, "filing"), 1)
+                program = await self.create_program()
+                self.set_service_faults(**fault)
+                outcome = await self.send_unrepeatable_call(program, "filing")
+                self.assertEqual(outcome.unwrap().status, "done")
+                self.assertEqual(self.execution_count(program, "filing"), 1)
 
     async def test_call_refused_before_it_ran_goes_to_the_next_replica(self):
-        # One replica of the service says that it did not run the filing, so
-        # the other one may: it runs once in all.
-        program = await self.begin()
+        # A replica reports that it did not run the call, so another one must
+        # run it, exactly once.
+        program = await self.create_program()
         first = sorted(self.cluster.service_by_name)[0]
-        self.addCleanup(self.reset)
+        self.addCleanup(self.clear_faults)
         self.cluster.faults(
             self.cluster.service_by_name[first], refuse_before_running=1000
         )
         for number in range(2):
-            told = await self.call(program, f"filing-{number}")
-            self.assertEqual(told.unwrap().status, "done")
-            self.assertEqual(self.executions(program, f"filing-{number}"), 1)
+            outcome = await self.send_unrepeatable_call(
+                program, f"filing-{number}"
+            )
+            self.assertEqual(outcome.unwrap().status, "done")
+            self.assertEqual(
+                self.execution_count(program, f"filing-{number}"), 1
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_system_silence.py
+++ b/tests/test_system_silence.py
@@ -1,4 +1,4 @@
-"""Connections that fall silent, and hosts that are cut off."""
+"""Tests of hanging connections and network partitions."""
 
 import asyncio
 import unittest
@@ -8,11 +8,11 @@
 from masticdale_load.system_relays import running_relays
 
 TURNS = 4
-SHORT_S = 15.0
+RECOVERY_TIMEOUT_S = 15.0
 
 
 class SilenceTest(SystemCase):
-    """Puts a relay before the platform and before each host's peers."""
+    """Routes connections to the platform and between hosts through relays."""
 
     @classmethod
     def setUpClass(cls):
@@ -26,7 +26,7 @@
         port = int(cls.cluster.platform.base_url.rsplit(":", 1)[1])
         cls.platform_relay = cls.relays.relay_to(port)
         for handle in list(handles.values()):
-            cls.reroute(handle.settings)
+            cls.route_through_relays(handle.settings)
             handle.process.terminate()
             handle.process.wait()
             cls.cluster.restart_daemon(handle.name)
@@ -34,7 +34,7 @@
             cls.cluster.wait_ready(name)
 
     @classmethod
-    def reroute(cls, settings):
+    def route_through_relays(cls, settings):
         port = cls.platform_relay.port
         settings["platform_url"] = f"http://127.0.0.1:{port}"
         settings["peers"] = [
@@ -48,74 +48,75 @@
             for peer in settings["peers"]
         ]
 
-    async def do(self, work):
+    async def run_on_relays(self, work):
         await asyncio.to_thread(self.relays.do, work)
 
-    async def turns_through_all(self, program, label):
-        """Sends turns through each host in its turn."""
-        for host in self.others():
-            client = self.client_of(host)
-            async with asyncio.timeout(SHORT_S):
-                await self.turn(program, f"{label}-{host}", client)
+    async def send_turns_through_all_hosts(self, program, label):
+        """Sends one turn through each host."""
+        for host in self.other_hosts():
+            client = self.client_for(host)
+            async with asyncio.timeout(RECOVERY_TIMEOUT_S):
+                await self.send_turn(program, f"{label}-{host}", client)
 
     async def test_silent_connections_between_hosts_are_replaced(self):
-        # A middle box loses track of every open connection between hosts;
-        # new ones work. Calls that wait on the old ones time out, their
-        # connections are replaced, and the callers get their answers.
-        program = await self.begin()
-        await self.turns_through_all(program, "before")
+        # All open connections between hosts hang, as after a middlebox loses
+        # its state: calls must time out and be retried on new connections.
+        program = await self.create_program()
+        await self.send_turns_through_all_hosts(program, "before")
         for relay in self.peer_relay_by_host.values():
-            await self.do(relay.silence())
-        await self.turns_through_all(program, "after")
-        await self.check_kept(program)
+            await self.run_on_relays(relay.silence())
+        await self.send_turns_through_all_hosts(program, "after")
+        await self.check_history(program)
 
     async def test_connections_fall_silent_under_a_stream(self):
-        # As above, in the middle of a stream through another host than the
-        # owner: it is resumed at its offset on a new connection.
-        program = await self.begin()
+        # Connections between hosts hang during a stream that another host
+        # relays: it must be resumed at its offset on a new connection.
+        program = await self.create_program()
         owner = await self.owner_of(program)
-        entry = self.client_of(self.others(owner)[0])
-        turn = asyncio.create_task(self.turn(program, "first", entry))
-        await self.until_in_flight(program, self.client_of(owner))
+        entry = self.client_for(self.other_hosts(owner)[0])
+        turn = asyncio.create_task(self.send_turn(program, "first", entry))
+        await self.wait_until_in_flight(program, self.client_for(owner))
         for relay in self.peer_relay_by_host.values():
-            await self.do(relay.silence())
-        async with asyncio.timeout(SHORT_S):
+            await self.run_on_relays(relay.silence())
+        async with asyncio.timeout(RECOVERY_TIMEOUT_S):
             await turn
-        await self.check_kept(program)
+        await self.check_history(program)
 
     async def test_silent_connections_to_the_platform_are_replaced(self):
-        # The same between all hosts and the platform: commits that wait on
-        # a silent connection read back what became of them on a new one.
-        program = await self.begin()
+        # Connections to the platform hang: commits must read back their outcome
+        # on a new connection.
+        program = await self.create_program()
         for number in range(TURNS):
-            await self.do(self.platform_relay.silence())
-            async with asyncio.timeout(SHORT_S):
-                await self.turn(program, f"turn-{number}")
-        told = await self.call(program, "filing")
-        self.assertEqual(told.unwrap().status, "done")
-        self.assertEqual(self.executions(program, "filing"), 1)
-        await self.check_kept(program)
+            await self.run_on_relays(self.platform_relay.silence())
+            async with asyncio.timeout(RECOVERY_TIMEOUT_S):
+                await self.send_turn(program, f"turn-{number}")
+        outcome = await self.send_unrepeatable_call(program, "filing")
+        self.assertEqual(outcome.unwrap().status, "done")
+        self.assertEqual(self.execution_count(program, "filing"), 1)
+        await self.check_history(program)
 
     async def test_owner_cut_off_from_its_peers_one_way(self):
-        # Nobody reaches the owner any more, but it reaches everybody. The
-        # others take its programs over; callers at the cut-off host are
-        # served by the new owner, and nothing is lost or done twice.
-        program = await self.begin()
-        await self.turn(program, "first")
+        # In a one-way partition, the owner reaches its peers, but they do not
+        # reach it. Another host must take over its programs and also serve the
+        # callers of the old owner, with nothing lost or executed twice.
+        program = await self.create_program()
+        await self.send_turn(program, "first")
         owner = await self.owner_of(program)
         relay = self.peer_relay_by_host[owner]
-        await self.do(relay.cut())
+        await self.run_on_relays(relay.cut())
         try:
-            elsewhere = self.client_of(*self.others(owner))
-            await self.turn(program, "second", elsewhere)
-            await self.turn(program, "third", self.client_of(owner))
-            told = await self.call(program, "filing", self.client_of(owner))
-            self.assertEqual(told.unwrap().status, "done")
+            elsewhere = self.client_for(*self.other_hosts(owner))
+            await self.send_turn(program, "second", elsewhere)
+            await self.send_turn(program, "third", self.client_for(owner))
+            outcome = await self.send_unrepeatable_call(
+                program, "filing", self.client_for(owner)
+            )
+            self.assertEqual(outcome.unwrap().status, "done")
         finally:
-            await self.do(relay.mend())
-        await self.turn(program, "fourth")
-        self.assertEqual(self.executions(program, "filing"), 1)
-        view = await self.check_kept(program)
+            await self.run_on_relays(relay.mend())
+        await self.send_turn(program, "fourth")
+        self.assertEqual(self.execution_count(program, "filing"), 1)
+        view = await self.check_history(program)
         self.assertEqual(len(view.history), 5)
 
 
