--- a/apps/masticctl/src/masticctl/client.py
+++ b/apps/masticctl/src/masticctl/client.py
@@ -46,8 +46,7 @@
         servers: Base URLs, tried in this order.
         token: The operator's token; empty to send none.
         timeout_s: Timeout of one request, in seconds.
-        backoff_s: Base of the exponential backoff between attempts, in
-            seconds.
+        backoff_s: First wait between two attempts, in seconds.
     """
 
     servers: tuple[str, ...]
