--- a/tests/system_case.py
+++ b/tests/system_case.py
@@ -12,7 +12,11 @@
 
 from masticdale_common import Metrics, hashing
 from masticdale_load.system_checks import Verdict, check_history
-from masticdale_load.system_client import CallerSettings, SystemClient, Tally
+from masticdale_load.system_client import (
+    CallerSettings,
+    ClientStats,
+    SystemClient,
+)
 from masticdale_load.system_declarations import DEPLOYMENTS
 from masticdale_load.system_hosts import Balancer
 from masticdale_load.system_ledger import (
@@ -62,7 +66,7 @@
     async def asyncSetUp(self):
         # The debug mode that unittest sets is slow and prints slow steps.
         asyncio.get_running_loop().set_debug(False)
-        self.tally = Tally()
+        self.tally = ClientStats()
         self.client = self.client_of(*self.cluster.daemon_by_name)
         self.ledger_by_id = {}
 
@@ -144,7 +148,7 @@
         history = BranchHistory(program_id, MAIN_BRANCH, view.history)
         check_history(self.ledger_by_id[program_id], history, verdict)
         self.assertTrue(verdict.is_clean, verdict)
-        self.assertEqual(self.tally.garbled, 0)
+        self.assertEqual(self.tally.mismatched_streams, 0)
         return view
 
     async def owner_of(self, program_id):
--- a/tests/test_system_platform.py
+++ b/tests/test_system_platform.py
@@ -53,7 +53,7 @@
         started = time.monotonic()
         url = self.cluster.daemon_by_name["host-1"].callers_url
         self.ledger_by_id[program].sent_ids.add(request_id)
-        told = await self.client.once(
+        told = await self.client.send_once(
             url, f"/{program}/calls", body, CallAnswerBody
         )
         self.assertIsInstance(told, Failed)
--- a/tests/test_system_services.py
+++ b/tests/test_system_services.py
@@ -54,7 +54,7 @@
         )
         url = self.cluster.daemon_by_name["host-1"].callers_url
         path = f"/{program}/calls"
-        told = await self.client.once(url, path, body, dict)
+        told = await self.client.send_once(url, path, body, dict)
         self.assertIsInstance(told, Failed)
         self.assertEqual(told.failure().kind, ErrorKind.UPSTREAM_FAILED)
         self.assertIsNotNone(told.failure().retry_after_ms)
--- a/tests/test_system_silence.py
+++ b/tests/test_system_silence.py
@@ -49,7 +49,7 @@
         ]
 
     async def do(self, work):
-        await asyncio.to_thread(self.relays.do, work)
+        await asyncio.to_thread(self.relays.run_on_loop, work)
 
     async def turns_through_all(self, program, label):
         """Sends turns through each host in its turn."""
@@ -65,7 +65,7 @@
         program = await self.begin()
         await self.turns_through_all(program, "before")
         for relay in self.peer_relay_by_host.values():
-            await self.do(relay.silence())
+            await self.do(relay.stall_connections())
         await self.turns_through_all(program, "after")
         await self.check_kept(program)
 
@@ -78,7 +78,7 @@
         turn = asyncio.create_task(self.turn(program, "first", entry))
         await self.until_in_flight(program, self.client_of(owner))
         for relay in self.peer_relay_by_host.values():
-            await self.do(relay.silence())
+            await self.do(relay.stall_connections())
         async with asyncio.timeout(SHORT_S):
             await turn
         await self.check_kept(program)
@@ -88,7 +88,7 @@
         # a silent connection read back what became of them on a new one.
         program = await self.begin()
         for number in range(TURNS):
-            await self.do(self.platform_relay.silence())
+            await self.do(self.platform_relay.stall_connections())
             async with asyncio.timeout(SHORT_S):
                 await self.turn(program, f"turn-{number}")
         told = await self.call(program, "filing")
@@ -104,7 +104,7 @@
         await self.turn(program, "first")
         owner = await self.owner_of(program)
         relay = self.peer_relay_by_host[owner]
-        await self.do(relay.cut())
+        await self.do(relay.partition())
         try:
             elsewhere = self.client_of(*self.others(owner))
             await self.turn(program, "second", elsewhere)
@@ -112,7 +112,7 @@
             told = await self.call(program, "filing", self.client_of(owner))
             self.assertEqual(told.unwrap().status, "done")
         finally:
-            await self.do(relay.mend())
+            await self.do(relay.heal())
         await self.turn(program, "fourth")
         self.assertEqual(self.executions(program, "filing"), 1)
         view = await self.check_kept(program)
--- a/tools/load/src/masticdale_load/system_client.py
+++ b/tools/load/src/masticdale_load/system_client.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
+class ClientStats:
     """What callers met on the way to their answers.
 
     Attributes:
@@ -53,7 +53,7 @@
     )
     not_accepted: int = 0
     broken: int = 0
-    garbled: int = 0
+    mismatched_streams: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     """
 
     timeout_s: float = 20.0
-    patience_s: float = 120.0
+    total_timeout_s: float = 120.0
 
 
 class SystemClient:
@@ -76,7 +76,7 @@
         self,
         balancer: Balancer,
         key: str,
-        tally: Tally,
+        tally: ClientStats,
         settings: CallerSettings | None = None,
     ) -> None:
         self._balancer = balancer
@@ -132,7 +132,7 @@
         path = f"/{program_id}?history={branch}"
         return await self._until_told(path, None, ProgramBody)
 
-    async def once(
+    async def send_once(
         self,
         url: str,
         path: str,
@@ -155,7 +155,7 @@
     async def _until_told(
         self, path: str, body: pydantic.BaseModel | None, kind: type[BodyT]
     ) -> Result[BodyT, ErrorBody]:
-        deadline = time.monotonic() + self._settings.patience_s
+        deadline = time.monotonic() + self._settings.total_timeout_s
         refusal = ErrorBody(
             kind=ErrorKind.PEER_UNAVAILABLE.value,
             message="No host answered.",
@@ -166,7 +166,7 @@
         while time.monotonic() < deadline:
             url = self._balancer.next_url()
             try:
-                outcome = await self.once(url, path, body, kind)
+                outcome = await self.send_once(url, path, body, kind)
             except httpx.ConnectError:
                 self._tally.not_accepted += 1
                 await asyncio.sleep(_RESEND_S)
@@ -211,7 +211,7 @@
 
     def _check_text(self, text: str, done: str) -> None:
         if json.loads(done)["text"] != text:
-            self._tally.garbled += 1
+            self._tally.mismatched_streams += 1
 
 
 def _told(
--- a/tools/load/src/masticdale_load/system_relays.py
+++ b/tools/load/src/masticdale_load/system_relays.py
@@ -39,25 +39,25 @@
         """Begins to listen."""
         self._server = await asyncio.start_server(self._accept, _IP, 0)
 
-    async def silence(self) -> None:
+    async def stall_connections(self) -> None:
         """Makes every open connection silent."""
         passing = list(self._passing)
         for task in passing:
             task.cancel()
         await asyncio.gather(*passing, return_exceptions=True)
 
-    async def cut(self) -> None:
+    async def partition(self) -> None:
         """Makes every open and every new connection silent."""
         self._is_cut = True
-        await self.silence()
+        await self.stall_connections()
 
-    async def mend(self) -> None:
+    async def heal(self) -> None:
         """Lets new connections work again."""
         self._is_cut = False
 
     async def close(self) -> None:
         """Closes everything."""
-        await self.silence()
+        await self.stall_connections()
         for writer in self._writers:
             writer.close()
         if self._server is not None:
@@ -97,11 +97,11 @@
     def relay_to(self, port: int) -> Relay:
         """Starts a relay to a port of this machine."""
         relay = Relay(port)
-        self.do(relay.start())
+        self.run_on_loop(relay.start())
         self._relays.append(relay)
         return relay
 
-    def do(self, work: Coroutine[Any, Any, ResultT]) -> ResultT:
+    def run_on_loop(self, work: Coroutine[Any, Any, ResultT]) -> ResultT:
         """Runs a relay's method on its loop and waits for it."""
         future: concurrent.futures.Future[ResultT]
         future = asyncio.run_coroutine_threadsafe(work, self._loop)
@@ -110,7 +110,7 @@
     def close(self) -> None:
         """Closes every relay and the loop."""
         for relay in self._relays:
-            self.do(relay.close())
+            self.run_on_loop(relay.close())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(_START_TIMEOUT_S)
         self._loop.close()
--- a/tools/load/src/masticdale_load/system_reports.py
+++ b/tools/load/src/masticdale_load/system_reports.py
@@ -6,7 +6,7 @@
 import pydantic
 
 from masticdale_load.system_checks import Verdict
-from masticdale_load.system_client import Tally
+from masticdale_load.system_client import ClientStats
 from masticdale_load.system_faults import FaultNotes
 from masticdale_load.system_plans import SystemPlan
 from masticdale_load.system_programs import Progress
@@ -135,8 +135,8 @@
     plan: SystemPlan,
     seconds: float,
     progress: Progress,
-    tally: Tally,
-    restart: Tally,
+    tally: ClientStats,
+    restart: ClientStats,
     notes: FaultNotes,
     verdict: Verdict,
     memory_held: Sequence[str],
@@ -166,7 +166,7 @@
         executed_twice=verdict.twice,
         untrue=verdict.untrue,
         outcome_unknown=verdict.unknown,
-        garbled_streams=tally.garbled,
+        garbled_streams=tally.mismatched_streams,
         over_budget=progress.over_budget,
         given_up=progress.given_up,
         not_ended=sum(not ledger.ended for ledger in progress.ledgers),
--- a/tools/load/src/masticdale_load/system_runs.py
+++ b/tools/load/src/masticdale_load/system_runs.py
@@ -22,8 +22,8 @@
 )
 from masticdale_load.system_client import (
     CallerSettings,
+    ClientStats,
     SystemClient,
-    Tally,
 )
 from masticdale_load.system_declarations import (
     DEPLOYMENTS,
@@ -119,8 +119,8 @@
     def __init__(self, plan: SystemPlan, cluster: LocalCluster) -> None:
         self._plan = plan
         self._cluster = cluster
-        self._tally = Tally()
-        self._restart_tally = Tally()
+        self._tally = ClientStats()
+        self._restart_tally = ClientStats()
         self._progress = Progress()
         self._balancer = Balancer(
             {n: h.callers_url for n, h in cluster.daemon_by_name.items()}
@@ -132,7 +132,7 @@
         self._probe_client = SystemClient(
             self._balancer,
             DEPLOYMENTS[0].key,
-            Tally(),
+            ClientStats(),
             CallerSettings(timeout_s=_PROBE_TIMEOUT_S),
         )
         self._probe = TakeoverProbe(
@@ -204,7 +204,7 @@
             await asyncio.sleep(_WATCH_S)
         before = copy.deepcopy(self._tally)
         await self._faults.restart_all()
-        self._restart_tally = Tally(
+        self._restart_tally = ClientStats(
             self._tally.count_by_refusal - before.count_by_refusal,
             self._tally.not_accepted - before.not_accepted,
             self._tally.broken - before.broken,
--- a/tools/load/src/masticdale_load/system_takeover.py
+++ b/tools/load/src/masticdale_load/system_takeover.py
@@ -73,7 +73,9 @@
         while time.monotonic() < started + _LONGEST_S:
             url = self._balancer.next_url()
             try:
-                told = await self._client.once(url, path, None, ProgramBody)
+                told = await self._client.send_once(
+                    url, path, None, ProgramBody
+                )
             except httpx.TransportError:
                 told = None
             if isinstance(told, Success):
