--- a/tools/load/src/masticdale_load/cache.py
+++ b/tools/load/src/masticdale_load/cache.py
@@ -48,7 +48,7 @@
         if entry is not None:
             entry.pins = max(0, entry.pins - 1)
 
-    def hold(self, key: str, tokens: int) -> None:
+    def store(self, key: str, tokens: int) -> None:
         """Stores a prefix, at least as long as before, as the latest used."""
         entry = self._entry_by_key.setdefault(key, _Entry(0))
         grown = max(0, tokens - entry.tokens)
@@ -83,13 +83,13 @@
                 return
 
     def _shrink(self, key: str, entry: _Entry, excess: int) -> int:
-        left = max(0, entry.tokens - excess)
-        left -= left % self._interval
-        freed = entry.tokens - left
-        entry.tokens = left
+        remaining = max(0, entry.tokens - excess)
+        remaining -= remaining % self._interval
+        freed = entry.tokens - remaining
+        entry.tokens = remaining
         self.used_tokens -= freed
-        if left == 0:
+        if remaining == 0:
             del self._entry_by_key[key]
         for listener in self._listeners:
-            listener(key, left, freed)
+            listener(key, remaining, freed)
         return freed
--- a/tools/load/src/masticdale_load/calls.py
+++ b/tools/load/src/masticdale_load/calls.py
@@ -11,7 +11,7 @@
 from masticdale_load.engine import EngineCall, EngineResult
 from masticdale_load.experiments import PlacementKind, Policy
 from masticdale_load.exports import ExportStore
-from masticdale_load.gates import Moved
+from masticdale_load.gates import Withdrawn
 from masticdale_load.homes import Probe, ReplicaHome, cache_key
 from masticdale_load.measures import Counters
 from masticdale_load.workloads import ProgramPlan
@@ -129,7 +129,7 @@
             offers += 1
             probe = self._probe(call, f"{call.call_id}.{offers}", queued_at)
             result = await self._attempt(call, probe, failed_replicas)
-            if isinstance(result, Moved):
+            if isinstance(result, Withdrawn):
                 continue
             if isinstance(result, Success):
                 return result
@@ -146,7 +146,7 @@
 
     async def _attempt(
         self, call: ModelCall, probe: Probe, failed_replicas: list[str]
-    ) -> Result[CallDone, Failure] | Moved:
+    ) -> Result[CallDone, Failure] | Withdrawn:
         candidates = self._candidates(call, probe, failed_replicas)
         request = PlacementRequest(
             call.program.program_id,
@@ -165,23 +165,23 @@
             probe.ticket, uncached_tokens=placement.uncached_tokens
         )
         permission = await home.gate.wait(ticket, self._policy.reconsider_s)
-        if isinstance(permission, Moved):
+        if isinstance(permission, Withdrawn):
             return permission
         if isinstance(permission, Refused):
-            gone = permission.failure.kind is ErrorKind.NO_UPSTREAM
-            return Moved() if gone else Failed(permission.failure)
+            no_upstream = permission.failure.kind is ErrorKind.NO_UPSTREAM
+            return Withdrawn() if no_upstream else Failed(permission.failure)
         self._counters.moves += placement.moved
-        asked = dataclasses.replace(probe, ticket=ticket)
-        result = await self._serve(call, home, asked)
+        sent_probe = dataclasses.replace(probe, ticket=ticket)
+        result = await self._run_on_engine(call, home, sent_probe)
         if not isinstance(result, Success):
             failed_replicas.append(home.replica)
         return result
 
-    async def _serve(
+    async def _run_on_engine(
         self, call: ModelCall, home: ReplicaHome, probe: Probe
     ) -> Result[CallDone, Failure]:
         began_at = self._loop.time()
-        home.sent(probe.request)
+        home.record_sent(probe.request)
         engine_call = EngineCall(
             cache_key(call.branch),
             call.program.kind,
@@ -220,7 +220,7 @@
     ) -> list[Candidate]:
         # A replica that just died looks idle and still seems to hold the
         # prefix: without this every retry went back to it.
-        away = {
+        unavailable = {
             replica
             for replica, home in self._home_by_replica.items()
             if not home.usable or replica in failed_replicas
@@ -229,17 +229,17 @@
             return [
                 home.candidate(probe)
                 for replica, home in self._home_by_replica.items()
-                if replica not in away
+                if replica not in unavailable
             ]
         count = self._policy.probes
         if call.last_replica:
             count = self._policy.own_probes
-        excluded = {*away, call.last_replica}
+        excluded = {*unavailable, call.last_replica}
         key = probe.ticket.ticket_id
-        asked = choose_probes(key, self._locations, count, excluded)
-        if call.last_replica and call.last_replica not in away:
-            asked.append(call.last_replica)
-        return [self._home_by_replica[r].candidate(probe) for r in asked]
+        probed = choose_probes(key, self._locations, count, excluded)
+        if call.last_replica and call.last_replica not in unavailable:
+            probed.append(call.last_replica)
+        return [self._home_by_replica[r].candidate(probe) for r in probed]
 
     def _probe(
         self, call: ModelCall, ticket_id: str, queued_at: float
--- a/tools/load/src/masticdale_load/decisions.py
+++ b/tools/load/src/masticdale_load/decisions.py
@@ -24,7 +24,7 @@
 _ROUNDS = 2_000
 _SEED = 6
 _QUEUE_SIZES = (100, 1_000, 10_000, 100_000)
-_FAR = 1e9
+_FAR_FUTURE_S = 1e9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -110,7 +110,7 @@
         f"p{number}",
         generator.randrange(3),
         float(number),
-        _FAR,
+        _FAR_FUTURE_S,
         generator.uniform(0, 300),
     )
 
@@ -120,7 +120,7 @@
     queue = create_replica_queue(
         "r",
         QueueSettings(
-            age_bound_s=_FAR,
+            age_bound_s=_FAR_FUTURE_S,
             max_waiting=size + 2 * _ROUNDS,
             in_flight=InFlightSettings(initial=1),
         ),
--- a/tools/load/src/masticdale_load/engine.py
+++ b/tools/load/src/masticdale_load/engine.py
@@ -80,7 +80,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Active:
+class _ActiveCall:
     call: EngineCall
     done: asyncio.Future[EngineResult]
     cached_tokens: int = 0
@@ -101,11 +101,11 @@
         self.up = True
         self.speed = 1.0
         self._loop = asyncio.get_running_loop()
-        self._waiting: collections.deque[_Active] = collections.deque()
-        self._prefill: collections.deque[_Active] = collections.deque()
-        self._decode: list[tuple[float, int, _Active]] = []
+        self._waiting: collections.deque[_ActiveCall] = collections.deque()
+        self._prefill: collections.deque[_ActiveCall] = collections.deque()
+        self._decode: list[tuple[float, int, _ActiveCall]] = []
         self._counter = itertools.count()
-        self._decoded = 0.0
+        self._decoded_tokens = 0.0
         self._advanced_at = self._loop.time()
         self._timer: asyncio.TimerHandle | None = None
         self._link_free_at = 0.0
@@ -133,9 +133,9 @@
         if not self.up:
             return EngineResult(crashed=True)
         self._advance()
-        active = _Active(call, self._loop.create_future())
+        active = _ActiveCall(call, self._loop.create_future())
         self._waiting.append(active)
-        self._fill()
+        self._admit()
         self._schedule()
         return await active.done
 
@@ -185,7 +185,7 @@
             self.cache.pin(key)
         await self.transfer(missing)
         for key, tokens in wanted.items():
-            self.cache.hold(key, tokens)
+            self.cache.store(key, tokens)
         for key in wanted:
             self.cache.unpin(key)
 
@@ -201,17 +201,17 @@
         passed = now - self._advanced_at
         self._advanced_at = now
         if self._decode:
-            self._decoded += passed * self._decode_rate()
+            self._decoded_tokens += passed * self._decode_rate()
         if self._prefill:
             self._prefill[0].prefill_left -= passed * self._prefill_rate()
 
-    def _fill(self) -> None:
+    def _admit(self) -> None:
         while self._waiting and self.running < self.spec.slots:
             active = self._waiting.popleft()
             self._begin(active)
             self._prefill.append(active)
 
-    def _begin(self, active: _Active) -> None:
+    def _begin(self, active: _ActiveCall) -> None:
         call, cache = active.call, self.cache
         held = min(cache.tokens(call.template), call.template_tokens)
         if held == call.template_tokens:
@@ -221,8 +221,8 @@
         active.prefill_left = float(call.prompt_tokens - active.cached_tokens)
         for key in (call.template, call.branch):
             cache.pin(key)
-        cache.hold(call.branch, call.prompt_tokens - call.template_tokens)
-        cache.hold(call.template, call.template_tokens)
+        cache.store(call.branch, call.prompt_tokens - call.template_tokens)
+        cache.store(call.template, call.template_tokens)
 
     def _schedule(self) -> None:
         if self._timer is not None:
@@ -232,31 +232,34 @@
         if self._prefill:
             delays.append(self._prefill[0].prefill_left / self._prefill_rate())
         if self._decode:
-            left = self._decode[0][0] - self._decoded
+            left = self._decode[0][0] - self._decoded_tokens
             delays.append(left / self._decode_rate())
         if delays:
             delay = max(0.0, min(delays))
-            self._timer = self._loop.call_later(delay, self._step)
+            self._timer = self._loop.call_later(delay, self._on_timer)
 
-    def _step(self) -> None:
+    def _on_timer(self) -> None:
         self._advance()
         while self._prefill and self._prefill[0].prefill_left <= _EPSILON:
             self._start_decode(self._prefill.popleft())
-        while self._decode and self._decode[0][0] <= self._decoded + _EPSILON:
-            self._end(heapq.heappop(self._decode)[2])
-        self._fill()
+        while (
+            self._decode
+            and self._decode[0][0] <= self._decoded_tokens + _EPSILON
+        ):
+            self._finish(heapq.heappop(self._decode)[2])
+        self._admit()
         self._schedule()
 
-    def _start_decode(self, active: _Active) -> None:
-        finish_at = self._decoded + active.call.generated_tokens
+    def _start_decode(self, active: _ActiveCall) -> None:
+        finish_at = self._decoded_tokens + active.call.generated_tokens
         active.first_token_at = self._loop.time()
         entry = (finish_at, next(self._counter), active)
         heapq.heappush(self._decode, entry)
 
-    def _end(self, active: _Active) -> None:
+    def _finish(self, active: _ActiveCall) -> None:
         call = active.call
         tokens = call.prompt_tokens + call.generated_tokens
-        self.cache.hold(call.branch, tokens - call.template_tokens)
+        self.cache.store(call.branch, tokens - call.template_tokens)
         for key in (call.template, call.branch):
             self.cache.unpin(key)
         active.done.set_result(
--- a/tools/load/src/masticdale_load/fleet.py
+++ b/tools/load/src/masticdale_load/fleet.py
@@ -9,12 +9,12 @@
 from masticdale_load.exports import ExportStore
 from masticdale_load.homes import EventChannel, ReplicaHome, create_home
 from masticdale_load.measures import Counters, Summary, Window, summarize
-from masticdale_load.pausing import PauseKeeper
+from masticdale_load.pausing import PauseManager
 from masticdale_load.programs import ProgramRunner
 from masticdale_load.services import create_services
 from masticdale_load.workloads import Demand, draw_programs
 
-_LIST_LAG_S = 2.0
+_DISCOVERY_LAG_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
     runner = ProgramRunner(
         ModelCaller(homes, policy, exports, counters, hop_s),
         create_services(experiment.deployment),
-        PauseKeeper(homes, policy, exports, counters),
+        PauseManager(homes, policy, exports, counters),
         spec,
         window,
     )
@@ -85,16 +85,16 @@
         channel = EventChannel(home, experiment.engine, seed)
         tasks.append(asyncio.create_task(channel.report_load()))
     fault = experiment.fault_by_name[key.fault]
-    tasks.append(asyncio.create_task(_bring_about(fault, homes[0])))
+    tasks.append(asyncio.create_task(_inject_fault(fault, homes[0])))
     return tasks
 
 
-async def _bring_about(fault: Fault, home: ReplicaHome) -> None:
+async def _inject_fault(fault: Fault, home: ReplicaHome) -> None:
     if fault.kind == "none":
         return
     await asyncio.sleep(fault.at_s)
     if fault.kind == "leave":
-        await asyncio.sleep(_LIST_LAG_S)
+        await asyncio.sleep(_DISCOVERY_LAG_S)
         home.leave()
         return
     if fault.kind == "slow":
@@ -103,8 +103,8 @@
         home.engine.set_speed(1.0)
         return
     home.engine.crash()
-    await asyncio.sleep(_LIST_LAG_S)
+    await asyncio.sleep(_DISCOVERY_LAG_S)
     home.leave()
     await asyncio.sleep(fault.for_s)
     home.engine.restart()
-    home.come_back()
+    home.rejoin()
--- a/tools/load/src/masticdale_load/gates.py
+++ b/tools/load/src/masticdale_load/gates.py
@@ -14,59 +14,63 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Moved:
+class Withdrawn:
     """The queue gave a waiting call back, to be placed elsewhere."""
 
 
-Permission = Granted | Refused | Moved
+AdmissionResult = Granted | Refused | Withdrawn
 
 
-class Gate:
+class AdmissionGate:
     """Lets calls wait at one queue."""
 
     def __init__(self, queue: ReplicaQueue) -> None:
         self.queue = queue
-        self._permission_by_id: dict[str, asyncio.Future[Permission]] = {}
+        self._future_by_ticket_id: dict[
+            str, asyncio.Future[AdmissionResult]
+        ] = {}
         self._loop = asyncio.get_running_loop()
 
-    async def wait(self, ticket: Ticket, patience_s: float = 0) -> Permission:
+    async def wait(
+        self, ticket: Ticket, timeout_s: float = 0
+    ) -> AdmissionResult:
         """Waits until a ticket may run, is refused or is given back.
 
         Args:
             ticket: The call.
-            patience_s: Give it back after so long; 0 for never.
+            timeout_s: Withdraw it after this many seconds; 0 for never.
         """
         offer = self.queue.offer(ticket, self._loop.time())
         if isinstance(offer, (Granted, Refused)):
             return offer
-        permission: asyncio.Future[Permission] = self._loop.create_future()
-        self._permission_by_id[ticket.ticket_id] = permission
+        permission: asyncio.Future[AdmissionResult] = self._loop.create_future()
+        self._future_by_ticket_id[ticket.ticket_id] = permission
         try:
-            async with asyncio.timeout(patience_s or None):
+            async with asyncio.timeout(timeout_s or None):
                 return await permission
         except TimeoutError:
             self.queue.withdraw(ticket.ticket_id, self._loop.time())
-            return Moved()
+            return Withdrawn()
         finally:
-            del self._permission_by_id[ticket.ticket_id]
+            del self._future_by_ticket_id[ticket.ticket_id]
 
     def finish(self, ticket_id: str, result: TicketResult) -> None:
         """Ends a granted call and grants the next."""
         self.queue.finish(ticket_id, result, self._loop.time())
-        self.pump()
+        self.dispatch_granted()
 
-    def pump(self) -> None:
+    def dispatch_granted(self) -> None:
         """Tells granted calls that they may run."""
         for ticket in self.queue.take_granted(self._loop.time()):
-            self._permit(ticket, Granted())
+            self._resolve(ticket, Granted())
 
     def close(self, failure: Failure) -> None:
         """Refuses new calls and gives waiting ones back."""
         dropped = self.queue.close(failure, self._loop.time())
         for ticket in dropped.waiting:
-            self._permit(ticket, Moved())
+            self._resolve(ticket, Withdrawn())
 
-    def _permit(self, ticket: Ticket, permission: Permission) -> None:
-        waiting = self._permission_by_id.get(ticket.ticket_id)
+    def _resolve(self, ticket: Ticket, permission: AdmissionResult) -> None:
+        waiting = self._future_by_ticket_id.get(ticket.ticket_id)
         if waiting is not None and not waiting.done():
             waiting.set_result(permission)
--- a/tools/load/src/masticdale_load/homes.py
+++ b/tools/load/src/masticdale_load/homes.py
@@ -8,7 +8,7 @@
 from masticdale_load.cache import PrefixCache
 from masticdale_load.engine import EngineModel
 from masticdale_load.experiments import Engine, Experiment, Policy
-from masticdale_load.gates import Gate
+from masticdale_load.gates import AdmissionGate
 from masticdale_routing import (
     BranchKey,
     CachePressure,
@@ -25,8 +25,8 @@
     create_replica_queue,
 )
 
-_AWAY = Failure(ErrorKind.NO_UPSTREAM, "the replica is away")
-_UNPRESSED_S = 1e9
+_REPLICA_UNAVAILABLE = Failure(ErrorKind.NO_UPSTREAM, "the replica is away")
+_NO_EVICTION_RESIDENCE_S = 1e9
 _KEY_SEPARATOR = "/"
 
 
@@ -54,7 +54,11 @@
     """Answers probes and learns from late reports and events."""
 
     def __init__(
-        self, replica: str, domain: str, engine: EngineModel, gate: Gate
+        self,
+        replica: str,
+        domain: str,
+        engine: EngineModel,
+        gate: AdmissionGate,
     ) -> None:
         self.replica = replica
         self.domain = domain
@@ -79,14 +83,14 @@
         queue, request = self.gate.queue, probe.request
         cached = max(
             self.index.cached_tokens(request),
-            self._import_worth(probe.importable_tokens),
+            self._effective_import_tokens(probe.importable_tokens),
         )
         uncached = max(0, request.prompt_tokens - cached)
-        asked = dataclasses.replace(probe.ticket, uncached_tokens=uncached)
+        ticket = dataclasses.replace(probe.ticket, uncached_tokens=uncached)
         return Candidate(
             self.replica,
             self.domain,
-            queue.expected_wait_s(asked, now),
+            queue.expected_wait_s(ticket, now),
             cached,
             queue.speed.prefill_tokens_per_s,
             queue.speed.decode_tokens_per_s,
@@ -103,13 +107,13 @@
         rate = self.evictions.tokens_per_s(self._loop.time())
         capacity = self.engine.cache.capacity_tokens
         return CachePressure(
-            capacity / rate if rate > 0 else _UNPRESSED_S,
+            capacity / rate if rate > 0 else _NO_EVICTION_RESIDENCE_S,
             self.gate.queue.speed.prefill_tokens_per_s,
             self.engine.spec.transfer_tokens_per_s,
             reuse_share,
         )
 
-    def sent(self, request: PrefixRequest) -> None:
+    def record_sent(self, request: PrefixRequest) -> None:
         """Notes a call sent to the engine."""
         program_id = request.branch.program_id
         self._template_tokens_by_program[program_id] = request.template_tokens
@@ -125,15 +129,15 @@
         # Granting on would send every waiting call into the same failure and
         # spend a retry on each.
         if not self.usable:
-            self.gate.close(_AWAY)
+            self.gate.close(_REPLICA_UNAVAILABLE)
         self.gate.finish(ticket_id, result)
 
     def leave(self) -> None:
         """Takes no new work; what waits is given back."""
         self.present = False
-        self.gate.close(_AWAY)
+        self.gate.close(_REPLICA_UNAVAILABLE)
 
-    def come_back(self) -> None:
+    def rejoin(self) -> None:
         """Takes work again, from an engine that lost its memory."""
         self.index.clear()
         self.gate.queue.reopen()
@@ -143,12 +147,12 @@
         """Frees a prefix at the engine."""
         self.engine.cache.release(cache_key(branch))
 
-    def forget(self, program_id: str) -> None:
+    def remove_program(self, program_id: str) -> None:
         """Forgets a program that ended."""
         self.index.remove_program(program_id)
         self._template_tokens_by_program.pop(program_id, None)
 
-    def evicted(self, key: str, left: int) -> None:
+    def record_evicted(self, key: str, left: int) -> None:
         """Applies a cache event to the index."""
         program_id, _, branch_id = key.partition(_KEY_SEPARATOR)
         template = self._template_tokens_by_program.get(program_id)
@@ -158,7 +162,7 @@
         branch = BranchKey(program_id, branch_id)
         self.index.record_evicted(branch, tokens, self._loop.time())
 
-    def _import_worth(self, tokens: int) -> int:
+    def _effective_import_tokens(self, tokens: int) -> int:
         # Importing takes time too; the tokens count for what they save.
         rate = self.engine.spec.transfer_tokens_per_s
         speed = self.gate.queue.speed.prefill_tokens_per_s
@@ -184,7 +188,7 @@
             )
             await asyncio.sleep(self._settings.event_lag_s)
             gate.queue.observe_load(observation, self._loop.time())
-            gate.pump()
+            gate.dispatch_granted()
             await asyncio.sleep(self._settings.report_period_s)
 
     def _evicted(self, key: str, left: int, freed: int) -> None:
@@ -192,7 +196,7 @@
         if self._random.random() < self._settings.event_loss:
             return
         lag_s = self._settings.event_lag_s
-        self._loop.call_later(lag_s, self._home.evicted, key, left)
+        self._loop.call_later(lag_s, self._home.record_evicted, key, left)
 
 
 def create_home(
@@ -220,4 +224,4 @@
     )
     cache = PrefixCache(capacity, spec.restore_interval)
     engine = EngineModel(spec, cache)
-    return ReplicaHome(replica, domain, engine, Gate(queue))
+    return ReplicaHome(replica, domain, engine, AdmissionGate(queue))
--- a/tools/load/src/masticdale_load/main.py
+++ b/tools/load/src/masticdale_load/main.py
@@ -15,7 +15,7 @@
 from masticdale_load.system_reports import format_report
 from masticdale_load.system_runs import load_plan, run_system
 
-_MOST_PROCESSES = 4
+_MAX_PROCESSES = 4
 
 ValueT = TypeVar("ValueT")
 
@@ -56,7 +56,7 @@
     caches: str | tuple[str, ...] = "",
     faults: str | tuple[str, ...] = "none",
     seed: int | None = None,
-    processes: int = _MOST_PROCESSES,
+    processes: int = _MAX_PROCESSES,
 ) -> None:
     """Runs an experiment and prints its table.
 
@@ -81,7 +81,7 @@
     if seed is not None:
         value = value.model_copy(update={"seed": seed})
     keys = select_runs(value, selection)
-    report = run_experiment(value, keys, min(processes, _MOST_PROCESSES))
+    report = run_experiment(value, keys, min(processes, _MAX_PROCESSES))
     pathlib.Path(output).write_text(report.to_json())
     print(f"{report.experiment}, seed {report.seed}")
     print(format_table(report.runs))
--- a/tools/load/src/masticdale_load/pausing.py
+++ b/tools/load/src/masticdale_load/pausing.py
@@ -29,7 +29,7 @@
     replica: str
 
 
-class PauseKeeper:
+class PauseManager:
     """Decides at the begin of each pause what happens to the prefix."""
 
     def __init__(
@@ -72,28 +72,28 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def returned(self, paused: PausedBranch, pause_s: float) -> None:
+    def record_pause(self, paused: PausedBranch, pause_s: float) -> None:
         """Learns from the end of a pause."""
         key = PauseKey(paused.kind, paused.tool)
         self._model.observe(key, pause_s)
 
-    def end(self, branch: BranchKey) -> None:
+    def release_branch(self, branch: BranchKey) -> None:
         """Frees whatever an ended program's branch holds."""
         self._exports.drop(cache_key(branch))
         for home in self._home_by_replica.values():
             home.release(branch)
-            home.forget(branch.program_id)
+            home.remove_program(branch.program_id)
 
     async def _export(
         self, paused: PausedBranch, home: ReplicaHome, frees: bool
     ) -> None:
         key = cache_key(paused.branch)
         # Only what grew since the last export is transferred.
-        fresh = max(0, paused.tokens - self._exports.tokens(key))
-        await home.engine.transfer(fresh)
+        new_tokens = max(0, paused.tokens - self._exports.tokens(key))
+        await home.engine.transfer(new_tokens)
         if home.engine.cache.tokens(key) <= 0:
             return
         self._exports.put(key, paused.tokens)
-        self._counters.exported_tokens += fresh
+        self._counters.exported_tokens += new_tokens
         if frees:
             home.release(paused.branch)
--- a/tools/load/src/masticdale_load/policies.py
+++ b/tools/load/src/masticdale_load/policies.py
@@ -33,10 +33,10 @@
     return [
         RunKey(policy, load, cache, fault)
         for policy, load, cache, fault in itertools.product(
-            _keep(experiment.policy_by_name, selection.policies),
-            [x for x in experiment.loads if _fits(x, selection.loads)],
-            _keep(experiment.fill_by_cache, selection.caches),
-            _keep(experiment.fault_by_name, selection.faults),
+            _select_names(experiment.policy_by_name, selection.policies),
+            [x for x in experiment.loads if _is_selected(x, selection.loads)],
+            _select_names(experiment.fill_by_cache, selection.caches),
+            _select_names(experiment.fault_by_name, selection.faults),
         )
     ]
 
@@ -63,9 +63,9 @@
     return Report(experiment.name, experiment.seed, runs)
 
 
-def _keep(names: Iterable[str], wanted: frozenset[str]) -> list[str]:
+def _select_names(names: Iterable[str], wanted: frozenset[str]) -> list[str]:
     return [name for name in names if not wanted or name in wanted]
 
 
-def _fits(load: float, wanted: frozenset[float]) -> bool:
+def _is_selected(load: float, wanted: frozenset[float]) -> bool:
     return not wanted or load in wanted
--- a/tools/load/src/masticdale_load/programs.py
+++ b/tools/load/src/masticdale_load/programs.py
@@ -10,7 +10,7 @@
 from masticdale_load.calls import ModelCall, ModelCaller
 from masticdale_load.engine import EngineSpec
 from masticdale_load.measures import ProgramRecord, Window
-from masticdale_load.pausing import PausedBranch, PauseKeeper
+from masticdale_load.pausing import PausedBranch, PauseManager
 from masticdale_load.services import ServiceCall, Services
 from masticdale_load.workloads import (
     BranchPlan,
@@ -51,7 +51,7 @@
         self,
         caller: ModelCaller,
         services: Services,
-        pauses: PauseKeeper,
+        pauses: PauseManager,
         spec: EngineSpec,
         window: Window,
     ) -> None:
@@ -70,7 +70,7 @@
         progress = _Progress(plan)
         result = await self._run_branch(progress, plan.root)
         for number in range(progress.branches):
-            self._pauses.end(BranchKey(plan.program_id, str(number)))
+            self._pauses.release_branch(BranchKey(plan.program_id, str(number)))
         failure = ""
         if not isinstance(result, Success):
             failure = str(result.failure().kind)
@@ -141,7 +141,7 @@
             )
         else:
             await asyncio.sleep(turn.pause_s)
-        self._pauses.returned(paused, self._loop.time() - began_at)
+        self._pauses.record_pause(paused, self._loop.time() - began_at)
 
     def _call(
         self,
--- a/tools/load/src/masticdale_load/services.py
+++ b/tools/load/src/masticdale_load/services.py
@@ -5,7 +5,7 @@
 import math
 
 from masticdale_load.experiments import Deployment
-from masticdale_load.gates import Gate
+from masticdale_load.gates import AdmissionGate
 from masticdale_routing import (
     Candidate,
     Granted,
@@ -43,7 +43,9 @@
 class Services:
     """Sends tool calls to the application replica with the fewest."""
 
-    def __init__(self, gate_by_replica: dict[str, Gate], hop_s: float) -> None:
+    def __init__(
+        self, gate_by_replica: dict[str, AdmissionGate], hop_s: float
+    ) -> None:
         self._gate_by_replica = gate_by_replica
         self._hop_s = hop_s
         self._loop = asyncio.get_running_loop()
@@ -96,7 +98,7 @@
         f"application-{n}" for n in range(deployment.application_replicas)
     ]
     gate_by_replica = {
-        replica: Gate(create_replica_queue(replica, queue_settings))
+        replica: AdmissionGate(create_replica_queue(replica, queue_settings))
         for replica in replicas
     }
     return Services(gate_by_replica, deployment.hop_s)
--- a/tools/load/src/masticdale_load/system_checks.py
+++ b/tools/load/src/masticdale_load/system_checks.py
@@ -9,9 +9,9 @@
 from masticdale_upstreams.testing import expected_answer
 from masticdaled.callers.models import HistoryItemBody
 
-TOLD_DONE = "done"
-TOLD_NOT_RUN = "not_run"
-TOLD_UNKNOWN = "unknown"
+REPORTED_DONE = "done"
+REPORTED_NOT_RUN = "not_run"
+REPORTED_UNKNOWN = "unknown"
 _TURN_KIND = "turn"
 
 
@@ -25,9 +25,9 @@
         duplicated: Requests that stand in a history more than once.
         mixed: Answers that are not their prompt's, or not what was told.
         disordered: Branches whose history is not in the callers' order.
-        twice: Unrepeatable calls that were executed more than once.
+        executed_twice: Unrepeatable calls that were executed more than once.
         untrue: Unrepeatable calls whose execution differs from what was told.
-        unknown: Unrepeatable calls told to have an unknown outcome.
+        outcome_unknown: Unrepeatable calls reported as of unknown outcome.
         executed: Unrepeatable calls that were executed.
     """
 
@@ -36,9 +36,9 @@
     duplicated: list[str] = dataclasses.field(default_factory=list)
     mixed: list[str] = dataclasses.field(default_factory=list)
     disordered: list[str] = dataclasses.field(default_factory=list)
-    twice: list[str] = dataclasses.field(default_factory=list)
+    executed_twice: list[str] = dataclasses.field(default_factory=list)
     untrue: list[str] = dataclasses.field(default_factory=list)
-    unknown: int = 0
+    outcome_unknown: int = 0
     executed: int = 0
 
     @property
@@ -50,7 +50,7 @@
                 self.duplicated,
                 self.mixed,
                 self.disordered,
-                self.twice,
+                self.executed_twice,
                 self.untrue,
             )
         )
@@ -71,18 +71,20 @@
     counts = collections.Counter(ids)
     verdict.duplicated += [f"{label}/{i}" for i, n in counts.items() if n > 1]
     verdict.mixed += [f"{label}/{i}" for i in counts.keys() - ledger.sent_ids]
-    told = ledger.acknowledged_by_branch.get(history.branch, [])
-    verdict.acknowledged += len(told)
+    acknowledged = ledger.acknowledged_by_branch.get(history.branch, [])
+    verdict.acknowledged += len(acknowledged)
     item_by_id = {item.request_id: item for item in history.items}
-    for one in told:
-        item = item_by_id.get(one.request_id)
+    for call in acknowledged:
+        item = item_by_id.get(call.request_id)
         if item is None:
-            verdict.lost.append(f"{label}/{one.request_id}")
-        elif (item.sent, item.answer) != (one.sent, one.answer):
-            verdict.mixed.append(f"{label}/{one.request_id}")
-    told_ids = {one.request_id for one in told}
-    kept = [i for i in ids if i in told_ids]
-    if kept != [one.request_id for one in told if one.request_id in item_by_id]:
+            verdict.lost.append(f"{label}/{call.request_id}")
+        elif (item.sent, item.answer) != (call.sent, call.answer):
+            verdict.mixed.append(f"{label}/{call.request_id}")
+    acknowledged_ids = {one.request_id for one in acknowledged}
+    kept = [i for i in ids if i in acknowledged_ids]
+    if kept != [
+        one.request_id for one in acknowledged if one.request_id in item_by_id
+    ]:
         verdict.disordered.append(label)
     _check_answers(ledger, history.items, label, verdict)
 
@@ -100,18 +102,18 @@
         verdict: Changed in place.
     """
     for ledger in ledgers:
-        for request_id, told in ledger.finish_by_request_id.items():
+        for request_id, reported in ledger.outcome_by_request_id.items():
             label = f"{ledger.program_id}/{request_id}"
             count = count_by_key[idempotency_key(ledger.program_id, request_id)]
             verdict.executed += min(count, 1)
-            verdict.unknown += told == TOLD_UNKNOWN
+            verdict.outcome_unknown += reported == REPORTED_UNKNOWN
             if count > 1:
-                verdict.twice.append(label)
-            is_untrue = (told == TOLD_DONE and count == 0) or (
-                told == TOLD_NOT_RUN and count > 0
+                verdict.executed_twice.append(label)
+            is_misreported = (reported == REPORTED_DONE and count == 0) or (
+                reported == REPORTED_NOT_RUN and count > 0
             )
-            if is_untrue:
-                verdict.untrue.append(f"{label}: told {told}, ran {count}")
+            if is_misreported:
+                verdict.untrue.append(f"{label}: told {reported}, ran {count}")
 
 
 def _check_answers(
--- a/tools/load/src/masticdale_load/system_client.py
+++ b/tools/load/src/masticdale_load/system_client.py
@@ -29,12 +29,12 @@
 BodyT = TypeVar("BodyT", bound=pydantic.BaseModel)
 _ERROR_BODY = pydantic.TypeAdapter(ErrorBody)
 _PATH = "/v1/programs"
-_RESEND_S = 0.1
+_RETRY_DELAY_S = 0.1
 _DATA_PREFIX = "data:"
 _EVENT_PREFIX = "event:"
 # Without a time to come back, and yet nothing says that the request must not
 # be sent again: its id makes that safe.
-_RESENT_KINDS = frozenset({ErrorKind.INTERNAL, ErrorKind.CANCELLED})
+_RETRIED_KINDS = frozenset({ErrorKind.INTERNAL, ErrorKind.CANCELLED})
 
 
 @dataclasses.dataclass(slots=True)
@@ -45,7 +45,7 @@
         count_by_refusal: Refusals by error kind.
         not_accepted: Connections that a closed listener refused.
         broken: Connections that broke or went silent after the request.
-        garbled: Streams whose text is not the text of their last event.
+        mismatched_streams: Streams whose text differs from their last event.
     """
 
     count_by_refusal: collections.Counter[str] = dataclasses.field(
@@ -62,7 +62,7 @@
 
     Attributes:
         timeout_s: Longest wait for one answer, or for news on a stream.
-        patience_s: Longest time over all tries of one request.
+        total_timeout_s: Longest time over all attempts of one request.
     """
 
     timeout_s: float = 20.0
@@ -97,40 +97,42 @@
         self, body: CreateProgramBody
     ) -> Result[ProgramBody, ErrorBody]:
         """Begins a program."""
-        return await self._until_told("", body, ProgramBody)
+        return await self._send_with_retries("", body, ProgramBody)
 
     async def turn(
         self, program_id: str, body: SendTurnBody
     ) -> Result[TurnAnswerBody, ErrorBody]:
         """Sends a turn and waits for its whole answer."""
         path = f"/{program_id}/turns"
-        return await self._until_told(path, body, TurnAnswerBody)
+        return await self._send_with_retries(path, body, TurnAnswerBody)
 
     async def call(
         self, program_id: str, body: CallServiceBody
     ) -> Result[CallAnswerBody, ErrorBody]:
         """Calls a service."""
         path = f"/{program_id}/calls"
-        return await self._until_told(path, body, CallAnswerBody)
+        return await self._send_with_retries(path, body, CallAnswerBody)
 
     async def branch(
         self, program_id: str, body: OpenBranchBody
     ) -> Result[ProgramBody, ErrorBody]:
         """Opens a sub-agent's branch."""
         path = f"/{program_id}/branches"
-        return await self._until_told(path, body, ProgramBody)
+        return await self._send_with_retries(path, body, ProgramBody)
 
     async def end(self, program_id: str) -> Result[ProgramBody, ErrorBody]:
         """Ends a program."""
         path = f"/{program_id}/end"
-        return await self._until_told(path, EndProgramBody(), ProgramBody)
+        return await self._send_with_retries(
+            path, EndProgramBody(), ProgramBody
+        )
 
     async def read(
         self, program_id: str, branch: str
     ) -> Result[ProgramBody, ErrorBody]:
         """Reads status and a branch's history."""
         path = f"/{program_id}?history={branch}"
-        return await self._until_told(path, None, ProgramBody)
+        return await self._send_with_retries(path, None, ProgramBody)
 
     async def send_once(
         self,
@@ -144,15 +146,15 @@
         Raises:
             httpx.TransportError: The connection failed or fell silent.
         """
-        whole = f"{url}{_PATH}{path}"
+        full_url = f"{url}{_PATH}{path}"
         if body is None:
-            return _told(await self._http.get(whole), kind)
+            return _parse_response(await self._http.get(full_url), kind)
         data = body.model_dump(mode="json")
         if isinstance(body, SendTurnBody) and body.stream:
-            return await self._stream(whole, data, kind)
-        return _told(await self._http.post(whole, json=data), kind)
+            return await self._stream(full_url, data, kind)
+        return _parse_response(await self._http.post(full_url, json=data), kind)
 
-    async def _until_told(
+    async def _send_with_retries(
         self, path: str, body: pydantic.BaseModel | None, kind: type[BodyT]
     ) -> Result[BodyT, ErrorBody]:
         deadline = time.monotonic() + self._settings.total_timeout_s
@@ -169,20 +171,20 @@
                 outcome = await self.send_once(url, path, body, kind)
             except httpx.ConnectError:
                 self._tally.not_accepted += 1
-                await asyncio.sleep(_RESEND_S)
+                await asyncio.sleep(_RETRY_DELAY_S)
                 continue
             except httpx.TransportError:
                 self._tally.broken += 1
-                await asyncio.sleep(_RESEND_S)
+                await asyncio.sleep(_RETRY_DELAY_S)
                 continue
             if isinstance(outcome, Success):
                 return outcome
             refusal = outcome.failure()
             self._tally.count_by_refusal[refusal.kind] += 1
             wait_ms = refusal.retry_after_ms
-            if wait_ms is None and refusal.kind not in _RESENT_KINDS:
+            if wait_ms is None and refusal.kind not in _RETRIED_KINDS:
                 return outcome
-            await asyncio.sleep(max(_RESEND_S, (wait_ms or 0) / 1000))
+            await asyncio.sleep(max(_RETRY_DELAY_S, (wait_ms or 0) / 1000))
         return Failed(refusal)
 
     async def _stream(
@@ -193,7 +195,7 @@
         async with self._http.stream("POST", url, json=data) as response:
             if not response.is_success:
                 await response.aread()
-                return _told(response, kind)
+                return _parse_response(response, kind)
             async for line in response.aiter_lines():
                 if line.startswith(_EVENT_PREFIX):
                     event = line.removeprefix(_EVENT_PREFIX).strip()
@@ -203,18 +205,18 @@
                 if event == "error":
                     return Failed(_ERROR_BODY.validate_json(value))
                 if event == "done":
-                    self._check_text(text, value)
+                    self._compare_stream_text(text, value)
                     return Success(kind.model_validate_json(value))
                 part = str(json.loads(value)["text"])
                 text = part if event == "restart" else text + part
         raise httpx.RemoteProtocolError("the stream has no last event")
 
-    def _check_text(self, text: str, done: str) -> None:
+    def _compare_stream_text(self, text: str, done: str) -> None:
         if json.loads(done)["text"] != text:
             self._tally.mismatched_streams += 1
 
 
-def _told(
+def _parse_response(
     response: httpx.Response, kind: type[BodyT]
 ) -> Result[BodyT, ErrorBody]:
     if response.is_success:
--- a/tools/load/src/masticdale_load/system_faults.py
+++ b/tools/load/src/masticdale_load/system_faults.py
@@ -15,18 +15,18 @@
 from masticdale_standins.clusters import LocalCluster
 from masticdale_standins.testing import RunningProcess
 
-_LEAVING_GRACE_S = 5.0
-_LEAVING_POLL_S = 0.1
-_STOP_S = 60.0
+_LEAVING_WATCH_S = 5.0
+_POLL_S = 0.1
+_STOP_TIMEOUT_S = 60.0
 _SLOW_MS = 400
 _LOST_ANSWERS = 3
 _HTTP_TIMEOUT_S = 5.0
 # A host is taken for dead, and its homes and shards move, within so long.
-_AFTERMATH_S = 4.0
+_RECOVERY_S = 4.0
 
 
 @dataclasses.dataclass(slots=True)
-class FaultNotes:
+class FaultMeasurements:
     """What the faults showed.
 
     Attributes:
@@ -54,31 +54,31 @@
     stop_seconds: list[float] = dataclasses.field(default_factory=list)
 
 
-class Disturbances:
+class FaultTracker:
     """When hosts and the platform were not well."""
 
     def __init__(self) -> None:
-        self._under_way = 0
-        self._ended_at = -_AFTERMATH_S
+        self._active = 0
+        self._ended_at = -_RECOVERY_S
         self._count = 0
 
     @contextlib.contextmanager
-    def one(self) -> Iterator[None]:
+    def track(self) -> Iterator[None]:
         """Notes one for as long as the block."""
-        self._under_way += 1
+        self._active += 1
         self._count += 1
         try:
             yield
         finally:
-            self._under_way -= 1
+            self._active -= 1
             self._ended_at = time.monotonic()
 
-    def mark(self) -> int | None:
+    def checkpoint(self) -> int | None:
         """Returns what to give to ``is_alone``; None if something goes on."""
-        is_calm = time.monotonic() - self._ended_at > _AFTERMATH_S
-        return None if self._under_way or not is_calm else self._count
+        has_recovered = time.monotonic() - self._ended_at > _RECOVERY_S
+        return None if self._active or not has_recovered else self._count
 
-    def is_alone(self, mark: int | None) -> bool:
+    def is_isolated(self, mark: int | None) -> bool:
         """Returns whether nothing else went on before or since the mark."""
         return mark == self._count
 
@@ -89,15 +89,15 @@
     def __init__(
         self, plan: SystemPlan, cluster: LocalCluster, probe: TakeoverProbe
     ) -> None:
-        self.notes = FaultNotes()
+        self.measurements = FaultMeasurements()
         self._plan = plan
         self._cluster = cluster
         self._probe = probe
         self._random = random.Random(f"faults-{plan.seed}")
         self._busy: set[str] = set()
-        self._disturbances = Disturbances()
+        self._fault_tracker = FaultTracker()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._act_by_kind: dict[FaultKind, Callable[[], Awaitable[None]]] = {
+        self._inject_by_kind: dict[FaultKind, Callable[[], Awaitable[None]]] = {
             FaultKind.KILL_HOST: self._kill_host,
             FaultKind.PAUSE_HOST: self._pause_host,
             FaultKind.RESTART_HOST: self._restart_some_host,
@@ -121,12 +121,12 @@
         while True:
             await asyncio.sleep(self._plan.fault_period_s)
             kind = self._random.choice(self._plan.faults)
-            self.notes.count_by_fault[kind.value] += 1
-            task = asyncio.ensure_future(self._act_by_kind[kind]())
+            self.measurements.count_by_fault[kind.value] += 1
+            task = asyncio.ensure_future(self._inject_by_kind[kind]())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def settle(self) -> None:
+    async def wait_until_reverted(self) -> None:
         """Waits until every fault is taken back."""
         await asyncio.gather(*self._tasks)
 
@@ -149,16 +149,16 @@
         self._busy.add(host)
         try:
             shards = await self._probe.shards_of(host)
-            mark = self._disturbances.mark()
+            mark = self._fault_tracker.checkpoint()
             self._cluster.daemon_by_name[host].process.kill()
             seconds = await self._probe.measure(shards)
-            is_alone = self._disturbances.is_alone(mark)
-            notes = self.notes
-            samples = notes.takeover_s
+            is_alone = self._fault_tracker.is_isolated(mark)
+            measurements = self.measurements
+            samples = measurements.takeover_s
             if not is_alone:
-                samples = notes.takeover_twofold_s
+                samples = measurements.takeover_twofold_s
             samples.extend(seconds)
-            with self._disturbances.one():
+            with self._fault_tracker.track():
                 await self._start(host)
         finally:
             self._busy.discard(host)
@@ -169,7 +169,7 @@
             return
         self._busy.add(host)
         process = self._cluster.daemon_by_name[host].process
-        with self._disturbances.one():
+        with self._fault_tracker.track():
             process.pause()
             try:
                 await asyncio.sleep(2 * self._plan.fault_s)
@@ -182,7 +182,7 @@
         host = self._pick_host()
         if host is None:
             return
-        with self._disturbances.one():
+        with self._fault_tracker.track():
             await self._restart(host)
 
     async def _restart(self, host: str) -> None:
@@ -190,17 +190,17 @@
         process = self._cluster.daemon_by_name[host].process
         started = time.monotonic()
         process.terminate()
-        self.notes.stops += 1
+        self.measurements.stops += 1
         while process.exit_code is None:
-            if time.monotonic() - started > _STOP_S:
-                self.notes.failed_stops.append(f"{host}: still runs")
+            if time.monotonic() - started > _STOP_TIMEOUT_S:
+                self.measurements.failed_stops.append(f"{host}: still runs")
                 process.kill()
                 break
-            await asyncio.sleep(_LEAVING_POLL_S)
-        self.notes.stop_seconds.append(time.monotonic() - started)
+            await asyncio.sleep(_POLL_S)
+        self.measurements.stop_seconds.append(time.monotonic() - started)
         if process.exit_code != 0:
             detail = f"{host}: exit code {process.exit_code}"
-            self.notes.failed_stops.append(detail)
+            self.measurements.failed_stops.append(detail)
         await self._start(host)
         self._busy.discard(host)
 
@@ -218,40 +218,40 @@
         await self._platform_fault(lose_write_answers=_LOST_ANSWERS)
 
     async def _platform_fault(self, **faults: object) -> None:
-        with self._disturbances.one():
-            await self._set(self._cluster.platform, **faults)
+        with self._fault_tracker.track():
+            await self._set_faults(self._cluster.platform, **faults)
             await asyncio.sleep(self._plan.fault_s)
-            await self._set(self._cluster.platform)
+            await self._set_faults(self._cluster.platform)
 
     async def _engine_crash(self) -> None:
-        await self._set(self._pick_engine(), crash_now=True)
+        await self._set_faults(self._pick_engine(), crash_now=True)
 
     async def _engine_freeze(self) -> None:
-        await self._set(self._pick_engine(), freeze_streams=True)
+        await self._set_faults(self._pick_engine(), freeze_streams=True)
 
     async def _engine_cross(self) -> None:
-        await self._set(self._pick_engine(), cross_answers=2)
+        await self._set_faults(self._pick_engine(), cross_answers=2)
 
     async def _engine_truncate(self) -> None:
-        await self._set(self._pick_engine(), truncate=2)
+        await self._set_faults(self._pick_engine(), truncate=2)
 
     async def _engine_leaves(self) -> None:
         process = self._pick_engine()
-        await self._set(process, leaving=True)
+        await self._set_faults(process, leaving=True)
         await self._watch_leaving(process)
-        await self._set(process)
+        await self._set_faults(process)
 
     async def _engine_listed(self) -> None:
         name = self._random.choice(sorted(self._cluster.engine_by_name))
-        await self._list(name, leaving=True)
+        await self._set_listed(name, leaving=True)
         await self._watch_leaving(self._cluster.engine_by_name[name])
-        await self._list(name, leaving=False)
+        await self._set_listed(name, leaving=False)
 
     async def _service_loses(self) -> None:
-        await self._set(self._pick_service(), lose_answers=2)
+        await self._set_faults(self._pick_service(), lose_answers=2)
 
     async def _service_refuses(self) -> None:
-        await self._set(self._pick_service(), refuse_before_running=2)
+        await self._set_faults(self._pick_service(), refuse_before_running=2)
 
     def _pick_engine(self) -> RunningProcess:
         engines = self._cluster.engine_by_name
@@ -263,20 +263,20 @@
 
     async def _watch_leaving(self, process: RunningProcess) -> None:
         """Notes when the last new call came after it began to leave."""
-        mark = self._disturbances.mark()
+        mark = self._fault_tracker.checkpoint()
         started = time.monotonic()
         last_s = 0.0
         calls = await self._calls(process)
-        while time.monotonic() - started < _LEAVING_GRACE_S:
-            await asyncio.sleep(_LEAVING_POLL_S)
+        while time.monotonic() - started < _LEAVING_WATCH_S:
+            await asyncio.sleep(_POLL_S)
             now_calls = await self._calls(process)
             if now_calls != calls:
                 last_s = time.monotonic() - started
             calls = now_calls
-        if self._disturbances.is_alone(mark):
-            self.notes.leaving_s.append(last_s)
+        if self._fault_tracker.is_isolated(mark):
+            self.measurements.leaving_s.append(last_s)
         else:
-            self.notes.leaving_twofold_s.append(last_s)
+            self.measurements.leaving_twofold_s.append(last_s)
 
     async def _calls(self, process: RunningProcess) -> int:
         url = f"{process.base_url}/admin/stats"
@@ -285,7 +285,7 @@
         calls: int = response.json()["calls"]
         return calls
 
-    async def _list(self, name: str, leaving: bool) -> None:
+    async def _set_listed(self, name: str, leaving: bool) -> None:
         url = f"{self._cluster.platform.base_url}/admin/hosts"
         async with _http() as http:
             response = await http.post(
@@ -293,7 +293,9 @@
             )
         response.raise_for_status()
 
-    async def _set(self, process: RunningProcess, **faults: object) -> None:
+    async def _set_faults(
+        self, process: RunningProcess, **faults: object
+    ) -> None:
         await asyncio.to_thread(self._cluster.faults, process, **faults)
 
 
--- a/tools/load/src/masticdale_load/system_hosts.py
+++ b/tools/load/src/masticdale_load/system_hosts.py
@@ -16,12 +16,14 @@
     def __init__(self, url_by_host: dict[str, str]) -> None:
         self._url_by_host = url_by_host
         self._ready = frozenset(url_by_host)
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
 
     def next_url(self) -> str:
         """Returns where to send a request; any host if none is ready."""
         hosts = sorted(self._ready) or sorted(self._url_by_host)
-        return self._url_by_host[hosts[next(self._numbers) % len(hosts)]]
+        return self._url_by_host[
+            hosts[next(self._request_numbers) % len(hosts)]
+        ]
 
     def urls(self) -> tuple[str, ...]:
         """Returns the URLs of every host."""
--- a/tools/load/src/masticdale_load/system_ledger.py
+++ b/tools/load/src/masticdale_load/system_ledger.py
@@ -26,7 +26,7 @@
         max_tokens: Most tokens of each answer.
         acknowledged_by_branch: Answered turns in their order.
         sent_ids: Every request id that was sent.
-        finish_by_request_id: What was told last of each unrepeatable call.
+        outcome_by_request_id: Last reported outcome of each unrepeatable call.
         ended: Whether the end was acknowledged.
     """
 
@@ -38,7 +38,7 @@
         default_factory=lambda: {MAIN_BRANCH: []}
     )
     sent_ids: set[str] = dataclasses.field(default_factory=set)
-    finish_by_request_id: dict[str, str] = dataclasses.field(
+    outcome_by_request_id: dict[str, str] = dataclasses.field(
         default_factory=dict
     )
     ended: bool = False
--- a/tools/load/src/masticdale_load/system_programs.py
+++ b/tools/load/src/masticdale_load/system_programs.py
@@ -11,9 +11,9 @@
 
 from masticdale_common import ErrorKind, Executed
 from masticdale_load.system_checks import (
-    TOLD_DONE,
-    TOLD_NOT_RUN,
-    TOLD_UNKNOWN,
+    REPORTED_DONE,
+    REPORTED_NOT_RUN,
+    REPORTED_UNKNOWN,
 )
 from masticdale_load.system_client import SystemClient
 from masticdale_load.system_declarations import Deployment
@@ -34,8 +34,8 @@
 _BRANCH_SHARE = 0.05
 _PAUSE_SHARE = 0.2
 _BRANCH_TURNS = 2
-_SHORTEST_WORDS = 5
-_LONGEST_WORDS = 60
+_MIN_WORDS = 5
+_MAX_WORDS = 60
 
 
 @dataclasses.dataclass(slots=True)
@@ -73,7 +73,7 @@
         self._label = f"{plan.seed}-{number}"
         self._random = random.Random(self._label)
         self._request_count = 0
-        self._is_stuck = False
+        self._is_stopped = False
         self._is_short = self._random.random() < _SHORT_SHARE
 
     async def run(self) -> None:
@@ -95,7 +95,7 @@
         )
         self._progress.ledgers.append(ledger)
         for _ in range(self._plan.steps):
-            if self._is_stuck:
+            if self._is_stopped:
                 break
             await self._step(ledger)
         ended = await self._client.end(ledger.program_id)
@@ -109,18 +109,18 @@
             pause_ms = self._random.uniform(0, self._plan.pause_ms)
             await asyncio.sleep(pause_ms / 1000)
         if self._is_short:
-            await self._turn(ledger, MAIN_BRANCH)
+            await self._send_turn(ledger, MAIN_BRANCH)
         elif draw < _UNREPEATABLE_SHARE:
-            await self._call_once(ledger)
+            await self._call_unrepeatable(ledger)
         elif draw < _UNREPEATABLE_SHARE + _REPEATABLE_SHARE:
             await self._call_repeatable(ledger)
         elif draw < _UNREPEATABLE_SHARE + _REPEATABLE_SHARE + _BRANCH_SHARE:
-            await self._sub_agent(ledger)
+            await self._run_sub_agent(ledger)
         else:
-            await self._turn(ledger, MAIN_BRANCH)
+            await self._send_turn(ledger, MAIN_BRANCH)
 
-    async def _turn(self, ledger: ProgramLedger, branch: str) -> None:
-        words = self._random.randint(_SHORTEST_WORDS, _LONGEST_WORDS)
+    async def _send_turn(self, ledger: ProgramLedger, branch: str) -> None:
+        words = self._random.randint(_MIN_WORDS, _MAX_WORDS)
         message = " ".join(
             f"{self._random.getrandbits(24):06x}" for _ in range(words)
         )
@@ -134,29 +134,31 @@
         started = time.monotonic()
         outcome = await self._client.turn(ledger.program_id, body)
         if isinstance(outcome, Failed):
-            self._refused_turn(ledger, outcome.failure().kind)
+            self._handle_turn_failure(ledger, outcome.failure().kind)
             return
         self._progress.turn_seconds.append(time.monotonic() - started)
-        told = Acknowledged(body.request_id, message, outcome.unwrap().text)
-        ledger.acknowledged_by_branch[branch].append(told)
+        acknowledged = Acknowledged(
+            body.request_id, message, outcome.unwrap().text
+        )
+        ledger.acknowledged_by_branch[branch].append(acknowledged)
 
-    def _refused_turn(self, ledger: ProgramLedger, kind: str) -> None:
+    def _handle_turn_failure(self, ledger: ProgramLedger, kind: str) -> None:
         if self._is_short and kind == ErrorKind.BUDGET_EXCEEDED:
-            self._is_stuck = True
+            self._is_stopped = True
             return
         self._give_up(f"{ledger.program_id} turn", kind)
 
-    async def _call_once(self, ledger: ProgramLedger) -> None:
+    async def _call_unrepeatable(self, ledger: ProgramLedger) -> None:
         body = self._call_body(ledger, self._deployment.unrepeatable)
         outcome = await self._client.call(ledger.program_id, body)
-        told = TOLD_DONE
+        reported = REPORTED_DONE
         if isinstance(outcome, Failed):
             refusal = outcome.failure()
             is_not_run = refusal.ran == Executed.NO
-            told = TOLD_NOT_RUN if is_not_run else TOLD_UNKNOWN
+            reported = REPORTED_NOT_RUN if is_not_run else REPORTED_UNKNOWN
             if refusal.kind != ErrorKind.OUTCOME_UNKNOWN:
                 self._give_up(f"{ledger.program_id} call", refusal.kind)
-        ledger.finish_by_request_id[body.request_id] = told
+        ledger.outcome_by_request_id[body.request_id] = reported
 
     async def _call_repeatable(self, ledger: ProgramLedger) -> None:
         body = self._call_body(ledger, self._deployment.repeatable)
@@ -164,7 +166,7 @@
         if isinstance(outcome, Failed):
             self._give_up(f"{ledger.program_id} lookup", outcome.failure().kind)
 
-    async def _sub_agent(self, ledger: ProgramLedger) -> None:
+    async def _run_sub_agent(self, ledger: ProgramLedger) -> None:
         branch = f"sub-{self._request_count}"
         opened = await self._client.branch(
             ledger.program_id, OpenBranchBody(branch=branch)
@@ -174,12 +176,15 @@
             return
         ledger.acknowledged_by_branch[branch] = []
         await asyncio.gather(
-            self._turns(ledger, branch), self._turn(ledger, MAIN_BRANCH)
+            self._send_branch_turns(ledger, branch),
+            self._send_turn(ledger, MAIN_BRANCH),
         )
 
-    async def _turns(self, ledger: ProgramLedger, branch: str) -> None:
+    async def _send_branch_turns(
+        self, ledger: ProgramLedger, branch: str
+    ) -> None:
         for _ in range(_BRANCH_TURNS):
-            await self._turn(ledger, branch)
+            await self._send_turn(ledger, branch)
 
     def _call_body(
         self, ledger: ProgramLedger, operation: str
@@ -197,5 +202,5 @@
         return request_id
 
     def _give_up(self, what: str, kind: str) -> None:
-        self._is_stuck = True
+        self._is_stopped = True
         self._progress.given_up.append(f"{self._label} {what}: {kind}")
--- a/tools/load/src/masticdale_load/system_relays.py
+++ b/tools/load/src/masticdale_load/system_relays.py
@@ -23,9 +23,9 @@
 
     def __init__(self, target_port: int) -> None:
         self._target_port = target_port
-        self._passing: set[asyncio.Task[None]] = set()
+        self._forwarding: set[asyncio.Task[None]] = set()
         self._writers: list[asyncio.StreamWriter] = []
-        self._is_cut = False
+        self._is_partitioned = False
         self._server: asyncio.Server | None = None
 
     @property
@@ -41,19 +41,19 @@
 
     async def stall_connections(self) -> None:
         """Makes every open connection silent."""
-        passing = list(self._passing)
-        for task in passing:
+        forwarding = list(self._forwarding)
+        for task in forwarding:
             task.cancel()
-        await asyncio.gather(*passing, return_exceptions=True)
+        await asyncio.gather(*forwarding, return_exceptions=True)
 
     async def partition(self) -> None:
         """Makes every open and every new connection silent."""
-        self._is_cut = True
+        self._is_partitioned = True
         await self.stall_connections()
 
     async def heal(self) -> None:
         """Lets new connections work again."""
-        self._is_cut = False
+        self._is_partitioned = False
 
     async def close(self) -> None:
         """Closes everything."""
@@ -67,7 +67,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.append(writer)
-        if self._is_cut:
+        if self._is_partitioned:
             return
         try:
             far_reader, far_writer = await asyncio.open_connection(
@@ -78,9 +78,9 @@
             return
         self._writers.append(far_writer)
         for source, sink in ((reader, far_writer), (far_reader, writer)):
-            task = asyncio.create_task(_pass_on(source, sink))
-            self._passing.add(task)
-            task.add_done_callback(self._passing.discard)
+            task = asyncio.create_task(_forward(source, sink))
+            self._forwarding.add(task)
+            task.add_done_callback(self._forwarding.discard)
 
 
 class RelayThread:
@@ -126,7 +126,7 @@
         thread.close()
 
 
-async def _pass_on(
+async def _forward(
     source: asyncio.StreamReader, sink: asyncio.StreamWriter
 ) -> None:
     try:
--- a/tools/load/src/masticdale_load/system_reports.py
+++ b/tools/load/src/masticdale_load/system_reports.py
@@ -7,16 +7,16 @@
 
 from masticdale_load.system_checks import Verdict
 from masticdale_load.system_client import ClientStats
-from masticdale_load.system_faults import FaultNotes
+from masticdale_load.system_faults import FaultMeasurements
 from masticdale_load.system_plans import SystemPlan
 from masticdale_load.system_programs import Progress
 
 _MEDIAN = 0.5
 _P99 = 0.99
-_SHOWN = 20
+_MAX_SHOWN = 20
 
 
-class Spread(pydantic.BaseModel):
+class Quantiles(pydantic.BaseModel):
     """Quantiles of a list of seconds; zeros where it is empty."""
 
     count: int
@@ -88,13 +88,13 @@
     restart_refusals: dict[str, int]
     restart_broken: int
     restart_not_accepted: int
-    turn_latency: Spread
-    takeover: Spread
-    takeover_twofold: Spread
-    leaving: Spread
-    leaving_twofold: Spread
+    turn_latency: Quantiles
+    takeover: Quantiles
+    takeover_twofold: Quantiles
+    leaving: Quantiles
+    leaving_twofold: Quantiles
     stops: int
-    stop_seconds: Spread
+    stop_seconds: Quantiles
     failed_stops: list[str]
     faults: dict[str, int]
 
@@ -118,17 +118,19 @@
         )
 
 
-def spread(seconds: Sequence[float]) -> Spread:
+def quantiles(seconds: Sequence[float]) -> Quantiles:
     """Returns the quantiles of a list of seconds."""
     if not seconds:
-        return Spread(count=0, p50=0, p99=0, most=0)
+        return Quantiles(count=0, p50=0, p99=0, most=0)
     ordered = sorted(seconds)
 
     def at(share: float) -> float:
         index = math.ceil(share * len(ordered)) - 1
         return round(ordered[max(0, index)], 3)
 
-    return Spread(count=len(ordered), p50=at(_MEDIAN), p99=at(_P99), most=at(1))
+    return Quantiles(
+        count=len(ordered), p50=at(_MEDIAN), p99=at(_P99), most=at(1)
+    )
 
 
 def create_report(
@@ -137,7 +139,7 @@
     progress: Progress,
     tally: ClientStats,
     restart: ClientStats,
-    notes: FaultNotes,
+    measurements: FaultMeasurements,
     verdict: Verdict,
     memory_held: Sequence[str],
 ) -> SystemReport:
@@ -149,7 +151,7 @@
         progress: What the programs came to.
         tally: What callers met in all.
         restart: The part of it during the rolling restart.
-        notes: What the faults showed.
+        measurements: What was measured during the faults.
         verdict: What the checks found.
         memory_held: Ended programs with engine memory.
     """
@@ -163,9 +165,9 @@
         mixed=verdict.mixed,
         disordered=verdict.disordered,
         executed=verdict.executed,
-        executed_twice=verdict.twice,
+        executed_twice=verdict.executed_twice,
         untrue=verdict.untrue,
-        outcome_unknown=verdict.unknown,
+        outcome_unknown=verdict.outcome_unknown,
         garbled_streams=tally.mismatched_streams,
         over_budget=progress.over_budget,
         given_up=progress.given_up,
@@ -177,15 +179,15 @@
         restart_refusals=dict(restart.count_by_refusal),
         restart_broken=restart.broken,
         restart_not_accepted=restart.not_accepted,
-        turn_latency=spread(progress.turn_seconds),
-        takeover=spread(notes.takeover_s),
-        takeover_twofold=spread(notes.takeover_twofold_s),
-        leaving=spread(notes.leaving_s),
-        leaving_twofold=spread(notes.leaving_twofold_s),
-        stops=notes.stops,
-        stop_seconds=spread(notes.stop_seconds),
-        failed_stops=notes.failed_stops,
-        faults=dict(notes.count_by_fault),
+        turn_latency=quantiles(progress.turn_seconds),
+        takeover=quantiles(measurements.takeover_s),
+        takeover_twofold=quantiles(measurements.takeover_twofold_s),
+        leaving=quantiles(measurements.leaving_s),
+        leaving_twofold=quantiles(measurements.leaving_twofold_s),
+        stops=measurements.stops,
+        stop_seconds=quantiles(measurements.stop_seconds),
+        failed_stops=measurements.failed_stops,
+        faults=dict(measurements.count_by_fault),
     )
 
 
@@ -196,9 +198,9 @@
         if name == "plan":
             value = f"{report.plan.name}, seed {report.plan.seed}"
         if isinstance(value, list):
-            shown = "; ".join(value[:_SHOWN])
+            shown = "; ".join(value[:_MAX_SHOWN])
             value = f"{len(value)}  {shown}".rstrip()
-        if isinstance(value, Spread):
+        if isinstance(value, Quantiles):
             value = (
                 f"p50 {value.p50} s, p99 {value.p99} s, most {value.most} s"
                 f" ({value.count})"
--- a/tools/load/src/masticdale_load/system_runs.py
+++ b/tools/load/src/masticdale_load/system_runs.py
@@ -55,11 +55,11 @@
 _PREFILL_TOKENS_PER_S = 2_000_000
 _RELEASE_WAIT_S = 40.0
 _RELEASE_POLL_S = 0.5
-_READERS = 16
+_MAX_CONCURRENT_READS = 16
 _PROBE_TIMEOUT_S = 1.5
-_LIST_LAG_MS = 500
-_HALF = 0.5
-_WATCH_S = 0.2
+_DISCOVERY_LAG_MS = 500
+_RESTART_AT_SHARE = 0.5
+_PROGRESS_POLL_S = 0.2
 
 
 def load_plan(path: pathlib.Path) -> Result[SystemPlan, Failure]:
@@ -84,7 +84,7 @@
             for name in services
         },
         platform=PlatformSettings(
-            port=1, hosts=hosts, hosts_lag_ms=_LIST_LAG_MS
+            port=1, hosts=hosts, hosts_lag_ms=_DISCOVERY_LAG_MS
         ),
     )
 
@@ -147,9 +147,11 @@
             await self._probe.prepare(DEPLOYMENTS[0].program, self._plan.seed)
             started = time.monotonic()
             async with self._background(self._faults.run()):
-                await asyncio.gather(self._drive(started), self._roll())
+                await asyncio.gather(
+                    self._run_callers(started), self._run_rolling_restart()
+                )
             seconds = time.monotonic() - started
-            await self._faults.settle()
+            await self._faults.wait_until_reverted()
             verdict = await self._check()
             held = await self._wait_released()
         for client in (*self._client_by_key.values(), self._probe_client):
@@ -160,7 +162,7 @@
             self._progress,
             self._tally,
             self._restart_tally,
-            self._faults.notes,
+            self._faults.measurements,
             verdict,
             held,
         )
@@ -176,11 +178,11 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
-    async def _drive(self, started: float) -> None:
+    async def _run_callers(self, started: float) -> None:
         workers = range(self._plan.programs_at_once)
-        await asyncio.gather(*(self._work(started) for _ in workers))
+        await asyncio.gather(*(self._run_caller(started) for _ in workers))
 
-    async def _work(self, started: float) -> None:
+    async def _run_caller(self, started: float) -> None:
         while self._is_under_way(started):
             number = next(self._numbers)
             deployment = DEPLOYMENTS[number % len(DEPLOYMENTS)]
@@ -197,11 +199,11 @@
     def _turns(self) -> int:
         return len(self._progress.turn_seconds)
 
-    async def _roll(self) -> None:
+    async def _run_rolling_restart(self) -> None:
         if not self._plan.rolling_restart:
             return
-        while self._turns() < self._plan.turns * _HALF:
-            await asyncio.sleep(_WATCH_S)
+        while self._turns() < self._plan.turns * _RESTART_AT_SHARE:
+            await asyncio.sleep(_PROGRESS_POLL_S)
         before = copy.deepcopy(self._tally)
         await self._faults.restart_all()
         self._restart_tally = ClientStats(
@@ -212,7 +214,7 @@
 
     async def _check(self) -> Verdict:
         verdict = Verdict()
-        limit = asyncio.Semaphore(_READERS)
+        limit = asyncio.Semaphore(_MAX_CONCURRENT_READS)
         await asyncio.gather(
             *(
                 self._check_program(ledger, verdict, limit)
@@ -251,12 +253,12 @@
         """Waits until engines hold nothing for ended programs."""
         deadline = time.monotonic() + _RELEASE_WAIT_S
         while True:
-            held = await self._held_by_ended()
+            held = await self._ended_programs_in_engines()
             if not held or time.monotonic() > deadline:
                 return held
             await asyncio.sleep(_RELEASE_POLL_S)
 
-    async def _held_by_ended(self) -> list[str]:
+    async def _ended_programs_in_engines(self) -> list[str]:
         ended = {x.program_id for x in self._progress.ledgers if x.ended}
         held: list[str] = []
         async with httpx.AsyncClient(trust_env=False) as http:
--- a/tools/load/src/masticdale_load/system_takeover.py
+++ b/tools/load/src/masticdale_load/system_takeover.py
@@ -15,7 +15,7 @@
 
 _PLATFORM_TIMEOUT_S = 2.0
 _POLL_S = 0.05
-_LONGEST_S = 60.0
+_MAX_WAIT_S = 60.0
 
 
 class TakeoverProbe:
@@ -70,15 +70,15 @@
 
     async def _wait(self, shard: int, started: float) -> float:
         path = f"/{self._program_by_shard[shard]}?history={MAIN_BRANCH}"
-        while time.monotonic() < started + _LONGEST_S:
+        while time.monotonic() < started + _MAX_WAIT_S:
             url = self._balancer.next_url()
             try:
-                told = await self._client.send_once(
+                response = await self._client.send_once(
                     url, path, None, ProgramBody
                 )
             except httpx.TransportError:
-                told = None
-            if isinstance(told, Success):
+                response = None
+            if isinstance(response, Success):
                 break
             await asyncio.sleep(_POLL_S)
         return time.monotonic() - started
--- a/tools/load/src/masticdale_load/traces.py
+++ b/tools/load/src/masticdale_load/traces.py
@@ -15,7 +15,7 @@
 import fire
 
 # Lines that change what a host believes; see docs/OPERATIONS.md.
-_BELIEFS = (
+_STATE_CHANGES = (
     "started",
     "stopping",
     "stopped",
@@ -36,14 +36,20 @@
     "copy_not_sealed",
 )
 # Fields that say nothing to the reader of one line.
-_NOISE = ("timestamp", "task_uuid", "task_level", "message_type", "host")
+_HIDDEN_FIELDS = (
+    "timestamp",
+    "task_uuid",
+    "task_level",
+    "message_type",
+    "host",
+)
 # Beliefs from this long before a refused request may be its cause, in seconds:
 # as long as a host asks for a turn, and as long again.
-_CAUSES_S = 2.4
+_CAUSE_WINDOW_S = 2.4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """One log line.
 
     Attributes:
@@ -59,11 +65,13 @@
     fields: dict[str, Any]
 
     def __str__(self) -> str:
-        shown = {k: v for k, v in self.fields.items() if k not in _NOISE}
+        shown = {
+            k: v for k, v in self.fields.items() if k not in _HIDDEN_FIELDS
+        }
         return f"{self.at:10.3f} {self.host} {self.kind} {json.dumps(shown)}"
 
 
-def read_lines(texts: Iterable[str]) -> Iterator[Line]:
+def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
     """Yields the log lines among any text."""
     for text in texts:
         before, brace, rest = text.partition("{")
@@ -77,10 +85,10 @@
         words = before.split()
         at = float(words[0]) if words else float(fields.get("timestamp", 0))
         host = words[1] if len(words) > 1 else str(fields.get("host", ""))
-        yield Line(at, host, str(fields["message_type"]), fields)
+        yield LogLine(at, host, str(fields["message_type"]), fields)
 
 
-def follow(lines: list[Line], wanted: str) -> list[Line]:
+def trace(lines: list[LogLine], wanted: str) -> list[LogLine]:
     """Returns the lines of one request or program and their likely causes.
 
     Args:
@@ -106,15 +114,15 @@
     causes = [
         line
         for line in lines
-        if line.kind in _BELIEFS
+        if line.kind in _STATE_CHANGES
         and line.fields.get("shard") in (None, *shards)
-        and any(0 <= r.at - line.at <= _CAUSES_S for r in refused)
+        and any(0 <= r.at - line.at <= _CAUSE_WINDOW_S for r in refused)
     ]
     return sorted((*own, *causes), key=lambda line: line.at)
 
 
 def count_refusals(
-    lines: Iterable[Line], window_s: float
+    lines: Iterable[LogLine], window_s: float
 ) -> list[tuple[float, str, int]]:
     """Returns refused requests by window and reason, the windows in order."""
     counts: collections.Counter[tuple[float, str]] = collections.Counter()
@@ -130,8 +138,8 @@
     return [(at, why, n) for (at, why), n in sorted(counts.items())]
 
 
-def _load(logs: tuple[str, ...]) -> list[Line]:
-    found: list[Line] = []
+def _load(logs: tuple[str, ...]) -> list[LogLine]:
+    found: list[LogLine] = []
     for name in logs:
         with pathlib.Path(name).open(errors="replace") as file:
             found.extend(read_lines(file))
@@ -148,7 +156,7 @@
             wanted: The request's or program's id.
             logs: Files with the lines of all hosts.
         """
-        lines = follow(_load(logs), str(wanted))
+        lines = trace(_load(logs), str(wanted))
         if not lines:
             print(f"no line names {wanted}", file=sys.stderr)
             sys.exit(1)
--- a/tools/load/src/masticdale_load/virtual_time.py
+++ b/tools/load/src/masticdale_load/virtual_time.py
@@ -13,7 +13,7 @@
 _CLOCK_RESOLUTION_S = 1e-9
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Advances the clock where a real selector would block."""
 
     def __init__(self) -> None:
@@ -38,13 +38,13 @@
     """An event loop on virtual seconds, from 0."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._selector_clock = _VirtualTimeSelector()
+        super().__init__(self._selector_clock)
         self._clock_resolution = _CLOCK_RESOLUTION_S
 
     def time(self) -> float:
         """Returns the virtual seconds since the loop was made."""
-        return self._jumping.now
+        return self._selector_clock.now
 
 
 def run(main: Coroutine[Any, Any, ValueT]) -> ValueT:
--- a/tools/load/src/masticdale_load/workloads.py
+++ b/tools/load/src/masticdale_load/workloads.py
@@ -9,8 +9,8 @@
 
 _REFERENCE_LOAD = 0.8
 _SAMPLE_PROGRAMS = 20_000
-_MOST_CONTEXT_TOKENS = 150_000
-_MOST_SUB_AGENTS = 3
+_MAX_CONTEXT_TOKENS = 150_000
+_MAX_SUB_AGENTS = 3
 _SUB_AGENT_TURNS = 4
 
 
@@ -175,7 +175,7 @@
         for _ in range(turn_count):
             turn = self._turn(kind, sub_agent_share)
             context += turn.new_tokens + turn.generated_tokens
-            if context > _MOST_CONTEXT_TOKENS:
+            if context > _MAX_CONTEXT_TOKENS:
                 break
             turns.append(turn)
         return BranchPlan(tuple(turns))
@@ -186,7 +186,7 @@
         )[0]
         sub_agents: tuple[BranchPlan, ...] = ()
         if self._random.random() < sub_agent_share:
-            count = self._random.randint(1, _MOST_SUB_AGENTS)
+            count = self._random.randint(1, _MAX_SUB_AGENTS)
             sub_agents = tuple(self._sub_agent(kind) for _ in range(count))
         return TurnPlan(
             self._length(kind.mean_new_tokens),
@@ -227,9 +227,9 @@
     spec = experiment.engine.spec()
     generator = ProgramGenerator(experiment)
     plans = [generator.draw(0.0) for _ in range(_SAMPLE_PROGRAMS)]
-    prints = [footprint(p.root, p.template_tokens, spec) for p in plans]
-    demand_s = sum(p.demand_s for p in prints) / len(prints)
-    token_s = sum(p.token_s for p in prints) / len(prints)
+    footprints = [footprint(p.root, p.template_tokens, spec) for p in plans]
+    demand_s = sum(p.demand_s for p in footprints) / len(footprints)
+    token_s = sum(p.token_s for p in footprints) / len(footprints)
     rate = experiment.deployment.model_replicas / demand_s
     return Demand(rate, rate * _REFERENCE_LOAD * token_s)
 
--- a/tools/load/tests/test_engine.py
+++ b/tools/load/tests/test_engine.py
@@ -58,7 +58,7 @@
     def test_tail_of_the_least_recently_used_goes_first(self):
         cache = PrefixCache(1_000, interval=64)
         for key in "abc":
-            cache.hold(key, 400)
+            cache.store(key, 400)
         left = [cache.tokens(key) for key in "abc"]
         self.assertEqual(left, [192, 400, 400])
 
@@ -67,7 +67,7 @@
     def test_unpinned_prefixes_never_exceed_the_capacity(self, steps):
         cache = PrefixCache(1_000)
         for key, tokens in steps:
-            cache.hold(key, tokens)
+            cache.store(key, tokens)
             held = sum(cache.tokens(k) for k in "abcdef")
             self.assertEqual(held, cache.used_tokens)
             self.assertLessEqual(held, 1_000)
--- a/tools/load/tests/test_traces.py
+++ b/tools/load/tests/test_traces.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from masticdale_load.traces import count_refusals, follow, read_lines
+from masticdale_load.traces import count_refusals, read_lines, trace
 
 
 def line(at, host, kind, **fields):
@@ -55,14 +55,14 @@
         self.assertEqual(len(self.lines), 7)
 
     def test_a_refused_request_leads_to_what_its_shard_went_through(self):
-        kinds = [found.kind for found in follow(self.lines, "r1")]
+        kinds = [found.kind for found in trace(self.lines, "r1")]
         self.assertEqual(
             kinds,
             ["store_lost", "shard_alone", "ledger_unavailable", "request"],
         )
 
     def test_a_program_shows_all_of_its_requests(self):
-        found = [x for x in follow(self.lines, "p") if x.kind == "request"]
+        found = [x for x in trace(self.lines, "p") if x.kind == "request"]
         self.assertEqual(len(found), 2)
 
     def test_a_plain_json_line_carries_its_own_time_and_host(self):
