--- a/tools/load/src/masticdale_load/policies.py
+++ b/tools/load/src/masticdale_load/experiment_runs.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 
 from masticdale_load.experiments import Experiment
-from masticdale_load.fleet import RunKey, run_once
 from masticdale_load.reports import Report, Run
+from masticdale_load.simulation import RunKey, run_once
 from masticdale_load.workloads import measure_demand
 
 
--- a/tools/load/src/masticdale_load/main.py
+++ b/tools/load/src/masticdale_load/main.py
@@ -9,8 +9,12 @@
 
 from masticdale_common import Failure
 from masticdale_load.decisions import format_costs, measure_decisions
+from masticdale_load.experiment_runs import (
+    Selection,
+    run_experiment,
+    select_runs,
+)
 from masticdale_load.experiments import load_experiment
-from masticdale_load.policies import Selection, run_experiment, select_runs
 from masticdale_load.reports import format_table
 from masticdale_load.system_reports import format_report
 from masticdale_load.system_runs import load_plan, run_system
--- a/tools/load/src/masticdale_load/reports.py
+++ b/tools/load/src/masticdale_load/reports.py
@@ -4,8 +4,8 @@
 import json
 from collections.abc import Sequence
 
-from masticdale_load.fleet import RunKey
 from masticdale_load.measures import Summary
+from masticdale_load.simulation import RunKey
 
 _HEADINGS = (
     ("fault", 7),
--- a/tools/load/tests/test_fleet.py
+++ b/tools/load/tests/test_simulation.py
@@ -4,7 +4,7 @@
 import unittest
 
 from masticdale_load.experiments import Fault, load_experiment
-from masticdale_load.fleet import RunKey, run_once
+from masticdale_load.simulation import RunKey, run_once
 from masticdale_load.workloads import Demand
 
 FOLDER = pathlib.Path(__file__).parent.parent / "experiments"
