--- a/tools/load/src/masticdale_load/cache.py
+++ b/tools/load/src/masticdale_load/cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of a fake engine: limited tokens, least recently used."""
+"""Bounded LRU prefix cache of a simulated engine."""
 
 import collections
 import dataclasses
@@ -14,10 +14,10 @@
 
 
 class PrefixCache:
-    """Prefixes by key; the tail of the least recently used one goes first.
+    """Caches prefixes by key; evicts the tail of the least recently used.
 
-    A prefix in use is pinned. When only pinned ones are left the cache
-    overflows: the engine is not modelled to swap running calls out.
+    Prefixes in use are pinned. The cache may exceed its capacity when every
+    prefix is pinned, because the model does not preempt running calls.
     """
 
     def __init__(self, capacity_tokens: int, interval: int = 1) -> None:
@@ -30,26 +30,26 @@
         self._listeners: list[EvictionListener] = []
 
     def listen(self, listener: EvictionListener) -> None:
-        """Calls a listener with key, tokens left and tokens freed."""
+        """Adds a listener for evictions: key, tokens left, tokens freed."""
         self._listeners.append(listener)
 
     def tokens(self, key: str) -> int:
-        """Returns the tokens held."""
+        """Returns the number of cached tokens of a prefix."""
         entry = self._entry_by_key.get(key)
         return entry.tokens if entry else 0
 
     def pin(self, key: str) -> None:
-        """Keeps a prefix until it is unpinned; creates it when absent."""
+        """Protects a prefix from eviction; creates it if absent."""
         self._entry_by_key.setdefault(key, _Entry(0)).pins += 1
 
     def unpin(self, key: str) -> None:
-        """Lets a prefix be evicted again."""
+        """Removes one pin; an unpinned prefix may be evicted."""
         entry = self._entry_by_key.get(key)
         if entry is not None:
             entry.pins = max(0, entry.pins - 1)
 
     def store(self, key: str, tokens: int) -> None:
-        """Stores a prefix, at least as long as before, as the latest used."""
+        """Stores a prefix as most recently used; never shortens it."""
         entry = self._entry_by_key.setdefault(key, _Entry(0))
         grown = max(0, tokens - entry.tokens)
         entry.tokens += grown
@@ -58,7 +58,7 @@
         self._evict()
 
     def release(self, key: str) -> None:
-        """Drops a prefix that is not in use."""
+        """Removes a prefix unless it is pinned."""
         entry = self._entry_by_key.get(key)
         if entry is None or entry.pins > 0:
             return
@@ -66,7 +66,7 @@
         self.used_tokens -= entry.tokens
 
     def clear(self) -> None:
-        """Drops everything, as after a crash."""
+        """Removes all prefixes, as a crash does."""
         self._entry_by_key.clear()
         self.used_tokens = 0
 
--- a/tools/load/src/masticdale_load/calls.py
+++ b/tools/load/src/masticdale_load/calls.py
@@ -1,4 +1,4 @@
-"""One model call from placement to its end, retries included."""
+"""Model calls: placement, admission, execution and retries."""
 
 import asyncio
 import dataclasses
@@ -43,17 +43,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelCall:
-    """One turn to be run.
+    """The model call of one turn.
 
     Attributes:
-        call_id: Its id.
-        program: Its program.
-        branch: Its branch.
+        call_id: Id of the call.
+        program: Program of the turn.
+        branch: Branch of the turn.
         prompt_tokens: Tokens of the whole prompt.
-        generated_tokens: Tokens it will generate; unknown to the decisions.
-        computed_tokens: Prompt tokens that were computed once before.
-        attained_s: Service that the program has had.
-        last_replica: Where the branch ran last; empty for a new one.
+        generated_tokens: Tokens to generate; placement does not see this.
+        computed_tokens: Prompt tokens that an earlier call computed.
+        attained_s: Service time that the program has received, in seconds.
+        last_replica: Replica of the branch's last call; empty for a new
+            branch.
     """
 
     call_id: str
@@ -68,11 +69,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallDone:
-    """A call that ended well.
+    """A successful call.
 
     Attributes:
-        replica: Where it ran.
-        service_s: Seconds from the grant to the end.
+        replica: Replica that ran it.
+        service_s: Seconds from admission to completion.
     """
 
     replica: str
@@ -80,7 +81,7 @@
 
 
 def create_placement(policy: Policy) -> PlacementPolicy:
-    """Returns the placement policy that an experiment names."""
+    """Returns the placement policy selected by ``policy.placement``."""
     if policy.placement is PlacementKind.ROUND_ROBIN:
         return RoundRobin()
     if policy.placement is PlacementKind.LEAST_IN_FLIGHT:
@@ -91,7 +92,7 @@
 
 
 class ModelCaller:
-    """Places calls, waits for permission, runs them and retries."""
+    """Places calls, waits for admission, runs them and retries failures."""
 
     def __init__(
         self,
@@ -112,13 +113,10 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self, call: ModelCall) -> Result[CallDone, Failure]:
-        """Runs a call to its end.
-
-        Args:
-            call: The call.
+        """Runs a call until it succeeds or is given up.
 
         Returns:
-            Where it ran, or why it was given up.
+            Replica and service time, or the failure of the last attempt.
         """
         queued_at = self._loop.time()
         offers = 0
@@ -159,7 +157,7 @@
             return Failed(placed.failure())
         placement = placed.unwrap()
         home = self._home_by_replica[placement.replica]
-        # One hop to ask the probes and one to hand the call over.
+        # One hop for the probes and one for the call.
         await asyncio.sleep(2 * self._hop_s)
         ticket = dataclasses.replace(
             probe.ticket, uncached_tokens=placement.uncached_tokens
@@ -218,8 +216,8 @@
     def _candidates(
         self, call: ModelCall, probe: Probe, failed_replicas: list[str]
     ) -> list[Candidate]:
-        # A replica that just died looks idle and still seems to hold the
-        # prefix: without this every retry went back to it.
+        # A replica that just crashed looks idle and its index still lists the
+        # prefix. Without the exclusion every retry returns to it.
         unavailable = {
             replica
             for replica, home in self._home_by_replica.items()
--- a/tools/load/src/masticdale_load/engine.py
+++ b/tools/load/src/masticdale_load/engine.py
@@ -1,7 +1,7 @@
-"""A fake model engine: continuous batching, shared prefill, prefix cache.
+"""Simulated model engine with continuous batching and a prefix cache.
 
-It stands at the engine's interface only. As the real ones it knows no
-priority, admits calls in order of arrival, and slows as its batch grows.
+Like real engines it ignores priorities, admits calls in order of arrival, and
+slows down as its batch grows.
 """
 
 import asyncio
@@ -17,16 +17,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """How fast an engine is.
+    """Capacity and speed of an engine.
 
     Attributes:
-        slots: Calls in its batch at most.
-        step_base_s: Seconds of one decode step before any call.
+        slots: Maximum batch size in calls.
+        step_base_s: Fixed duration of a decode step in seconds.
         step_per_call_s: Seconds that each call in the batch adds to a step.
-        prefill_tokens_per_s: Speed of prompts, computed one after another.
-        decode_share: Decode speed left while a prompt is computed.
-        restore_interval: A cached prefix is usable at multiples of this.
-        transfer_tokens_per_s: Speed of export and import; 0 if it can't.
+        prefill_tokens_per_s: Prefill speed; prompts run one at a time.
+        decode_share: Share of the decode speed left during a prefill.
+        restore_interval: Cached prefixes are usable in multiples of this
+            many tokens.
+        transfer_tokens_per_s: Speed of export and import; 0 if unsupported.
     """
 
     slots: int
@@ -38,22 +39,22 @@
     transfer_tokens_per_s: float
 
     def decode_tokens_per_s(self, batch: int) -> float:
-        """Returns one call's generation speed in a batch."""
+        """Returns the generation speed of each call in a batch."""
         return 1 / (self.step_base_s + self.step_per_call_s * batch)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineCall:
-    """One model call as the engine sees it.
+    """A model call as sent to the engine.
 
     Attributes:
         branch: Cache key of the branch.
-        template: Cache key of the shared first part.
-        template_tokens: Tokens of the shared first part.
+        template: Cache key of the template, the shared prompt prefix.
+        template_tokens: Tokens of the template.
         prompt_tokens: Tokens of the whole prompt.
-        generated_tokens: Tokens it will generate.
-        imported_tokens: Prompt tokens that can be imported; only those that
-            the engine does not hold are.
+        generated_tokens: Tokens to generate.
+        imported_tokens: Prompt tokens available for import; the engine
+            imports only those that are not cached.
     """
 
     branch: str
@@ -66,12 +67,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineResult:
-    """How a call ended.
+    """Result of a call.
 
     Attributes:
-        crashed: The engine died under it, or was down.
-        cached_tokens: Prompt tokens that were not computed.
-        first_token_at: When it began to generate.
+        crashed: Whether the engine crashed during the call or was down.
+        cached_tokens: Prompt tokens served from the cache.
+        first_token_at: Time when generation began, in seconds.
     """
 
     crashed: bool
@@ -89,10 +90,10 @@
 
 
 class EngineModel:
-    """Runs calls in virtual time.
+    """Runs calls on the event loop's clock.
 
-    All calls that decode advance alike, so one counter of decoded tokens per
-    call serves the whole batch.
+    All decoding calls progress at the same rate, so one counter of decoded
+    tokens per call serves the whole batch.
     """
 
     def __init__(self, spec: EngineSpec, cache: PrefixCache) -> None:
@@ -112,22 +113,19 @@
 
     @property
     def running(self) -> int:
-        """Calls in the batch."""
+        """Number of calls in the batch."""
         return len(self._prefill) + len(self._decode)
 
     @property
     def waiting(self) -> int:
-        """Calls admitted and not begun."""
+        """Number of calls waiting for a slot."""
         return len(self._waiting)
 
     async def run(self, call: EngineCall) -> EngineResult:
-        """Runs a call to its end.
-
-        Args:
-            call: The call.
+        """Runs a call to completion.
 
         Returns:
-            Its result; ``crashed`` when the engine is or goes down.
+            The result, with ``crashed`` set if the engine is down or crashes.
         """
         await self._import(call)
         if not self.up:
@@ -140,7 +138,7 @@
         return await active.done
 
     async def transfer(self, tokens: int) -> None:
-        """Exports or imports tokens over the engine's one link."""
+        """Exports or imports tokens; transfers share one link in turn."""
         now = self._loop.time()
         begin = max(now, self._link_free_at)
         rate = self.spec.transfer_tokens_per_s
@@ -148,7 +146,7 @@
         await asyncio.sleep(self._link_free_at - now)
 
     def crash(self) -> None:
-        """Ends every call and loses the cache."""
+        """Fails every call, clears the cache and stops the engine."""
         self._advance()
         active = [*self._waiting, *self._prefill, *(x[2] for x in self._decode)]
         self._waiting.clear()
@@ -161,11 +159,11 @@
             each.done.set_result(EngineResult(crashed=True))
 
     def restart(self) -> None:
-        """Comes back with an empty cache."""
+        """Starts the engine again with an empty cache."""
         self.up = True
 
     def set_speed(self, speed: float) -> None:
-        """Sets the share of its normal speed that the engine runs at."""
+        """Sets the speed as a share of the normal speed."""
         self._advance()
         self.speed = speed
         self._schedule()
--- a/tools/load/src/masticdale_load/gates.py
+++ b/tools/load/src/masticdale_load/gates.py
@@ -1,4 +1,4 @@
-"""Waiting at a replica's queue: the queue's answers as awaitable results."""
+"""Awaitable admission to a replica's queue."""
 
 import asyncio
 import dataclasses
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """The queue gave a waiting call back, to be placed elsewhere."""
+    """A waiting call left the queue and is to be placed again."""
 
 
 AdmissionResult = Granted | Refused | Withdrawn
 
 
 class AdmissionGate:
-    """Lets calls wait at one queue."""
+    """Lets calls wait for admission to one queue."""
 
     def __init__(self, queue: ReplicaQueue) -> None:
         self.queue = queue
@@ -34,10 +34,10 @@
     async def wait(
         self, ticket: Ticket, timeout_s: float = 0
     ) -> AdmissionResult:
-        """Waits until a ticket may run, is refused or is given back.
+        """Waits until a ticket is granted, refused or withdrawn.
 
         Args:
-            ticket: The call.
+            ticket: Ticket of the call.
             timeout_s: Withdraw it after this many seconds; 0 for never.
         """
         offer = self.queue.offer(ticket, self._loop.time())
@@ -55,17 +55,17 @@
             del self._future_by_ticket_id[ticket.ticket_id]
 
     def finish(self, ticket_id: str, result: TicketResult) -> None:
-        """Ends a granted call and grants the next."""
+        """Reports the end of a granted call and admits the next."""
         self.queue.finish(ticket_id, result, self._loop.time())
         self.dispatch_granted()
 
     def dispatch_granted(self) -> None:
-        """Tells granted calls that they may run."""
+        """Wakes the calls that the queue has granted."""
         for ticket in self.queue.take_granted(self._loop.time()):
             self._resolve(ticket, Granted())
 
     def close(self, failure: Failure) -> None:
-        """Refuses new calls and gives waiting ones back."""
+        """Refuses new calls with a failure and withdraws waiting ones."""
         dropped = self.queue.close(failure, self._loop.time())
         for ticket in dropped.waiting:
             self._resolve(ticket, Withdrawn())
--- a/tools/load/src/masticdale_load/homes.py
+++ b/tools/load/src/masticdale_load/homes.py
@@ -1,4 +1,4 @@
-"""The home of one model replica: queue, prefix index, circuit, fake engine."""
+"""Homes of model replicas: queue, prefix index, circuit breaker, engine."""
 
 import asyncio
 import dataclasses
@@ -25,24 +25,26 @@
     create_replica_queue,
 )
 
-_REPLICA_UNAVAILABLE = Failure(ErrorKind.NO_UPSTREAM, "the replica is away")
+_REPLICA_UNAVAILABLE = Failure(
+    ErrorKind.NO_UPSTREAM, "the replica is unavailable"
+)
 _NO_EVICTION_RESIDENCE_S = 1e9
 _KEY_SEPARATOR = "/"
 
 
 def cache_key(branch: BranchKey) -> str:
-    """Returns the engine's key of a branch."""
+    """Returns the cache key of a branch."""
     return f"{branch.program_id}{_KEY_SEPARATOR}{branch.branch_id}"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Probe:
-    """A call as a home is asked about it.
+    """A request for a candidate's placement data.
 
     Attributes:
-        ticket: The call.
-        request: Its prompt.
-        importable_tokens: Prompt tokens that could be imported.
+        ticket: Ticket of the call.
+        request: Prompt of the call.
+        importable_tokens: Prompt tokens available for import.
     """
 
     ticket: Ticket
@@ -51,7 +53,7 @@
 
 
 class ReplicaHome:
-    """Answers probes and learns from late reports and events."""
+    """Answers probes from the state that delayed reports and events give."""
 
     def __init__(
         self,
@@ -74,11 +76,11 @@
 
     @property
     def usable(self) -> bool:
-        """Whether it gets calls."""
+        """Whether the replica may receive calls."""
         return self.present and self.circuit.allows(self._loop.time())
 
     def candidate(self, probe: Probe) -> Candidate:
-        """Answers a probe."""
+        """Returns the replica's placement data for a probe."""
         now = self._loop.time()
         queue, request = self.gate.queue, probe.request
         cached = max(
@@ -99,10 +101,10 @@
         )
 
     def pressure(self, reuse_share: float) -> CachePressure:
-        """Returns what a held token costs here.
+        """Returns the cost of keeping tokens in the replica's cache.
 
         Args:
-            reuse_share: Share of evicted tokens that are asked for again.
+            reuse_share: Share of evicted tokens that are requested again.
         """
         rate = self.evictions.tokens_per_s(self._loop.time())
         capacity = self.engine.cache.capacity_tokens
@@ -114,46 +116,46 @@
         )
 
     def record_sent(self, request: PrefixRequest) -> None:
-        """Notes a call sent to the engine."""
+        """Records a call sent to the engine."""
         program_id = request.branch.program_id
         self._template_tokens_by_program[program_id] = request.template_tokens
         self.index.record_sent(request, self._loop.time())
 
     def finish(self, ticket_id: str, result: TicketResult) -> None:
-        """Ends a granted call."""
+        """Records the end of a granted call and admits the next."""
         if not result.crashed:
             self.circuit.record_success()
             self.gate.finish(ticket_id, result)
             return
         self.circuit.record_failure(self._loop.time())
-        # Granting on would send every waiting call into the same failure and
-        # spend a retry on each.
+        # Admitting the waiting calls would fail each of them and use up a
+        # retry for each.
         if not self.usable:
             self.gate.close(_REPLICA_UNAVAILABLE)
         self.gate.finish(ticket_id, result)
 
     def leave(self) -> None:
-        """Takes no new work; what waits is given back."""
+        """Refuses new calls and withdraws waiting ones."""
         self.present = False
         self.gate.close(_REPLICA_UNAVAILABLE)
 
     def rejoin(self) -> None:
-        """Takes work again, from an engine that lost its memory."""
+        """Accepts calls again after a restart with an empty cache."""
         self.index.clear()
         self.gate.queue.reopen()
         self.present = True
 
     def release(self, branch: BranchKey) -> None:
-        """Frees a prefix at the engine."""
+        """Removes a branch's prefix from the engine's cache."""
         self.engine.cache.release(cache_key(branch))
 
     def remove_program(self, program_id: str) -> None:
-        """Forgets a program that ended."""
+        """Removes an ended program from the index."""
         self.index.remove_program(program_id)
         self._template_tokens_by_program.pop(program_id, None)
 
     def record_evicted(self, key: str, left: int) -> None:
-        """Applies a cache event to the index."""
+        """Applies an eviction event to the index."""
         program_id, _, branch_id = key.partition(_KEY_SEPARATOR)
         template = self._template_tokens_by_program.get(program_id)
         if template is None:
@@ -163,14 +165,15 @@
         self.index.record_evicted(branch, tokens, self._loop.time())
 
     def _effective_import_tokens(self, tokens: int) -> int:
-        # Importing takes time too; the tokens count for what they save.
+        # Importing takes time too: the tokens count by the prefill time that
+        # the import saves.
         rate = self.engine.spec.transfer_tokens_per_s
         speed = self.gate.queue.speed.prefill_tokens_per_s
         return int(tokens * max(0.0, 1 - speed / rate)) if rate > 0 else 0
 
 
 class EventChannel:
-    """Carries an engine's events to its home: late, and with gaps."""
+    """Delivers an engine's events to its home with delay and loss."""
 
     def __init__(self, home: ReplicaHome, settings: Engine, seed: int) -> None:
         self._home = home
@@ -180,7 +183,7 @@
         home.engine.cache.listen(self._evicted)
 
     async def report_load(self) -> None:
-        """Reports load again and again."""
+        """Reports the engine's load periodically."""
         engine, gate = self._home.engine, self._home.gate
         while True:
             observation = LoadObservation(
@@ -202,13 +205,13 @@
 def create_home(
     number: int, experiment: Experiment, policy: Policy, capacity: int
 ) -> ReplicaHome:
-    """Returns the home of a model replica with its fake engine.
+    """Returns the home of a model replica with a simulated engine.
 
     Args:
-        number: Number of the replica.
+        number: Index of the replica.
         experiment: The experiment.
         policy: The policy under test.
-        capacity: Tokens of its prefix cache.
+        capacity: Capacity of the prefix cache in tokens.
     """
     spec = experiment.engine.spec()
     replica = f"model-{number}"
--- a/tools/load/src/masticdale_load/simulation.py
+++ b/tools/load/src/masticdale_load/simulation.py
@@ -1,4 +1,4 @@
-"""One run: a deployment, its programs and a fault, in virtual time."""
+"""Simulates one run of an experiment in virtual time."""
 
 import asyncio
 import dataclasses
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunKey:
-    """Which run of an experiment.
+    """Identifies one run of an experiment.
 
     Attributes:
         policy: Name of the policy.
@@ -35,12 +35,12 @@
 
 
 def run_once(experiment: Experiment, demand: Demand, key: RunKey) -> Summary:
-    """Runs one combination of an experiment and returns its figures.
+    """Simulates one run and returns its summary.
 
     Args:
         experiment: The experiment.
-        demand: Demand of its programs.
-        key: Which run.
+        demand: Mean demand of the experiment's programs.
+        key: Combination of policy, load, cache size and fault.
     """
     return virtual_time.run(_run(experiment, demand, key))
 
