--- a/tools/load/src/masticdale_load/calls.py
+++ b/tools/load/src/masticdale_load/calls.py
@@ -116,7 +116,7 @@
         """Runs a call until it succeeds or is given up.
 
         Returns:
-            Replica and service time, or the failure of the last attempt.
+            Replica and service time, or the failure that ended the call.
         """
         queued_at = self._loop.time()
         offers = 0
--- a/tools/load/src/masticdale_load/decisions.py
+++ b/tools/load/src/masticdale_load/decisions.py
@@ -1,4 +1,4 @@
-"""What the decisions cost: time of a placement and of queue operations."""
+"""Microbenchmarks of placement and queue operations."""
 
 import dataclasses
 import random
@@ -29,13 +29,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """Cost of one operation.
+    """Duration of one operation.
 
     Attributes:
-        operation: What was timed.
-        size: Candidates, or waiting tickets.
-        median_us: Median microseconds.
-        p99_us: 99th percentile in microseconds.
+        operation: Name of the operation.
+        size: Number of candidates or waiting tickets.
+        median_us: Median duration in microseconds.
+        p99_us: 99th percentile of the duration in microseconds.
     """
 
     operation: str
@@ -45,7 +45,7 @@
 
 
 def measure_decisions() -> list[Cost]:
-    """Returns the costs of all decisions that are on a call's path."""
+    """Times the placement and queue operations that each call performs."""
     costs = [_time_place(), _time_probes()]
     for size in _QUEUE_SIZES:
         costs += _time_queue(size)
--- a/tools/load/src/masticdale_load/experiment_runs.py
+++ b/tools/load/src/masticdale_load/experiment_runs.py
@@ -1,4 +1,4 @@
-"""Runs all combinations of an experiment in a few processes."""
+"""Runs the combinations of an experiment in a process pool."""
 
 import concurrent.futures
 import dataclasses
@@ -13,11 +13,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Selection:
-    """Which combinations to run; an empty set stands for all.
+    """Selects combinations to run; an empty set selects all.
 
     Attributes:
         policies: Names of policies.
-        loads: Loads.
+        loads: Loads as a share of capacity.
         caches: Names of cache sizes.
         faults: Names of faults.
     """
@@ -29,7 +29,7 @@
 
 
 def select_runs(experiment: Experiment, selection: Selection) -> list[RunKey]:
-    """Returns the runs of an experiment that are selected."""
+    """Returns the keys of the selected runs."""
     return [
         RunKey(policy, load, cache, fault)
         for policy, load, cache, fault in itertools.product(
@@ -44,12 +44,12 @@
 def run_experiment(
     experiment: Experiment, keys: list[RunKey], processes: int
 ) -> Report:
-    """Runs an experiment.
+    """Simulates the runs of an experiment in parallel.
 
     Args:
         experiment: The experiment.
-        keys: Its runs.
-        processes: How many run at once.
+        keys: Runs to simulate.
+        processes: Number of worker processes.
     """
     demand = measure_demand(experiment)
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
--- a/tools/load/src/masticdale_load/experiments.py
+++ b/tools/load/src/masticdale_load/experiments.py
@@ -1,4 +1,4 @@
-"""Experiment files: deployment, engines, programs, policies and faults."""
+"""Schema of experiment files."""
 
 import enum
 import pathlib
@@ -16,14 +16,14 @@
 
 
 class Deployment(StrictModel):
-    """Who serves.
+    """Size and topology of the deployment.
 
     Attributes:
         model_replicas: Number of model replicas.
         application_replicas: Number of application replicas.
-        application_slots: Calls an application replica takes at once.
+        application_slots: Concurrent calls per application replica.
         failure_domains: Number of failure domains.
-        hop_s: Seconds of one hop between failure domains.
+        hop_s: Latency of one hop between failure domains in seconds.
     """
 
     model_replicas: int = pydantic.Field(gt=0)
@@ -34,14 +34,14 @@
 
 
 class Engine(StrictModel):
-    """The fake engines; see ``EngineSpec`` for the fields.
+    """The simulated engines; ``EngineSpec`` describes the other fields.
 
     Attributes:
-        export_fill: Tokens all exports may hold, as a share of what the
-            programs under way at 80% load fill.
+        export_fill: Capacity of the export store, as a share of the context
+            tokens of the running programs at 80% load.
         report_period_s: Seconds between load reports.
-        event_lag_s: Seconds by which cache events and load reports are late.
-        event_loss: Share of cache events that get lost.
+        event_lag_s: Delay of cache events and load reports in seconds.
+        event_loss: Share of cache events that are lost.
     """
 
     slots: int = pydantic.Field(default=8, gt=0)
@@ -57,22 +57,22 @@
     event_loss: Share = 0.01
 
     def spec(self) -> EngineSpec:
-        """Returns the engine's speeds as a data class."""
+        """Returns the capacity and speed of an engine."""
         names = EngineSpec.__dataclass_fields__
         return EngineSpec(**{name: getattr(self, name) for name in names})
 
 
 class Tool(StrictModel):
-    """A tool and how long it takes: log-normal, cut at the longest.
+    """A tool with a truncated log-normal duration.
 
     Attributes:
-        name: The tool.
-        weight: How often it is called, relative to the others.
-        median_s: Median duration.
+        name: Name of the tool.
+        weight: Relative frequency of its calls.
+        median_s: Median duration in seconds.
         sigma: Standard deviation of the duration's logarithm.
-        longest_s: Bound of the duration.
-        served: Whether an application replica serves it; otherwise it only
-            takes time, such as a person's answer.
+        longest_s: Maximum duration in seconds.
+        served: Whether an application replica serves it. Other tools only
+            take time, for example to wait for a person.
     """
 
     name: str
@@ -87,18 +87,18 @@
     """One kind of program.
 
     Attributes:
-        name: The kind.
+        name: Name of the kind.
         share: Share of all programs.
-        priority: Class; 0 is first.
+        priority: Priority class; 0 is the highest.
         workspaces: Number of workspaces that run it.
-        template_tokens: Tokens of system prompt and tools, shared.
-        least_turns: Fewest turns.
-        most_turns: Most turns.
+        template_tokens: Tokens of the shared system prompt and tools.
+        least_turns: Minimum number of turns.
+        most_turns: Maximum number of turns.
         tail: Exponent of the bounded Pareto distribution of turns.
         mean_new_tokens: Mean tokens that a turn adds to the prompt.
         mean_generated_tokens: Mean tokens that a turn generates.
         sub_agent_share: Share of turns that start sub-agents.
-        tools: What it calls between turns.
+        tools: Tools called between turns.
     """
 
     name: str
@@ -125,7 +125,7 @@
 
 
 class PauseKind(enum.StrEnum):
-    """What happens to prefixes in tool pauses."""
+    """Handling of prefixes during tool pauses."""
 
     KEEP = "keep"
     MODEL = "model"
@@ -136,21 +136,25 @@
     """One policy under test.
 
     Attributes:
-        placement: How replicas are chosen.
-        order: Order within a class and workspace.
-        probes: Replicas asked for a new branch.
-        own_probes: Replicas asked besides the one that has the prefix.
-        margin_s: Least seconds that a move must save.
-        margin_share: Least share of the staying cost it must save.
-        tie_s: Costs that differ by less are settled by the calls in flight.
-        age_bound_s: Tickets older than this go first.
-        max_wait_s: Longest expected wait of a new program, by class.
-        pause: What happens to prefixes in pauses: keep them, what the pause
-            model decides, or export a copy and keep the prefix.
-        reuse_share: How much the pause decision minds that a kept prefix
-            displaces others.
-        reconsider_s: A waiting call is placed anew after each such time; 0
-            for never.
+        placement: Placement policy.
+        order: Queue order within a priority class and workspace.
+        probes: Number of replicas probed for a new branch.
+        own_probes: Number of replicas probed besides the one that caches the
+            prefix.
+        margin_s: Minimum saving of a move in seconds.
+        margin_share: Minimum saving of a move, as a share of the cost of
+            staying.
+        tie_s: Costs within this many seconds of each other are equal; the
+            calls in flight break the tie.
+        age_bound_s: Tickets that waited longer than this go first.
+        max_wait_s: Maximum expected wait of a new program in seconds, by
+            priority class.
+        pause: Handling of prefixes in pauses: keep them, apply the pause
+            model, or export a copy and keep the prefix.
+        reuse_share: Share of evicted tokens that are requested again; weighs
+            the cost of keeping a prefix.
+        reconsider_s: Interval at which a waiting call is placed again, in
+            seconds; 0 for never.
     """
 
     placement: PlacementKind = PlacementKind.COST
@@ -168,13 +172,13 @@
 
 
 class Fault(StrictModel):
-    """What happens to model replica 0.
+    """A fault of model replica 0.
 
     Attributes:
-        kind: Crash and restart, slow down, or leave for good.
-        at_s: When.
-        for_s: How long a crash or slowness lasts.
-        speed: Speed while slow.
+        kind: Crash with restart, slowdown, or permanent departure.
+        at_s: Start of the fault in seconds.
+        for_s: Duration of a crash or slowdown in seconds.
+        speed: Speed during a slowdown, as a share of the normal speed.
     """
 
     kind: Literal["none", "crash", "slow", "leave"] = "none"
@@ -184,21 +188,21 @@
 
 
 class Experiment(StrictModel):
-    """A whole experiment: every load, cache, policy and fault is one run.
+    """An experiment: one run per load, cache size, policy and fault.
 
     Attributes:
-        name: Its name.
-        seed: Seed of everything that is drawn.
-        horizon_s: Programs arrive this long; then the run drains.
-        warmup_s: Programs that arrive earlier are run and not measured.
-        deployment: Who serves.
-        engine: The engines.
-        kinds: The programs.
-        loads: Arrivals as a share of capacity.
-        fill_by_cache: Cache sizes, as a share of what the programs under way
-            at 80% load fill.
-        policy_by_name: The policies.
-        fault_by_name: The faults.
+        name: Name of the experiment.
+        seed: Seed of all random draws.
+        horizon_s: Duration of arrivals in seconds; then the run drains.
+        warmup_s: Programs that arrive before this time are not measured.
+        deployment: Size and topology of the deployment.
+        engine: The simulated engines.
+        kinds: Kinds of programs.
+        loads: Arrival rates as a share of capacity.
+        fill_by_cache: Cache sizes by name, as a share of the context tokens
+            of the running programs at 80% load.
+        policy_by_name: Policies by name.
+        fault_by_name: Faults by name.
     """
 
     name: str
@@ -215,12 +219,12 @@
 
 
 def load_experiment(path: pathlib.Path) -> Result[Experiment, Failure]:
-    """Reads and checks an experiment file.
+    """Reads and validates an experiment file.
 
     Args:
         path: The JSON file.
 
     Returns:
-        The experiment, or INVALID_SETTINGS with each wrong field named.
+        The experiment, or INVALID_SETTINGS naming each invalid field.
     """
     return settings.load(path, Experiment)
--- a/tools/load/src/masticdale_load/exports.py
+++ b/tools/load/src/masticdale_load/exports.py
@@ -1,10 +1,10 @@
-"""Exported prefixes, kept outside the engines in bounded memory."""
+"""Bounded store of exported prefixes, outside the engines."""
 
 import collections
 
 
 class ExportStore:
-    """Exported tokens by cache key; the least recently used go first."""
+    """Stores exported tokens by key; evicts the least recently used."""
 
     def __init__(self, capacity_tokens: int) -> None:
         self._capacity_tokens = capacity_tokens
@@ -14,11 +14,11 @@
         )
 
     def tokens(self, key: str) -> int:
-        """Returns the tokens exported, 0 for none."""
+        """Returns the number of exported tokens; 0 for an unknown key."""
         return self._tokens_by_key.get(key, 0)
 
     def put(self, key: str, tokens: int) -> None:
-        """Stores a prefix, dropping others where there is no room."""
+        """Stores a prefix and evicts others beyond the capacity."""
         self.drop(key)
         self._tokens_by_key[key] = tokens
         self._used_tokens += tokens
@@ -27,5 +27,5 @@
             self._used_tokens -= dropped
 
     def drop(self, key: str) -> None:
-        """Forgets a prefix."""
+        """Removes a prefix if present."""
         self._used_tokens -= self._tokens_by_key.pop(key, 0)
--- a/tools/load/src/masticdale_load/main.py
+++ b/tools/load/src/masticdale_load/main.py
@@ -1,4 +1,4 @@
-"""Command ``mastic-load``: fault runs, policy experiments, decision costs."""
+"""Command ``mastic-load``: fault runs, policy experiments, benchmarks."""
 
 import pathlib
 import sys
@@ -39,11 +39,11 @@
 
 
 def system(plan: str, output: str) -> None:
-    """Runs a fault plan on real processes and checks every promise.
+    """Runs a fault plan on real processes and checks its invariants.
 
     Args:
-        plan: The plan file.
-        output: Where the JSON report goes.
+        plan: Path of the plan file.
+        output: Path of the JSON report to write.
     """
     report = run_system(_unwrap(load_plan(pathlib.Path(plan))))
     pathlib.Path(output).write_text(report.model_dump_json(indent=2))
@@ -62,17 +62,17 @@
     seed: int | None = None,
     processes: int = _MAX_PROCESSES,
 ) -> None:
-    """Runs an experiment and prints its table.
+    """Runs an experiment and prints its results as a table.
 
     Args:
-        experiment: The experiment file.
-        output: Where the JSON report goes.
-        policies: Names of policies to run, separated by commas; all if empty.
+        experiment: Path of the experiment file.
+        output: Path of the JSON report to write.
+        policies: Comma-separated names of policies to run; all if empty.
         loads: Loads to run; all if empty.
-        caches: Cache sizes to run; all if empty.
-        faults: Faults to run; all if empty.
-        seed: In place of the experiment's seed.
-        processes: How many runs at once, four at most.
+        caches: Names of cache sizes to run; all if empty.
+        faults: Names of faults to run; all if empty.
+        seed: Overrides the experiment's seed.
+        processes: Number of parallel runs, at most 4.
     """
     value = _unwrap(load_experiment(pathlib.Path(experiment)))
     chosen = loads if isinstance(loads, (str, tuple)) else str(loads)
@@ -92,7 +92,7 @@
 
 
 def decisions() -> None:
-    """Prints what placements and queue operations cost on this machine."""
+    """Prints the durations of placement and queue operations."""
     print(format_costs(measure_decisions()))
 
 
--- a/tools/load/src/masticdale_load/measures.py
+++ b/tools/load/src/masticdale_load/measures.py
@@ -1,4 +1,4 @@
-"""What a run is measured by."""
+"""Metrics of a simulated run."""
 
 import dataclasses
 from collections.abc import Iterable, Sequence
@@ -8,15 +8,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Counters:
-    """Counts of a whole run.
+    """Counts of a whole run, warm-up included.
 
     Attributes:
-        first_sends: Calls.
-        retries: Sends after the first.
-        moves: Turns that ran away from their branch's last replica.
-        prompt_tokens: Prompt tokens of calls that ended well.
-        wasted_tokens: Prompt tokens computed again though computed before.
-        exported_tokens: Tokens exported.
+        first_sends: Number of calls.
+        retries: Number of retried attempts.
+        moves: Turns that did not run on their branch's last replica.
+        prompt_tokens: Prompt tokens of successful calls.
+        wasted_tokens: Prompt tokens that were computed again.
+        exported_tokens: Number of exported tokens.
     """
 
     first_sends: int = 0
@@ -29,17 +29,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProgramRecord:
-    """One program's end.
+    """Result of one program.
 
     Attributes:
-        kind: Its kind.
-        priority: Its class.
-        arrived_at: When it arrived.
-        ended_at: When it ended.
-        path_s: Its unloaded critical path.
-        work_s: Work of its calls that ended in the measured window, in
-            seconds of a fully used replica.
-        failure: Kind of the error it ended with; empty when it ended well.
+        kind: Name of the program kind.
+        priority: Priority class; 0 is the highest.
+        arrived_at: Arrival time in seconds.
+        ended_at: End time in seconds.
+        path_s: Critical path without load in seconds.
+        work_s: Work of the calls that ended in the measured window, in
+            seconds of a fully utilized replica.
+        failure: Error kind; empty on success.
     """
 
     kind: str
@@ -52,18 +52,18 @@
 
     @property
     def latency_s(self) -> float:
-        """Seconds from arrival to end."""
+        """Time from arrival to end in seconds."""
         return self.ended_at - self.arrived_at
 
     @property
     def slowdown(self) -> float:
-        """Latency over the unloaded critical path."""
+        """Latency divided by the critical path without load."""
         return self.latency_s / self.path_s
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Percentiles:
-    """Percentiles of one figure.
+    """Percentiles of one metric.
 
     Attributes:
         count: Number of values.
@@ -79,7 +79,7 @@
 
 
 def percentiles(values: Iterable[float]) -> Percentiles:
-    """Returns the percentiles of some values, zeros for none."""
+    """Returns the percentiles of the values, or zeros if there are none."""
     ordered = sorted(values)
     if not ordered:
         return Percentiles(0, 0.0, 0.0, 0.0)
@@ -90,22 +90,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """The figures of one run.
+    """Metrics of one run.
 
     Attributes:
-        latency_s: Program latency.
-        first_class_latency_s: Program latency of class 0.
-        slowdown: Latency over the unloaded critical path.
-        first_class_slowdown: The same of class 0.
-        wasted_tokens: Tokens computed again though computed before.
-        wasted_share: Those over all prompt tokens.
-        goodput: Work of calls that ended in the measured window, of programs
-            that ended well, as a share of what all replicas could do in it.
-        retries_per_request: Retries over first sends.
-        moves: Turns that ran away from their branch's last replica.
-        refused: Programs refused.
-        failed: Programs that failed otherwise.
-        exported_tokens: Tokens exported.
+        latency_s: Program latency in seconds.
+        first_class_latency_s: Program latency of priority class 0.
+        slowdown: Latency divided by the critical path without load.
+        first_class_slowdown: Slowdown of priority class 0.
+        wasted_tokens: Prompt tokens that were computed again.
+        wasted_share: Wasted tokens as a share of all prompt tokens.
+        goodput: Work of successful programs' calls that ended in the measured
+            window, as a share of the capacity of all replicas.
+        retries_per_request: Retries per call.
+        moves: Turns that did not run on their branch's last replica.
+        refused: Number of refused programs.
+        failed: Number of programs that failed for other reasons.
+        exported_tokens: Number of exported tokens.
     """
 
     latency_s: Percentiles
@@ -124,11 +124,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Window:
-    """The part of a run that is measured.
+    """The measured window of a run.
 
     Attributes:
-        warmup_s: Programs that arrived earlier are left out.
-        horizon_s: End of arrivals.
+        warmup_s: Start of the window in seconds.
+        horizon_s: End of arrivals and of the window in seconds.
         replicas: Number of model replicas.
     """
 
@@ -137,19 +137,19 @@
     replicas: int
 
     def covers(self, at: float) -> bool:
-        """Returns whether a moment is measured."""
+        """Returns whether a time in seconds is inside the window."""
         return self.warmup_s <= at < self.horizon_s
 
 
 def summarize(
     records: Sequence[ProgramRecord], counters: Counters, window: Window
 ) -> Summary:
-    """Returns the figures of a run.
+    """Returns the metrics of a run.
 
     Args:
-        records: All programs.
-        counters: Its counts, warm-up included.
-        window: What is measured.
+        records: Results of all programs.
+        counters: Counts of the run, warm-up included.
+        window: The measured window.
     """
     measured = [r for r in records if r.arrived_at >= window.warmup_s]
     done = [r for r in measured if not r.failure]
--- a/tools/load/src/masticdale_load/pausing.py
+++ b/tools/load/src/masticdale_load/pausing.py
@@ -1,4 +1,4 @@
-"""Acts on the pause model: keeps, exports or releases prefixes."""
+"""Keeps, exports or releases prefixes during tool pauses."""
 
 import asyncio
 import dataclasses
@@ -15,11 +15,11 @@
     """A branch that waits for a tool.
 
     Attributes:
-        branch: The branch.
-        kind: Kind of its program.
-        tool: The tool.
-        tokens: Its context.
-        replica: Where its prefix is.
+        branch: Key of the branch.
+        kind: Kind of the program.
+        tool: Name of the tool.
+        tokens: Length of the branch's context in tokens.
+        replica: Replica that caches the prefix.
     """
 
     branch: BranchKey
@@ -30,7 +30,7 @@
 
 
 class PauseManager:
-    """Decides at the begin of each pause what happens to the prefix."""
+    """Applies the pause model's decision at the start of each pause."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._loop = asyncio.get_running_loop()
 
     def begin(self, paused: PausedBranch) -> None:
-        """Notes the begin of a pause."""
+        """Decides on the prefix at the start of a pause and acts on it."""
         if self._kind is PauseKind.KEEP:
             return
         home = self._home_by_replica[paused.replica]
@@ -73,12 +73,12 @@
         task.add_done_callback(self._tasks.discard)
 
     def record_pause(self, paused: PausedBranch, pause_s: float) -> None:
-        """Learns from the end of a pause."""
+        """Feeds the duration of a finished pause to the model."""
         key = PauseKey(paused.kind, paused.tool)
         self._model.observe(key, pause_s)
 
     def release_branch(self, branch: BranchKey) -> None:
-        """Frees whatever an ended program's branch holds."""
+        """Removes the cached and exported prefixes of an ended program."""
         self._exports.drop(cache_key(branch))
         for home in self._home_by_replica.values():
             home.release(branch)
@@ -88,7 +88,7 @@
         self, paused: PausedBranch, home: ReplicaHome, frees: bool
     ) -> None:
         key = cache_key(paused.branch)
-        # Only what grew since the last export is transferred.
+        # Only tokens added since the last export are transferred.
         new_tokens = max(0, paused.tokens - self._exports.tokens(key))
         await home.engine.transfer(new_tokens)
         if home.engine.cache.tokens(key) <= 0:
--- a/tools/load/src/masticdale_load/programs.py
+++ b/tools/load/src/masticdale_load/programs.py
@@ -1,4 +1,4 @@
-"""Runs one program: turns in order, sub-agents, pauses, release at the end."""
+"""Runs programs: turns, sub-agents, tool pauses and the final release."""
 
 import asyncio
 import dataclasses
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Progress:
-    """A program under way, shared by its branches."""
+    """State of a running program, shared by its branches."""
 
     plan: ProgramPlan
     attained_s: float = 0.0
@@ -45,7 +45,7 @@
 
 
 class ProgramRunner:
-    """Runs programs against the deployment."""
+    """Runs programs on the simulated deployment."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self, plan: ProgramPlan) -> ProgramRecord:
-        """Runs a program from its arrival to its end."""
+        """Waits for a program's arrival, runs it and returns its record."""
         unloaded = footprint(plan.root, plan.template_tokens, self._spec)
         await asyncio.sleep(plan.arrives_at - self._loop.time())
         progress = _Progress(plan)
--- a/tools/load/src/masticdale_load/reports.py
+++ b/tools/load/src/masticdale_load/reports.py
@@ -1,4 +1,4 @@
-"""Reports of an experiment: JSON for tools, a text table for readers."""
+"""Experiment reports as JSON and as a text table."""
 
 import dataclasses
 import json
@@ -31,11 +31,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """One run and its figures.
+    """One run and its metrics.
 
     Attributes:
-        key: Which run.
-        summary: Its figures.
+        key: Combination that was run.
+        summary: Metrics of the run.
     """
 
     key: RunKey
@@ -44,12 +44,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """All runs of an experiment.
+    """The runs of an experiment.
 
     Attributes:
         experiment: Name of the experiment.
-        seed: Its seed.
-        runs: The runs.
+        seed: Seed of the experiment.
+        runs: Completed runs.
     """
 
     experiment: str
@@ -62,7 +62,7 @@
 
 
 def format_table(runs: Sequence[Run]) -> str:
-    """Returns the runs as a text table, policies of one case together."""
+    """Returns a text table, sorted by fault, cache size and load."""
     ordered = sorted(runs, key=lambda r: (r.key.fault, r.key.cache, r.key.load))
     lines = [_line([title for title, _ in _HEADINGS])]
     lines += [_line(_cells(run)) for run in ordered]
--- a/tools/load/src/masticdale_load/services.py
+++ b/tools/load/src/masticdale_load/services.py
@@ -1,4 +1,4 @@
-"""Application replicas: plain services behind queues of their own."""
+"""Simulated application replicas, each behind its own queue."""
 
 import asyncio
 import dataclasses
@@ -26,11 +26,11 @@
     """A tool call that an application replica serves.
 
     Attributes:
-        call_id: Its id.
-        program_id: Its program.
-        workspace: Its workspace.
-        priority: Its class.
-        duration_s: Seconds it takes.
+        call_id: Id of the call.
+        program_id: Id of the calling program.
+        workspace: Workspace of the program.
+        priority: Priority class; 0 is the highest.
+        duration_s: Service time in seconds.
     """
 
     call_id: str
@@ -41,7 +41,7 @@
 
 
 class Services:
-    """Sends tool calls to the application replica with the fewest."""
+    """Sends each tool call to the replica with the fewest in flight."""
 
     def __init__(
         self, gate_by_replica: dict[str, AdmissionGate], hop_s: float
@@ -51,7 +51,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self, call: ServiceCall) -> None:
-        """Runs a call to its end."""
+        """Runs a call to completion; a refused call ends at once."""
         request = PlacementRequest(call.program_id, 0)
         placed = place(request, self._candidates(), LeastInFlight())
         gate = self._gate_by_replica[placed.unwrap().replica]
@@ -88,7 +88,7 @@
 
 
 def create_services(deployment: Deployment) -> Services:
-    """Returns the application replicas of a deployment."""
+    """Returns the simulated application replicas of a deployment."""
     slots = deployment.application_slots
     queue_settings = QueueSettings(
         order=QueueOrder.FIRST_COME,
--- a/tools/load/src/masticdale_load/traces.py
+++ b/tools/load/src/masticdale_load/traces.py
@@ -1,7 +1,7 @@
-"""Command ``mastic-trace``: from log lines to what callers waited for.
+"""Command ``mastic-trace``: finds the causes of refused requests in logs.
 
-Reads JSON lines of any number of hosts, also behind a time and a host's name
-as the users' bench prints them. The lines say what was decided and by what.
+Reads the JSON log lines of any number of hosts. A time and a host name may
+precede each line, as in the output of the users' benchmark.
 """
 
 import collections
@@ -14,7 +14,7 @@
 
 import fire
 
-# Lines that change what a host believes; see docs/OPERATIONS.md.
+# Log lines that report a state change of a host; see docs/OPERATIONS.md.
 _STATE_CHANGES = (
     "started",
     "stopping",
@@ -35,7 +35,7 @@
     "copy_sealed",
     "copy_not_sealed",
 )
-# Fields that say nothing to the reader of one line.
+# Fields omitted from printed lines.
 _HIDDEN_FIELDS = (
     "timestamp",
     "task_uuid",
@@ -43,8 +43,8 @@
     "message_type",
     "host",
 )
-# Beliefs from this long before a refused request may be its cause, in seconds:
-# as long as a host asks for a turn, and as long again.
+# State changes up to this many seconds before a refused request may be its
+# cause: twice as long as a host asks for a turn.
 _CAUSE_WINDOW_S = 2.4
 
 
@@ -53,10 +53,10 @@
     """One log line.
 
     Attributes:
-        at: Seconds; of the bench's clock where that stands before the line.
-        host: The host that wrote it.
-        kind: What it tells of.
-        fields: The rest.
+        at: Time in seconds; the benchmark's time if it precedes the line.
+        host: Host that wrote the line.
+        kind: Name of the line (``message_type``).
+        fields: All fields of the line.
     """
 
     at: float
@@ -72,7 +72,7 @@
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Yields the log lines among any text."""
+    """Yields the log lines in a text and skips everything else."""
     for text in texts:
         before, brace, rest = text.partition("{")
         if not brace or "message_type" not in rest:
@@ -80,7 +80,7 @@
         try:
             fields = json.loads(brace + rest)
         except ValueError:
-            # The last line of a process that was killed.
+            # A killed process may leave a truncated last line.
             continue
         words = before.split()
         at = float(words[0]) if words else float(fields.get("timestamp", 0))
@@ -93,11 +93,12 @@
 
     Args:
         lines: All lines, in any order.
-        wanted: A request's or a program's id.
+        wanted: Id of a request or program.
 
     Returns:
-        Its own lines, and for each request that was not answered what hosts
-        came to believe shortly before, of its shard where one is named.
+        The lines with this id and the state changes shortly before each
+        refused request, sorted by time. State changes of other shards are
+        left out.
     """
     own = [
         line
@@ -124,7 +125,7 @@
 def count_refusals(
     lines: Iterable[LogLine], window_s: float
 ) -> list[tuple[float, str, int]]:
-    """Returns refused requests by window and reason, the windows in order."""
+    """Counts refused requests by time window and reason, sorted by time."""
     counts: collections.Counter[tuple[float, str]] = collections.Counter()
     for line in lines:
         outcome = line.fields.get("outcome")
@@ -147,27 +148,27 @@
 
 
 class Commands:
-    """From log lines to what callers waited for."""
+    """Finds the causes of refused requests in logs."""
 
     def id(self, wanted: str, *logs: str) -> None:
-        """Prints the lines of a request or program, and their causes.
+        """Prints the lines of a request or program and their likely causes.
 
         Args:
-            wanted: The request's or program's id.
-            logs: Files with the lines of all hosts.
+            wanted: Id of the request or program.
+            logs: Paths of the log files of all hosts.
         """
         lines = trace(_load(logs), str(wanted))
         if not lines:
-            print(f"no line names {wanted}", file=sys.stderr)
+            print(f"no log line has the id {wanted}", file=sys.stderr)
             sys.exit(1)
         print("\n".join(str(line) for line in lines))
 
     def refusals(self, *logs: str, window: float = 2.0) -> None:
-        """Counts refused requests by time and reason.
+        """Counts refused requests by time window and reason.
 
         Args:
-            logs: Files with the lines of all hosts.
-            window: Length of one window in seconds.
+            logs: Paths of the log files of all hosts.
+            window: Length of a time window in seconds.
         """
         for at, why, number in count_refusals(_load(logs), window):
             print(f"{at:8.1f} {number:6d}  {why}")
--- a/tools/load/src/masticdale_load/virtual_time.py
+++ b/tools/load/src/masticdale_load/virtual_time.py
@@ -1,6 +1,6 @@
-"""An asyncio event loop whose clock jumps to the next timer.
+"""An asyncio event loop whose clock advances directly to the next timer.
 
-An hour of load runs in seconds, and the same seed gives the same run.
+Simulations run faster than real time and are deterministic for a given seed.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
-    """Advances the clock where a real selector would block."""
+    """Advances the virtual clock instead of blocking."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -23,19 +23,19 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Returns no events at once.
+        """Advances the clock by the timeout and returns no events.
 
         Raises:
-            RuntimeError: Nothing is scheduled, so the run would never end.
+            RuntimeError: No timer is scheduled, so no task can ever resume.
         """
         if timeout is None:
-            raise RuntimeError("every task waits and no timer is set")
+            raise RuntimeError("deadlock: all tasks wait and no timer is set")
         self.now += max(0.0, timeout)
         return []
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop on virtual seconds, from 0."""
+    """An event loop with a virtual clock that starts at 0."""
 
     def __init__(self) -> None:
         self._selector_clock = _VirtualTimeSelector()
@@ -43,18 +43,11 @@
         self._clock_resolution = _CLOCK_RESOLUTION_S
 
     def time(self) -> float:
-        """Returns the virtual seconds since the loop was made."""
+        """Returns the virtual time in seconds."""
         return self._selector_clock.now
 
 
 def run(main: Coroutine[Any, Any, ValueT]) -> ValueT:
-    """Runs a coroutine on a new virtual-time loop.
-
-    Args:
-        main: What to run.
-
-    Returns:
-        What the coroutine returned.
-    """
+    """Runs a coroutine on a new virtual-time loop and returns its result."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main)
--- a/tools/load/src/masticdale_load/workloads.py
+++ b/tools/load/src/masticdale_load/workloads.py
@@ -1,4 +1,4 @@
-"""Programs drawn from a seed: turns, pauses, sub-agents, arrival times."""
+"""Seeded generation of programs: turns, pauses, sub-agents and arrivals."""
 
 import dataclasses
 import random
@@ -19,11 +19,11 @@
     """One turn and the tool pause after it.
 
     Attributes:
-        new_tokens: Tokens it adds to the prompt.
-        generated_tokens: Tokens it generates.
-        sub_agents: Branches that run before the pause, side by side.
+        new_tokens: Tokens that the turn adds to the prompt.
+        generated_tokens: Tokens that the turn generates.
+        sub_agents: Branches that run concurrently before the pause.
         tool: Name of the tool.
-        pause_s: Seconds the tool takes.
+        pause_s: Duration of the tool call in seconds.
         served: Whether an application replica serves the tool.
     """
 
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BranchPlan:
-    """The turns of one branch, each after the one before.
+    """The turns of one branch, run in order.
 
     Attributes:
         turns: The turns; no pause follows the last.
@@ -48,16 +48,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProgramPlan:
-    """A whole program.
+    """One program.
 
     Attributes:
-        program_id: Its id.
-        kind: Name of its kind.
-        workspace: Its workspace.
-        priority: Its class.
-        template_tokens: Tokens of its template.
-        arrives_at: When its first turn is asked for.
-        root: Its main branch.
+        program_id: Id of the program.
+        kind: Name of the program kind.
+        workspace: Workspace that runs it.
+        priority: Priority class; 0 is the highest.
+        template_tokens: Tokens of the template.
+        arrives_at: Arrival time of the first turn, in seconds.
+        root: Main branch.
     """
 
     program_id: str
@@ -70,11 +70,11 @@
 
 
 def turn_work_s(turn: TurnPlan, spec: EngineSpec) -> float:
-    """Returns a turn's work in seconds of a fully used replica.
+    """Returns a turn's work in seconds of a fully utilized replica.
 
     Args:
         turn: The turn; its sub-agents are not counted.
-        spec: The engine.
+        spec: Capacity and speed of the engine.
     """
     full = spec.decode_tokens_per_s(spec.slots) * spec.slots
     prefill_s = turn.new_tokens / spec.prefill_tokens_per_s
@@ -83,12 +83,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Footprint:
-    """What a branch takes when nothing else runs.
+    """Resources that a branch needs on an otherwise idle deployment.
 
     Attributes:
-        path_s: Seconds of its critical path.
-        demand_s: Seconds of a fully used replica.
-        token_s: Context tokens times the seconds they are needed.
+        path_s: Length of the critical path in seconds.
+        demand_s: Work in seconds of a fully utilized replica.
+        token_s: Integral of the context tokens over time, in token-seconds.
     """
 
     path_s: float = 0.0
@@ -99,12 +99,12 @@
 def footprint(
     branch: BranchPlan, template_tokens: int, spec: EngineSpec
 ) -> Footprint:
-    """Returns what a branch takes when each prefix stays cached.
+    """Returns the footprint of a branch when every prefix stays cached.
 
     Args:
         branch: The branch.
-        template_tokens: Tokens of its template, cached beforehand.
-        spec: The engine.
+        template_tokens: Tokens of the template, cached beforehand.
+        spec: Capacity and speed of the engine.
     """
     path_s = demand_s = token_s = 0.0
     context = template_tokens
@@ -128,7 +128,7 @@
 
 
 class ProgramGenerator:
-    """Draws programs of an experiment."""
+    """Draws random programs of an experiment."""
 
     def __init__(self, experiment: Experiment) -> None:
         self._kinds = experiment.kinds
@@ -139,7 +139,7 @@
         """Returns the next program.
 
         Args:
-            arrives_at: When it arrives.
+            arrives_at: Arrival time in seconds.
         """
         shares = [kind.share for kind in self._kinds]
         kind = self._random.choices(self._kinds, shares)[0]
@@ -157,7 +157,11 @@
         )
 
     def gap_s(self, rate: float) -> float:
-        """Returns the seconds to the next arrival."""
+        """Draws the seconds to the next arrival of a Poisson process.
+
+        Args:
+            rate: Programs per second.
+        """
         return self._random.expovariate(rate)
 
     def _turn_count(self, kind: ProgramKind) -> int:
@@ -214,8 +218,8 @@
     """Mean demand of an experiment's programs.
 
     Attributes:
-        rate_at_capacity: Programs per second that use all replicas fully.
-        fill_tokens: Context tokens of the programs under way at 80% load.
+        rate_at_capacity: Programs per second that saturate all replicas.
+        fill_tokens: Context tokens of the running programs at 80% load.
     """
 
     rate_at_capacity: float
@@ -223,7 +227,7 @@
 
 
 def measure_demand(experiment: Experiment) -> Demand:
-    """Returns the demand, from a sample drawn with the experiment's seed."""
+    """Estimates the mean demand from a sample with the experiment's seed."""
     spec = experiment.engine.spec()
     generator = ProgramGenerator(experiment)
     plans = [generator.draw(0.0) for _ in range(_SAMPLE_PROGRAMS)]
@@ -235,7 +239,7 @@
 
 
 def draw_programs(experiment: Experiment, rate: float) -> Sequence[ProgramPlan]:
-    """Returns all programs of a run; the same for every policy.
+    """Returns all programs of a run; they are the same for every policy.
 
     Args:
         experiment: The experiment.
