--- a/tools/load/src/masticdale_load/system_checks.py
+++ b/tools/load/src/masticdale_load/system_checks.py
@@ -1,4 +1,4 @@
-"""Compares what callers were told with histories and executions."""
+"""Checks the answers that callers got against histories and executions."""
 
 import collections
 import dataclasses
@@ -17,18 +17,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Verdict:
-    """What the checks found; all lists but the counts are to stay empty.
+    """Result of the checks; any entry in a list is a violation.
 
     Attributes:
-        acknowledged: Acknowledged turns.
-        lost: Acknowledged turns that their history lacks.
-        duplicated: Requests that stand in a history more than once.
-        mixed: Answers that are not their prompt's, or not what was told.
+        acknowledged: Number of acknowledged turns.
+        lost: Acknowledged turns missing from their branch's history.
+        duplicated: Requests that occur more than once in a history.
+        mixed: Answers that belong to another prompt or differ from the
+            acknowledged answer.
         disordered: Branches whose history is not in the callers' order.
         executed_twice: Unrepeatable calls that were executed more than once.
-        untrue: Unrepeatable calls whose execution differs from what was told.
-        outcome_unknown: Unrepeatable calls reported as of unknown outcome.
-        executed: Unrepeatable calls that were executed.
+        untrue: Unrepeatable calls whose executions contradict the outcome
+            reported to the caller.
+        outcome_unknown: Number of unrepeatable calls that were reported with
+            an unknown outcome.
+        executed: Number of unrepeatable calls that were executed.
     """
 
     acknowledged: int = 0
@@ -43,7 +46,7 @@
 
     @property
     def is_clean(self) -> bool:
-        """True where nothing was lost, duplicated, mixed or untrue."""
+        """Whether no check found a violation."""
         return not any(
             (
                 self.lost,
@@ -59,12 +62,12 @@
 def check_history(
     ledger: ProgramLedger, history: BranchHistory, verdict: Verdict
 ) -> None:
-    """Checks one branch's history and adds to the verdict.
+    """Checks the history of one branch.
 
     Args:
-        ledger: What the callers were told.
-        history: What the system kept.
-        verdict: Changed in place.
+        ledger: Requests and acknowledged answers of the program.
+        history: History that the system returned.
+        verdict: Updated in place.
     """
     label = f"{history.program_id}/{history.branch}"
     ids = [item.request_id for item in history.items]
@@ -94,12 +97,12 @@
     count_by_key: collections.Counter[str],
     verdict: Verdict,
 ) -> None:
-    """Checks every unrepeatable call against what the services ran.
+    """Checks reported outcomes of unrepeatable calls against executions.
 
     Args:
-        ledgers: What the callers were told.
-        count_by_key: Executions over all services by idempotency key.
-        verdict: Changed in place.
+        ledgers: Reported outcomes of each program.
+        count_by_key: Executions at all services by idempotency key.
+        verdict: Updated in place.
     """
     for ledger in ledgers:
         for request_id, reported in ledger.outcome_by_request_id.items():
--- a/tools/load/src/masticdale_load/system_client.py
+++ b/tools/load/src/masticdale_load/system_client.py
@@ -1,4 +1,4 @@
-"""An honest caller: it sends again under the same request id, elsewhere."""
+"""HTTP client that retries at other hosts with the same request id."""
 
 import asyncio
 import collections
@@ -32,19 +32,19 @@
 _RETRY_DELAY_S = 0.1
 _DATA_PREFIX = "data:"
 _EVENT_PREFIX = "event:"
-# Without a time to come back, and yet nothing says that the request must not
-# be sent again: its id makes that safe.
+# Error kinds that are retried even without ``retry_after_ms``. The request id
+# makes a retry safe.
 _RETRIED_KINDS = frozenset({ErrorKind.INTERNAL, ErrorKind.CANCELLED})
 
 
 @dataclasses.dataclass(slots=True)
 class ClientStats:
-    """What callers met on the way to their answers.
+    """Counts of refused and failed attempts.
 
     Attributes:
-        count_by_refusal: Refusals by error kind.
+        count_by_refusal: Number of refusals by error kind.
         not_accepted: Connections that a closed listener refused.
-        broken: Connections that broke or went silent after the request.
+        broken: Connections that failed or timed out after the request.
         mismatched_streams: Streams whose text differs from their last event.
     """
 
@@ -58,11 +58,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerSettings:
-    """How patient a caller is.
+    """Timeouts of a caller.
 
     Attributes:
-        timeout_s: Longest wait for one answer, or for news on a stream.
-        total_timeout_s: Longest time over all attempts of one request.
+        timeout_s: Timeout of one answer or of the next event of a stream.
+        total_timeout_s: Timeout over all attempts of one request.
     """
 
     timeout_s: float = 20.0
@@ -70,17 +70,17 @@
 
 
 class SystemClient:
-    """A workspace's caller."""
+    """Client of the HTTP API with one workspace's key."""
 
     def __init__(
         self,
         balancer: Balancer,
         key: str,
-        tally: ClientStats,
+        stats: ClientStats,
         settings: CallerSettings | None = None,
     ) -> None:
         self._balancer = balancer
-        self._tally = tally
+        self._stats = stats
         self._settings = settings or CallerSettings()
         self._http = httpx.AsyncClient(
             headers={"authorization": f"Bearer {key}"},
@@ -96,27 +96,27 @@
     async def create(
         self, body: CreateProgramBody
     ) -> Result[ProgramBody, ErrorBody]:
-        """Begins a program."""
+        """Creates a program."""
         return await self._send_with_retries("", body, ProgramBody)
 
     async def turn(
         self, program_id: str, body: SendTurnBody
     ) -> Result[TurnAnswerBody, ErrorBody]:
-        """Sends a turn and waits for its whole answer."""
+        """Sends a turn and waits for the complete answer."""
         path = f"/{program_id}/turns"
         return await self._send_with_retries(path, body, TurnAnswerBody)
 
     async def call(
         self, program_id: str, body: CallServiceBody
     ) -> Result[CallAnswerBody, ErrorBody]:
-        """Calls a service."""
+        """Calls a service operation."""
         path = f"/{program_id}/calls"
         return await self._send_with_retries(path, body, CallAnswerBody)
 
     async def branch(
         self, program_id: str, body: OpenBranchBody
     ) -> Result[ProgramBody, ErrorBody]:
-        """Opens a sub-agent's branch."""
+        """Opens a branch for a sub-agent."""
         path = f"/{program_id}/branches"
         return await self._send_with_retries(path, body, ProgramBody)
 
@@ -130,7 +130,7 @@
     async def read(
         self, program_id: str, branch: str
     ) -> Result[ProgramBody, ErrorBody]:
-        """Reads status and a branch's history."""
+        """Reads a program's status and one branch's history."""
         path = f"/{program_id}?history={branch}"
         return await self._send_with_retries(path, None, ProgramBody)
 
@@ -141,10 +141,10 @@
         body: pydantic.BaseModel | None,
         kind: type[BodyT],
     ) -> Result[BodyT, ErrorBody]:
-        """Sends a request once, to one host.
+        """Sends a request to one host without retries.
 
         Raises:
-            httpx.TransportError: The connection failed or fell silent.
+            httpx.TransportError: The connection failed or timed out.
         """
         full_url = f"{url}{_PATH}{path}"
         if body is None:
@@ -170,17 +170,17 @@
             try:
                 outcome = await self.send_once(url, path, body, kind)
             except httpx.ConnectError:
-                self._tally.not_accepted += 1
+                self._stats.not_accepted += 1
                 await asyncio.sleep(_RETRY_DELAY_S)
                 continue
             except httpx.TransportError:
-                self._tally.broken += 1
+                self._stats.broken += 1
                 await asyncio.sleep(_RETRY_DELAY_S)
                 continue
             if isinstance(outcome, Success):
                 return outcome
             refusal = outcome.failure()
-            self._tally.count_by_refusal[refusal.kind] += 1
+            self._stats.count_by_refusal[refusal.kind] += 1
             wait_ms = refusal.retry_after_ms
             if wait_ms is None and refusal.kind not in _RETRIED_KINDS:
                 return outcome
@@ -209,11 +209,11 @@
                     return Success(kind.model_validate_json(value))
                 part = str(json.loads(value)["text"])
                 text = part if event == "restart" else text + part
-        raise httpx.RemoteProtocolError("the stream has no last event")
+        raise httpx.RemoteProtocolError("stream ended without a final event")
 
     def _compare_stream_text(self, text: str, done: str) -> None:
         if json.loads(done)["text"] != text:
-            self._tally.mismatched_streams += 1
+            self._stats.mismatched_streams += 1
 
 
 def _parse_response(
--- a/tools/load/src/masticdale_load/system_declarations.py
+++ b/tools/load/src/masticdale_load/system_declarations.py
@@ -1,4 +1,4 @@
-"""The configuration that a fault run applies: both deployments, smaller."""
+"""Configuration of a fault run: small versions of both deployments."""
 
 import dataclasses
 
@@ -20,19 +20,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deployment:
-    """One deployment as its callers and operators know it.
+    """Names and keys of one deployment.
 
     Attributes:
-        workspace: Name of its workspace.
+        workspace: Name of the workspace.
         key: Caller key.
-        model: Model of its programs.
-        engine_prefix: Begins the names of its engines.
-        service_prefix: Begins the names of its services.
-        program: Kind of its programs.
+        model: Name of the model.
+        engine_prefix: Prefix of the engine names.
+        service_prefix: Prefix of the service names.
+        program: Kind of most programs.
         short_program: Kind with a budget of ``TURN_LIMIT`` turns.
         system_prompt: System prompt of both kinds.
-        repeatable: An operation that may be repeated.
-        unrepeatable: One that may not.
+        repeatable: Name of an idempotent operation.
+        unrepeatable: Name of an operation that is not idempotent.
     """
 
     workspace: str
@@ -47,11 +47,11 @@
     unrepeatable: str
 
     def engines(self, count: int) -> tuple[str, ...]:
-        """Returns the names of its engines."""
+        """Returns the names of the first ``count`` engines."""
         return tuple(f"{self.engine_prefix}-{i + 1}" for i in range(count))
 
     def services(self, count: int) -> tuple[str, ...]:
-        """Returns the names of its services."""
+        """Returns the names of the first ``count`` services."""
         return tuple(f"{self.service_prefix}-{i + 1}" for i in range(count))
 
 
@@ -90,8 +90,8 @@
 
     Args:
         deployment: The deployment.
-        engine_count: Number of its engines.
-        service_count: Number of its services.
+        engine_count: Number of engines.
+        service_count: Number of services.
     """
     engines = [
         engine(name, deployment.model, i)
--- a/tools/load/src/masticdale_load/system_faults.py
+++ b/tools/load/src/masticdale_load/system_faults.py
@@ -1,4 +1,4 @@
-"""Brings faults about on a running system and takes them back."""
+"""Injects faults into a running system and reverts them."""
 
 import asyncio
 import collections
@@ -21,25 +21,26 @@
 _SLOW_MS = 400
 _LOST_ANSWERS = 3
 _HTTP_TIMEOUT_S = 5.0
-# A host is taken for dead, and its homes and shards move, within so long.
+# Upper bound of the time until a failed host is detected and its homes and
+# shards have moved.
 _RECOVERY_S = 4.0
 
 
 @dataclasses.dataclass(slots=True)
 class FaultMeasurements:
-    """What the faults showed.
+    """Measurements taken during faults; times are in seconds.
 
     Attributes:
-        count_by_fault: How often each was brought about.
+        count_by_fault: Number of injections by fault kind.
         takeover_s: Time until each shard of a killed host was served again.
-        takeover_twofold_s: The same where another host or the platform failed
-            as well meanwhile.
-        leaving_s: Time until a leaving upstream got its last new call.
-        leaving_twofold_s: The same where a host or the platform failed as
-            well meanwhile.
-        stops: Planned stops.
-        failed_stops: Those whose exit code was not 0, or that were cut off.
-        stop_seconds: How long planned stops took.
+        takeover_twofold_s: The same, while another host or the platform
+            failed too.
+        leaving_s: Time until a leaving upstream received its last new call.
+        leaving_twofold_s: The same, while a host or the platform failed too.
+        stops: Number of planned stops.
+        failed_stops: Planned stops that timed out or whose exit code was not
+            0.
+        stop_seconds: Durations of the planned stops.
     """
 
     count_by_fault: collections.Counter[str] = dataclasses.field(
@@ -55,7 +56,7 @@
 
 
 class FaultTracker:
-    """When hosts and the platform were not well."""
+    """Tracks faults of hosts and of the platform to detect overlaps."""
 
     def __init__(self) -> None:
         self._active = 0
@@ -64,7 +65,7 @@
 
     @contextlib.contextmanager
     def track(self) -> Iterator[None]:
-        """Notes one for as long as the block."""
+        """Counts a fault as active for the duration of the block."""
         self._active += 1
         self._count += 1
         try:
@@ -74,17 +75,21 @@
             self._ended_at = time.monotonic()
 
     def checkpoint(self) -> int | None:
-        """Returns what to give to ``is_alone``; None if something goes on."""
+        """Returns a mark for ``is_isolated``.
+
+        Returns:
+            None during another fault and the recovery after it.
+        """
         has_recovered = time.monotonic() - self._ended_at > _RECOVERY_S
         return None if self._active or not has_recovered else self._count
 
     def is_isolated(self, mark: int | None) -> bool:
-        """Returns whether nothing else went on before or since the mark."""
+        """Returns whether no other fault was active before or since a mark."""
         return mark == self._count
 
 
 class FaultDriver:
-    """Draws faults from a plan and brings them about, two at most at once."""
+    """Injects random faults of a plan, two at most at once."""
 
     def __init__(
         self, plan: SystemPlan, cluster: LocalCluster, probe: TakeoverProbe
@@ -109,13 +114,13 @@
             FaultKind.ENGINE_CROSSES_ANSWERS: self._engine_cross,
             FaultKind.ENGINE_TRUNCATES: self._engine_truncate,
             FaultKind.ENGINE_LEAVES: self._engine_leaves,
-            FaultKind.ENGINE_LISTED_LEAVING: self._engine_listed,
+            FaultKind.ENGINE_LISTED_LEAVING: self._engine_listed_leaving,
             FaultKind.SERVICE_LOSES_ANSWERS: self._service_loses,
             FaultKind.SERVICE_REFUSES: self._service_refuses,
         }
 
     async def run(self) -> None:
-        """Brings faults about until cancelled."""
+        """Injects faults periodically until cancelled."""
         if not self._plan.faults:
             return
         while True:
@@ -127,17 +132,17 @@
             task.add_done_callback(self._tasks.discard)
 
     async def wait_until_reverted(self) -> None:
-        """Waits until every fault is taken back."""
+        """Waits until every fault is reverted."""
         await asyncio.gather(*self._tasks)
 
     async def restart_all(self) -> None:
-        """Stops every host as planned and starts it again, one by one."""
+        """Restarts every host in turn with a planned stop."""
         for host in list(self._cluster.daemon_by_name):
             await self._restart(host)
 
     def _pick_host(self) -> str | None:
         hosts = sorted(set(self._cluster.daemon_by_name) - self._busy)
-        # Two hosts down at once at most, and always two that work.
+        # At most two hosts are down at once, and at least two are up.
         if len(hosts) < max(3, len(self._cluster.daemon_by_name) - 1):
             return None
         return self._random.choice(hosts)
@@ -193,7 +198,7 @@
         self.measurements.stops += 1
         while process.exit_code is None:
             if time.monotonic() - started > _STOP_TIMEOUT_S:
-                self.measurements.failed_stops.append(f"{host}: still runs")
+                self.measurements.failed_stops.append(f"{host}: stop timed out")
                 process.kill()
                 break
             await asyncio.sleep(_POLL_S)
@@ -241,7 +246,7 @@
         await self._watch_leaving(process)
         await self._set_faults(process)
 
-    async def _engine_listed(self) -> None:
+    async def _engine_listed_leaving(self) -> None:
         name = self._random.choice(sorted(self._cluster.engine_by_name))
         await self._set_listed(name, leaving=True)
         await self._watch_leaving(self._cluster.engine_by_name[name])
@@ -262,7 +267,7 @@
         return services[self._random.choice(sorted(services))]
 
     async def _watch_leaving(self, process: RunningProcess) -> None:
-        """Notes when the last new call came after it began to leave."""
+        """Measures the time from leaving to the last new call."""
         mark = self._fault_tracker.checkpoint()
         started = time.monotonic()
         last_s = 0.0
--- a/tools/load/src/masticdale_load/system_hosts.py
+++ b/tools/load/src/masticdale_load/system_hosts.py
@@ -1,4 +1,4 @@
-"""The balancer's part: which hosts callers are sent to."""
+"""Client-side load balancing over the ready hosts."""
 
 import asyncio
 import itertools
@@ -11,7 +11,7 @@
 
 
 class Balancer:
-    """Sends each request to the next host that was ready when last asked."""
+    """Selects hosts round robin among those that were ready at last poll."""
 
     def __init__(self, url_by_host: dict[str, str]) -> None:
         self._url_by_host = url_by_host
@@ -19,23 +19,23 @@
         self._request_numbers = itertools.count()
 
     def next_url(self) -> str:
-        """Returns where to send a request; any host if none is ready."""
+        """Returns the next URL; uses all hosts if none is ready."""
         hosts = sorted(self._ready) or sorted(self._url_by_host)
         return self._url_by_host[
             hosts[next(self._request_numbers) % len(hosts)]
         ]
 
     def urls(self) -> tuple[str, ...]:
-        """Returns the URLs of every host."""
+        """Returns the URLs of all hosts."""
         return tuple(self._url_by_host.values())
 
     async def is_ready(self, host: str) -> bool:
-        """Asks one host for its readiness now."""
+        """Polls the readiness of one host."""
         async with _http() as http:
             return await _is_ready(http, self._url_by_host[host])
 
     async def run(self) -> None:
-        """Asks every host for its readiness until cancelled."""
+        """Polls the readiness of all hosts until cancelled."""
         async with _http() as http:
             while True:
                 hosts = list(self._url_by_host)
--- a/tools/load/src/masticdale_load/system_ledger.py
+++ b/tools/load/src/masticdale_load/system_ledger.py
@@ -1,4 +1,4 @@
-"""What callers were told, to be compared with what the system kept."""
+"""Requests and acknowledged answers, recorded for the checks after a run."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """One finished call as its caller was told."""
+    """An acknowledged turn as the caller saw it."""
 
     request_id: str
     sent: str
@@ -17,15 +17,15 @@
 
 @dataclasses.dataclass(slots=True)
 class ProgramLedger:
-    """One program.
+    """Requests of one program and the outcomes reported to its caller.
 
     Attributes:
-        program_id: Its id.
-        key: Caller key of its workspace.
+        program_id: Id of the program.
+        key: Caller key of the workspace.
         system_prompt: First part of every prompt.
-        max_tokens: Most tokens of each answer.
-        acknowledged_by_branch: Answered turns in their order.
-        sent_ids: Every request id that was sent.
+        max_tokens: Maximum tokens of an answer.
+        acknowledged_by_branch: Acknowledged turns in order, by branch.
+        sent_ids: Ids of all sent requests.
         outcome_by_request_id: Last reported outcome of each unrepeatable call.
         ended: Whether the end was acknowledged.
     """
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BranchHistory:
-    """What the system says that a branch's history is."""
+    """The history of a branch as the system returns it."""
 
     program_id: str
     branch: str
--- a/tools/load/src/masticdale_load/system_plans.py
+++ b/tools/load/src/masticdale_load/system_plans.py
@@ -1,4 +1,4 @@
-"""Plans of fault runs: what is started, what callers do, what goes wrong."""
+"""Plans of fault runs: processes, workload and faults."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """What a fault run can bring about."""
+    """Kinds of faults that a fault run can inject."""
 
     KILL_HOST = "kill_host"
     PAUSE_HOST = "pause_host"
@@ -27,27 +27,27 @@
 
 
 class SystemPlan(StrictModel):
-    """One fault run.
+    """Plan of one fault run.
 
     Attributes:
-        name: Stands in the report.
-        seed: Of everything drawn at random.
-        hosts: Number of daemons.
-        engines: Model engines of each deployment.
-        services: Plain services of each deployment.
-        turns: Turns to acknowledge before no new program begins.
-        programs_at_once: Programs under way at a time.
+        name: Name shown in the report.
+        seed: Seed of all random draws.
+        hosts: Number of hosts.
+        engines: Number of model engines per deployment.
+        services: Number of plain services per deployment.
+        turns: Acknowledged turns after which no new program starts.
+        programs_at_once: Number of concurrent programs.
         steps: Steps of one program, most of them turns.
-        max_tokens: Most tokens of an answer.
-        tokens_per_s: Speed at which an engine generates one answer.
-        service_ms: How long a service's operation takes.
-        pause_ms: Longest tool pause.
-        faults: What goes wrong, drawn evenly; empty for nothing.
-        fault_period_s: Time from one fault's begin to the next one's.
-        fault_s: How long a fault lasts.
-        most_s: The run ends then, whatever is acknowledged.
-        rolling_restart: Every host is stopped with SIGTERM and started again,
-            one after the other, in the middle of the run.
+        max_tokens: Maximum tokens of an answer.
+        tokens_per_s: Generation speed of one answer.
+        service_ms: Duration of a service operation in milliseconds.
+        pause_ms: Maximum tool pause in milliseconds.
+        faults: Faults to draw from with equal probability; empty for none.
+        fault_period_s: Seconds between the starts of two faults.
+        fault_s: Duration of a fault in seconds.
+        most_s: Seconds after which the run ends, whatever is acknowledged.
+        rolling_restart: Whether every host is restarted in turn with SIGTERM
+            in the middle of the run.
     """
 
     name: str = pydantic.Field(min_length=1)
--- a/tools/load/src/masticdale_load/system_programs.py
+++ b/tools/load/src/masticdale_load/system_programs.py
@@ -1,4 +1,4 @@
-"""Drives programs as their callers do and notes what they are told."""
+"""Runs programs as callers do and records the reported outcomes."""
 
 import asyncio
 import dataclasses
@@ -40,13 +40,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """What the run has come to.
+    """Progress of a run.
 
     Attributes:
-        ledgers: Every program that was begun.
+        ledgers: Ledgers of all created programs.
         turn_seconds: Latency of each acknowledged turn, retries included.
-        given_up: Requests whose callers lost patience, with the last refusal.
-        over_budget: Programs that got more turns than their budget.
+        given_up: Requests that the callers gave up, with the last refusal.
+        over_budget: Programs that ran more turns than their budget allows.
     """
 
     ledgers: list[ProgramLedger] = dataclasses.field(default_factory=list)
@@ -56,7 +56,7 @@
 
 
 class ProgramDriver:
-    """One program from its begin to its end."""
+    """Runs one program from creation to end."""
 
     def __init__(
         self,
@@ -77,18 +77,18 @@
         self._is_short = self._random.random() < _SHORT_SHARE
 
     async def run(self) -> None:
-        """Runs the program; it stops early where a request is given up."""
+        """Runs the program; stops early if a request is given up."""
         deployment = self._deployment
         kind = deployment.short_program if self._is_short else ""
         body = CreateProgramBody(
             request_id=self._label, program=kind or deployment.program
         )
-        begun = await self._client.create(body)
-        if isinstance(begun, Failed):
-            self._give_up("create", begun.failure().kind)
+        created = await self._client.create(body)
+        if isinstance(created, Failed):
+            self._give_up("create", created.failure().kind)
             return
         ledger = ProgramLedger(
-            begun.unwrap().program_id,
+            created.unwrap().program_id,
             deployment.key,
             deployment.system_prompt,
             self._plan.max_tokens,
--- a/tools/load/src/masticdale_load/system_relays.py
+++ b/tools/load/src/masticdale_load/system_relays.py
@@ -1,4 +1,4 @@
-"""TCP relays between processes: connections that fall silent, or are cut."""
+"""TCP relays that simulate stalled connections and network partitions."""
 
 import asyncio
 import concurrent.futures
@@ -9,16 +9,16 @@
 
 _IP = "127.0.0.1"
 _CHUNK_BYTES = 65_536
-_START_TIMEOUT_S = 5.0
+_TIMEOUT_S = 5.0
 ResultT = TypeVar("ResultT")
 
 
 class Relay:
-    """One listener that passes bytes on to one address.
+    """Forwards connections from a listening port to a target port.
 
-    ``silence`` leaves open connections open for good without passing
-    anything on, as a middle box does that has lost track of them; new ones
-    work. While ``cut``, new ones fall silent, too.
+    ``stall_connections`` keeps the open connections open but forwards no more
+    data on them, like a middlebox that lost their state; new connections
+    work. After ``partition`` new connections stall, too.
     """
 
     def __init__(self, target_port: int) -> None:
@@ -30,33 +30,33 @@
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The listening port."""
         assert self._server is not None
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts to listen on a free port."""
         self._server = await asyncio.start_server(self._accept, _IP, 0)
 
     async def stall_connections(self) -> None:
-        """Makes every open connection silent."""
+        """Stops forwarding on all open connections, without closing them."""
         forwarding = list(self._forwarding)
         for task in forwarding:
             task.cancel()
         await asyncio.gather(*forwarding, return_exceptions=True)
 
     async def partition(self) -> None:
-        """Makes every open and every new connection silent."""
+        """Stalls all open and all new connections."""
         self._is_partitioned = True
         await self.stall_connections()
 
     async def heal(self) -> None:
-        """Lets new connections work again."""
+        """Forwards new connections again."""
         self._is_partitioned = False
 
     async def close(self) -> None:
-        """Closes everything."""
+        """Closes the listener and all connections."""
         await self.stall_connections()
         for writer in self._writers:
             writer.close()
@@ -95,24 +95,24 @@
         self._thread.start()
 
     def relay_to(self, port: int) -> Relay:
-        """Starts a relay to a port of this machine."""
+        """Starts a relay to a local port."""
         relay = Relay(port)
         self.run_on_loop(relay.start())
         self._relays.append(relay)
         return relay
 
     def run_on_loop(self, work: Coroutine[Any, Any, ResultT]) -> ResultT:
-        """Runs a relay's method on its loop and waits for it."""
+        """Runs a coroutine on the relays' loop and waits for its result."""
         future: concurrent.futures.Future[ResultT]
         future = asyncio.run_coroutine_threadsafe(work, self._loop)
-        return future.result(_START_TIMEOUT_S)
+        return future.result(_TIMEOUT_S)
 
     def close(self) -> None:
-        """Closes every relay and the loop."""
+        """Closes all relays and stops the thread."""
         for relay in self._relays:
             self.run_on_loop(relay.close())
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(_START_TIMEOUT_S)
+        self._thread.join(_TIMEOUT_S)
         self._loop.close()
 
 
--- a/tools/load/src/masticdale_load/system_reports.py
+++ b/tools/load/src/masticdale_load/system_reports.py
@@ -1,4 +1,4 @@
-"""The report of a fault run, as JSON and as a table."""
+"""Report of a fault run, as JSON and as a text table."""
 
 import math
 from collections.abc import Sequence
@@ -26,43 +26,48 @@
 
 
 class SystemReport(pydantic.BaseModel):
-    """What a fault run came to.
+    """Results of a fault run.
 
     Attributes:
-        plan: What was run.
-        seconds: How long callers sent requests.
-        programs: Programs begun.
-        acknowledged: Turns that were acknowledged.
-        lost: Acknowledged turns that their history lacks.
-        duplicated: Requests that stand in a history twice.
-        mixed: Answers that are not their prompt's, or not what was told.
-        disordered: Branches out of their callers' order.
-        executed: Unrepeatable calls that were executed.
-        executed_twice: Those executed more than once.
-        untrue: Unrepeatable calls whose execution differs from what was told.
-        outcome_unknown: Unrepeatable calls whose caller was told so.
-        garbled_streams: Streams that did not add up to their answer.
-        over_budget: Programs that got more turns than their budget.
-        given_up: Requests that their callers gave up.
-        not_ended: Programs whose end was not acknowledged.
-        memory_held: Ended programs for which an engine holds memory.
-        refusals: Refusals by error kind.
+        plan: Plan of the run.
+        seconds: Time during which callers sent requests.
+        programs: Number of created programs.
+        acknowledged: Number of acknowledged turns.
+        lost: Acknowledged turns missing from their branch's history.
+        duplicated: Requests that occur more than once in a history.
+        mixed: Answers that belong to another prompt or differ from the
+            acknowledged answer.
+        disordered: Branches whose history is not in the callers' order.
+        executed: Number of unrepeatable calls that were executed.
+        executed_twice: Unrepeatable calls that were executed more than once.
+        untrue: Unrepeatable calls whose executions contradict the outcome
+            reported to the caller.
+        outcome_unknown: Number of unrepeatable calls that were reported with
+            an unknown outcome.
+        garbled_streams: Streams whose text differs from their last event.
+        over_budget: Programs that ran more turns than their budget allows.
+        given_up: Requests that the callers gave up.
+        not_ended: Number of programs whose end was not acknowledged.
+        memory_held: Ended programs that still have prefixes in an engine.
+        refusals: Number of refusals by error kind.
         not_accepted: Connections refused by a closed listener, which count
             for the balancer.
-        broken: Connections that broke or went silent.
+        broken: Connections that failed or timed out after the request.
         restart_refusals: Refusals during the rolling restart.
-        restart_broken: Connections that broke during the rolling restart.
-        restart_not_accepted: Closed listeners met during the rolling restart.
+        restart_broken: Broken connections during the rolling restart.
+        restart_not_accepted: Connections refused by a closed listener during
+            the rolling restart.
         turn_latency: Seconds of a turn, retries included.
         takeover: Seconds until a killed host's shard was served again.
-        takeover_twofold: The same where another host or the platform failed
-            as well meanwhile.
-        leaving: Seconds until a leaving engine's last new call.
-        leaving_twofold: The same where a host or the platform failed as well.
-        stops: Planned stops.
+        takeover_twofold: The same, while another host or the platform failed
+            too.
+        leaving: Seconds until a leaving engine received its last new call.
+        leaving_twofold: The same, while a host or the platform failed too.
+        stops: Number of planned stops.
         stop_seconds: Seconds of a planned stop.
-        failed_stops: Stops that were not graceful.
-        faults: Faults by kind.
+        failed_stops: Planned stops that timed out or whose exit code was not
+            0.
+        faults: Number of injected faults by kind.
     """
 
     plan: SystemPlan
@@ -100,7 +105,7 @@
 
     @property
     def is_clean(self) -> bool:
-        """True where every promise held."""
+        """Whether the run violated no invariant."""
         return not any(
             (
                 self.lost,
@@ -137,8 +142,8 @@
     plan: SystemPlan,
     seconds: float,
     progress: Progress,
-    tally: ClientStats,
-    restart: ClientStats,
+    client_stats: ClientStats,
+    restart_stats: ClientStats,
     measurements: FaultMeasurements,
     verdict: Verdict,
     memory_held: Sequence[str],
@@ -146,14 +151,14 @@
     """Returns the report of a run.
 
     Args:
-        plan: What was run.
-        seconds: How long callers sent requests.
-        progress: What the programs came to.
-        tally: What callers met in all.
-        restart: The part of it during the rolling restart.
-        measurements: What was measured during the faults.
-        verdict: What the checks found.
-        memory_held: Ended programs with engine memory.
+        plan: Plan of the run.
+        seconds: Time during which callers sent requests.
+        progress: Programs, latencies and given-up requests.
+        client_stats: Client statistics of the whole run.
+        restart_stats: Client statistics of the rolling restart.
+        measurements: Measurements taken during faults.
+        verdict: Result of the checks.
+        memory_held: Ended programs that still have prefixes in an engine.
     """
     return SystemReport(
         plan=plan,
@@ -168,17 +173,17 @@
         executed_twice=verdict.executed_twice,
         untrue=verdict.untrue,
         outcome_unknown=verdict.outcome_unknown,
-        garbled_streams=tally.mismatched_streams,
+        garbled_streams=client_stats.mismatched_streams,
         over_budget=progress.over_budget,
         given_up=progress.given_up,
         not_ended=sum(not ledger.ended for ledger in progress.ledgers),
         memory_held=list(memory_held),
-        refusals=dict(tally.count_by_refusal),
-        not_accepted=tally.not_accepted,
-        broken=tally.broken,
-        restart_refusals=dict(restart.count_by_refusal),
-        restart_broken=restart.broken,
-        restart_not_accepted=restart.not_accepted,
+        refusals=dict(client_stats.count_by_refusal),
+        not_accepted=client_stats.not_accepted,
+        broken=client_stats.broken,
+        restart_refusals=dict(restart_stats.count_by_refusal),
+        restart_broken=restart_stats.broken,
+        restart_not_accepted=restart_stats.not_accepted,
         turn_latency=quantiles(progress.turn_seconds),
         takeover=quantiles(measurements.takeover_s),
         takeover_twofold=quantiles(measurements.takeover_twofold_s),
--- a/tools/load/src/masticdale_load/system_runs.py
+++ b/tools/load/src/masticdale_load/system_runs.py
@@ -1,4 +1,4 @@
-"""Runs a plan: starts the system, drives callers and faults, checks all."""
+"""Fault runs: starts a system, runs callers and faults, checks the results."""
 
 import asyncio
 import collections
@@ -63,12 +63,12 @@
 
 
 def load_plan(path: pathlib.Path) -> Result[SystemPlan, Failure]:
-    """Reads a plan; the error names the field."""
+    """Reads and validates a plan; the error names the invalid field."""
     return settings.load(path, SystemPlan)
 
 
 def cluster_plan(plan: SystemPlan) -> ClusterPlan:
-    """Returns the processes of a plan."""
+    """Returns the cluster that a plan describes."""
     engines = [n for d in DEPLOYMENTS for n in d.engines(plan.engines)]
     services = [n for d in DEPLOYMENTS for n in d.services(plan.services)]
     hosts = tuple(f"host-{n + 1}" for n in range(plan.hosts))
@@ -91,7 +91,7 @@
 
 @contextlib.contextmanager
 def running_system(plan: SystemPlan) -> collections.abc.Iterator[LocalCluster]:
-    """Starts a plan's system with its configuration; stops it at the end."""
+    """Runs a plan's configured system for the duration of the block."""
     processes = cluster_plan(plan)
     cluster = start_cluster(processes)
     try:
@@ -108,25 +108,25 @@
 
 
 def run_system(plan: SystemPlan) -> SystemReport:
-    """Runs a plan from start to stop and returns its report."""
+    """Runs a plan on a new system and returns the report."""
     with running_system(plan) as cluster:
         return asyncio.run(_SystemRun(plan, cluster).run())
 
 
 class _SystemRun:
-    """One run on a system that has started."""
+    """One fault run on a running system."""
 
     def __init__(self, plan: SystemPlan, cluster: LocalCluster) -> None:
         self._plan = plan
         self._cluster = cluster
-        self._tally = ClientStats()
-        self._restart_tally = ClientStats()
+        self._client_stats = ClientStats()
+        self._restart_stats = ClientStats()
         self._progress = Progress()
         self._balancer = Balancer(
             {n: h.callers_url for n, h in cluster.daemon_by_name.items()}
         )
         self._client_by_key = {
-            d.key: SystemClient(self._balancer, d.key, self._tally)
+            d.key: SystemClient(self._balancer, d.key, self._client_stats)
             for d in DEPLOYMENTS
         }
         self._probe_client = SystemClient(
@@ -142,7 +142,7 @@
         self._numbers = itertools.count()
 
     async def run(self) -> SystemReport:
-        """Drives, settles and checks."""
+        """Runs callers and faults, waits for recovery and checks results."""
         async with self._background(self._balancer.run()):
             await self._probe.prepare(DEPLOYMENTS[0].program, self._plan.seed)
             started = time.monotonic()
@@ -153,18 +153,18 @@
             seconds = time.monotonic() - started
             await self._faults.wait_until_reverted()
             verdict = await self._check()
-            held = await self._wait_released()
+            memory_held = await self._wait_until_released()
         for client in (*self._client_by_key.values(), self._probe_client):
             await client.close()
         return create_report(
             self._plan,
             seconds,
             self._progress,
-            self._tally,
-            self._restart_tally,
+            self._client_stats,
+            self._restart_stats,
             self._faults.measurements,
             verdict,
-            held,
+            memory_held,
         )
 
     @contextlib.asynccontextmanager
@@ -204,12 +204,12 @@
             return
         while self._turns() < self._plan.turns * _RESTART_AT_SHARE:
             await asyncio.sleep(_PROGRESS_POLL_S)
-        before = copy.deepcopy(self._tally)
+        before = copy.deepcopy(self._client_stats)
         await self._faults.restart_all()
-        self._restart_tally = ClientStats(
-            self._tally.count_by_refusal - before.count_by_refusal,
-            self._tally.not_accepted - before.not_accepted,
-            self._tally.broken - before.broken,
+        self._restart_stats = ClientStats(
+            self._client_stats.count_by_refusal - before.count_by_refusal,
+            self._client_stats.not_accepted - before.not_accepted,
+            self._client_stats.broken - before.broken,
         )
 
     async def _check(self) -> Verdict:
@@ -249,8 +249,12 @@
         kinds = {d.short_program for d in DEPLOYMENTS}
         return view.program in kinds and view.turns_spent > TURN_LIMIT
 
-    async def _wait_released(self) -> list[str]:
-        """Waits until engines hold nothing for ended programs."""
+    async def _wait_until_released(self) -> list[str]:
+        """Waits until no engine keeps prefixes of ended programs.
+
+        Returns:
+            Engine and program ids of what is still there at the timeout.
+        """
         deadline = time.monotonic() + _RELEASE_WAIT_S
         while True:
             held = await self._ended_programs_in_engines()
--- a/tools/load/src/masticdale_load/system_takeover.py
+++ b/tools/load/src/masticdale_load/system_takeover.py
@@ -1,4 +1,4 @@
-"""Measures how long a killed host's programs cannot be read by anyone."""
+"""Measures how long the programs of a killed host are unavailable."""
 
 import asyncio
 import time
@@ -19,7 +19,7 @@
 
 
 class TakeoverProbe:
-    """One idle program in each shard, read until someone answers."""
+    """Measures takeover times by reading one idle program in each shard."""
 
     def __init__(
         self, client: SystemClient, balancer: Balancer, platform_url: str
@@ -30,19 +30,19 @@
         self._program_by_shard: dict[int, str] = {}
 
     async def prepare(self, kind: str, seed: int) -> None:
-        """Begins programs until each shard has one."""
+        """Creates programs until each shard has one."""
         number = 0
         while len(self._program_by_shard) < hashing.SHARD_COUNT:
             body = CreateProgramBody(
                 request_id=f"probe-{seed}-{number}", program=kind
             )
-            begun = (await self._client.create(body)).unwrap()
-            shard = hashing.shard_of(begun.program_id)
-            self._program_by_shard.setdefault(shard, begun.program_id)
+            created = (await self._client.create(body)).unwrap()
+            shard = hashing.shard_of(created.program_id)
+            self._program_by_shard.setdefault(shard, created.program_id)
             number += 1
 
     async def shards_of(self, host: str) -> tuple[int, ...]:
-        """Returns the shards that the platform says a host holds."""
+        """Returns the shards that a host owns according to the platform."""
         store = PlatformClient(
             self._platform_url, _PLATFORM_TIMEOUT_S, Metrics()
         )
@@ -58,10 +58,10 @@
         return tuple(held)
 
     async def measure(self, shards: tuple[int, ...]) -> tuple[float, ...]:
-        """Returns how long each shard's program could not be read.
+        """Returns the seconds until each shard's program can be read.
 
         Args:
-            shards: Shards that the killed host held.
+            shards: Shards that the killed host owned.
         """
         started = time.monotonic()
         return tuple(
