--- a/tools/load/src/masticdale_load/engine.py
+++ b/tools/load/src/masticdale_load/engine.py
@@ -169,10 +169,13 @@
         self._schedule()
 
     async def _import(self, call: EngineCall) -> None:
-        own = call.imported_tokens - call.template_tokens
-        if own <= 0:
+        branch_tokens = call.imported_tokens - call.template_tokens
+        if branch_tokens <= 0:
             return
-        wanted = {call.branch: own, call.template: call.template_tokens}
+        wanted = {
+            call.branch: branch_tokens,
+            call.template: call.template_tokens,
+        }
         missing = sum(
             max(0, tokens - self.cache.tokens(key))
             for key, tokens in wanted.items()
@@ -211,11 +214,11 @@
 
     def _begin(self, active: _ActiveCall) -> None:
         call, cache = active.call, self.cache
-        held = min(cache.tokens(call.template), call.template_tokens)
-        if held == call.template_tokens:
-            held += cache.tokens(call.branch)
-        held = min(held, call.prompt_tokens - 1)
-        active.cached_tokens = held - held % self.spec.restore_interval
+        cached = min(cache.tokens(call.template), call.template_tokens)
+        if cached == call.template_tokens:
+            cached += cache.tokens(call.branch)
+        cached = min(cached, call.prompt_tokens - 1)
+        active.cached_tokens = cached - cached % self.spec.restore_interval
         active.prefill_left = float(call.prompt_tokens - active.cached_tokens)
         for key in (call.template, call.branch):
             cache.pin(key)
--- a/tools/load/src/masticdale_load/gates.py
+++ b/tools/load/src/masticdale_load/gates.py
@@ -43,11 +43,11 @@
         offer = self.queue.offer(ticket, self._loop.time())
         if isinstance(offer, (Granted, Refused)):
             return offer
-        permission: asyncio.Future[AdmissionResult] = self._loop.create_future()
-        self._future_by_ticket_id[ticket.ticket_id] = permission
+        future: asyncio.Future[AdmissionResult] = self._loop.create_future()
+        self._future_by_ticket_id[ticket.ticket_id] = future
         try:
             async with asyncio.timeout(timeout_s or None):
-                return await permission
+                return await future
         except TimeoutError:
             self.queue.withdraw(ticket.ticket_id, self._loop.time())
             return Withdrawn()
@@ -71,6 +71,6 @@
             self._resolve(ticket, Withdrawn())
 
     def _resolve(self, ticket: Ticket, permission: AdmissionResult) -> None:
-        waiting = self._future_by_ticket_id.get(ticket.ticket_id)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(permission)
+        future = self._future_by_ticket_id.get(ticket.ticket_id)
+        if future is not None and not future.done():
+            future.set_result(permission)
--- a/tools/load/src/masticdale_load/pausing.py
+++ b/tools/load/src/masticdale_load/pausing.py
@@ -65,10 +65,10 @@
             if self._kind is PauseKind.MODEL:
                 home.release(paused.branch)
             return
-        frees = decision.action is PauseAction.EXPORT
+        releases = decision.action is PauseAction.EXPORT
         if self._kind is PauseKind.COPY:
-            frees = False
-        task = asyncio.create_task(self._export(paused, home, frees))
+            releases = False
+        task = asyncio.create_task(self._export(paused, home, releases))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -85,7 +85,7 @@
             home.remove_program(branch.program_id)
 
     async def _export(
-        self, paused: PausedBranch, home: ReplicaHome, frees: bool
+        self, paused: PausedBranch, home: ReplicaHome, releases: bool
     ) -> None:
         key = cache_key(paused.branch)
         # Only tokens added since the last export are transferred.
@@ -95,5 +95,5 @@
             return
         self._exports.put(key, paused.tokens)
         self._counters.exported_tokens += new_tokens
-        if frees:
+        if releases:
             home.release(paused.branch)
--- a/tools/load/src/masticdale_load/programs.py
+++ b/tools/load/src/masticdale_load/programs.py
@@ -152,14 +152,14 @@
         replica: str,
     ) -> ModelCall:
         plan = progress.plan
-        known = replica or plan.kind in self._computed_templates
+        is_prefix_computed = replica or plan.kind in self._computed_templates
         return ModelCall(
             progress.next_call_id(),
             plan,
             key,
             context + turn.new_tokens,
             turn.generated_tokens,
-            context if known else 0,
+            context if is_prefix_computed else 0,
             progress.attained_s,
             replica,
         )
--- a/tools/load/src/masticdale_load/system_faults.py
+++ b/tools/load/src/masticdale_load/system_faults.py
@@ -274,10 +274,10 @@
         calls = await self._calls(process)
         while time.monotonic() - started < _LEAVING_WATCH_S:
             await asyncio.sleep(_POLL_S)
-            now_calls = await self._calls(process)
-            if now_calls != calls:
+            current_calls = await self._calls(process)
+            if current_calls != calls:
                 last_s = time.monotonic() - started
-            calls = now_calls
+            calls = current_calls
         if self._fault_tracker.is_isolated(mark):
             self.measurements.leaving_s.append(last_s)
         else:
--- a/tools/load/src/masticdale_load/system_reports.py
+++ b/tools/load/src/masticdale_load/system_reports.py
@@ -123,7 +123,7 @@
         )
 
 
-def quantiles(seconds: Sequence[float]) -> Quantiles:
+def compute_quantiles(seconds: Sequence[float]) -> Quantiles:
     """Returns the quantiles of a list of seconds."""
     if not seconds:
         return Quantiles(count=0, p50=0, p99=0, most=0)
@@ -184,13 +184,13 @@
         restart_refusals=dict(restart_stats.count_by_refusal),
         restart_broken=restart_stats.broken,
         restart_not_accepted=restart_stats.not_accepted,
-        turn_latency=quantiles(progress.turn_seconds),
-        takeover=quantiles(measurements.takeover_s),
-        takeover_twofold=quantiles(measurements.takeover_twofold_s),
-        leaving=quantiles(measurements.leaving_s),
-        leaving_twofold=quantiles(measurements.leaving_twofold_s),
+        turn_latency=compute_quantiles(progress.turn_seconds),
+        takeover=compute_quantiles(measurements.takeover_s),
+        takeover_twofold=compute_quantiles(measurements.takeover_twofold_s),
+        leaving=compute_quantiles(measurements.leaving_s),
+        leaving_twofold=compute_quantiles(measurements.leaving_twofold_s),
         stops=measurements.stops,
-        stop_seconds=quantiles(measurements.stop_seconds),
+        stop_seconds=compute_quantiles(measurements.stop_seconds),
         failed_stops=measurements.failed_stops,
         faults=dict(measurements.count_by_fault),
     )
--- a/tools/load/src/masticdale_load/system_runs.py
+++ b/tools/load/src/masticdale_load/system_runs.py
@@ -183,7 +183,7 @@
         await asyncio.gather(*(self._run_caller(started) for _ in workers))
 
     async def _run_caller(self, started: float) -> None:
-        while self._is_under_way(started):
+        while self._accepts_new_programs(started):
             number = next(self._numbers)
             deployment = DEPLOYMENTS[number % len(DEPLOYMENTS)]
             client = self._client_by_key[deployment.key]
@@ -192,17 +192,19 @@
             )
             await driver.run()
 
-    def _is_under_way(self, started: float) -> bool:
-        is_late = time.monotonic() - started > self._plan.most_s
-        return self._turns() < self._plan.turns and not is_late
+    def _accepts_new_programs(self, started: float) -> bool:
+        is_over_time = time.monotonic() - started > self._plan.most_s
+        return (
+            self._acknowledged_turns() < self._plan.turns and not is_over_time
+        )
 
-    def _turns(self) -> int:
+    def _acknowledged_turns(self) -> int:
         return len(self._progress.turn_seconds)
 
     async def _run_rolling_restart(self) -> None:
         if not self._plan.rolling_restart:
             return
-        while self._turns() < self._plan.turns * _RESTART_AT_SHARE:
+        while self._acknowledged_turns() < self._plan.turns * _RESTART_AT_SHARE:
             await asyncio.sleep(_PROGRESS_POLL_S)
         before = copy.deepcopy(self._client_stats)
         await self._faults.restart_all()
--- a/tools/load/src/masticdale_load/system_takeover.py
+++ b/tools/load/src/masticdale_load/system_takeover.py
@@ -46,16 +46,16 @@
         store = PlatformClient(
             self._platform_url, _PLATFORM_TIMEOUT_S, Metrics()
         )
-        held: list[int] = []
+        owned: list[int] = []
         for shard in range(hashing.SHARD_COUNT):
             head = await read_head(store, shard)
             if not isinstance(head, Success):
                 continue
             found = head.unwrap()
             if found is not None and found.owner == host and not found.released:
-                held.append(shard)
+                owned.append(shard)
         await store.close()
-        return tuple(held)
+        return tuple(owned)
 
     async def measure(self, shards: tuple[int, ...]) -> tuple[float, ...]:
         """Returns the seconds until each shard's program can be read.
--- a/tools/load/src/masticdale_load/traces.py
+++ b/tools/load/src/masticdale_load/traces.py
@@ -74,7 +74,7 @@
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
     """Yields the log lines in a text and skips everything else."""
     for text in texts:
-        before, brace, rest = text.partition("{")
+        prefix, brace, rest = text.partition("{")
         if not brace or "message_type" not in rest:
             continue
         try:
@@ -82,7 +82,7 @@
         except ValueError:
             # A killed process may leave a truncated last line.
             continue
-        words = before.split()
+        words = prefix.split()
         at = float(words[0]) if words else float(fields.get("timestamp", 0))
         host = words[1] if len(words) > 1 else str(fields.get("host", ""))
         yield LogLine(at, host, str(fields["message_type"]), fields)
@@ -100,7 +100,7 @@
         refused request, sorted by time. State changes of other shards are
         left out.
     """
-    own = [
+    own_lines = [
         line
         for line in lines
         if wanted
@@ -108,10 +108,12 @@
     ]
     refused = [
         line
-        for line in own
+        for line in own_lines
         if line.kind == "request" and line.fields.get("outcome") != "answered"
     ]
-    shards = {line.fields["shard"] for line in own if "shard" in line.fields}
+    shards = {
+        line.fields["shard"] for line in own_lines if "shard" in line.fields
+    }
     causes = [
         line
         for line in lines
@@ -119,7 +121,7 @@
         and line.fields.get("shard") in (None, *shards)
         and any(0 <= r.at - line.at <= _CAUSE_WINDOW_S for r in refused)
     ]
-    return sorted((*own, *causes), key=lambda line: line.at)
+    return sorted((*own_lines, *causes), key=lambda line: line.at)
 
 
 def count_refusals(
--- a/tools/load/src/masticdale_load/workloads.py
+++ b/tools/load/src/masticdale_load/workloads.py
@@ -76,9 +76,11 @@
         turn: The turn; its sub-agents are not counted.
         spec: Capacity and speed of the engine.
     """
-    full = spec.decode_tokens_per_s(spec.slots) * spec.slots
+    full_batch_rate = spec.decode_tokens_per_s(spec.slots) * spec.slots
     prefill_s = turn.new_tokens / spec.prefill_tokens_per_s
-    return turn.generated_tokens / full + prefill_s * (1 - spec.decode_share)
+    return turn.generated_tokens / full_batch_rate + prefill_s * (
+        1 - spec.decode_share
+    )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -109,13 +111,13 @@
     path_s = demand_s = token_s = 0.0
     context = template_tokens
     last = len(branch.turns) - 1
-    alone = spec.decode_tokens_per_s(1)
+    single_call_rate = spec.decode_tokens_per_s(1)
     for index, turn in enumerate(branch.turns):
         prefill_s = turn.new_tokens / spec.prefill_tokens_per_s
         children = [
             footprint(child, template_tokens, spec) for child in turn.sub_agents
         ]
-        step_s = prefill_s + turn.generated_tokens / alone
+        step_s = prefill_s + turn.generated_tokens / single_call_rate
         step_s += max((c.path_s for c in children), default=0.0)
         step_s += turn.pause_s if index < last else 0.0
         context += turn.new_tokens + turn.generated_tokens
