--- a/tools/load/tests/test_engine.py
+++ b/tools/load/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the fake engine and its cache."""
+"""Tests of the simulated engine and its prefix cache."""
 
 import asyncio
 import unittest
@@ -32,22 +32,22 @@
 
         return virtual_time.run(main())
 
-    def test_alone_a_call_takes_its_prefill_and_its_steps(self):
+    def test_single_call_takes_prefill_plus_decode_time(self):
         [(result, ended_at)] = self.run_calls(call("a"))
         self.assertFalse(result.crashed)
         self.assertAlmostEqual(ended_at, 0.1 + 100 * 0.021, places=3)
 
-    def test_prefill_slows_decoding_and_slots_are_first_come(self):
+    def test_prefill_slows_decoding_and_slots_are_first_come_first_served(self):
         ends = [at for _, at in self.run_calls(*map(call, "abc"))]
         self.assertLess(ends[0], ends[1])
-        # The third begins when the first leaves its slot.
+        # The third call starts when the first one frees its slot.
         self.assertGreater(ends[2], ends[0] + 100 * 0.021)
         self.assertGreater(ends[0], 0.1 + 100 * 0.021 + 0.04)
 
-    def test_crash_ends_all_calls_and_empties_the_cache(self):
-        """The engine dies while two calls run and one waits in it.
+    def test_crash_fails_all_calls_and_clears_the_cache(self):
+        """Guards against a call that hangs after a crash.
 
-        All three end at that moment as crashed, none is left waiting.
+        The engine crashes while two calls run and one waits for a slot.
         """
         results = self.run_calls(*map(call, "abc"), crash_at=1.0)
         self.assertEqual([r.crashed for r, _ in results], [True] * 3)
@@ -55,7 +55,7 @@
 
 
 class CacheTest(unittest.TestCase):
-    def test_tail_of_the_least_recently_used_goes_first(self):
+    def test_tail_of_the_least_recently_used_prefix_is_evicted_first(self):
         cache = PrefixCache(1_000, interval=64)
         for key in "abc":
             cache.store(key, 400)
--- a/tools/load/tests/test_simulation.py
+++ b/tools/load/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""Tests of whole runs, small ones."""
+"""Tests of short simulated runs."""
 
 import pathlib
 import unittest
@@ -26,8 +26,8 @@
     return run_once(shortened, DEMAND, key)
 
 
-class FleetTest(unittest.TestCase):
-    def test_same_seed_gives_the_same_figures(self):
+class SimulationTest(unittest.TestCase):
+    def test_same_seed_gives_the_same_summary(self):
         key = RunKey("first", 0.8, "scarce", "none")
         self.assertEqual(run(key), run(key))
 
@@ -38,26 +38,26 @@
 
         self.assertLess(10 * wasted("affinity"), wasted("round-robin"))
 
-    def test_crash_costs_retries_and_no_program(self):
-        """A replica dies with calls in flight and comes back empty.
+    def test_crash_causes_retries_but_fails_no_program(self):
+        """A replica crashes with calls in flight and restarts.
 
-        Its calls fail together and are sent once more elsewhere; what waited
-        before it is placed anew without a retry. No program fails.
+        Calls in flight are retried at another replica; waiting calls are
+        placed again without a retry.
         """
         summary = run(RunKey("first", 0.8, "ample", "crash"))
         self.assertGreater(summary.retries_per_request, 0.0)
         self.assertLess(summary.retries_per_request, 0.1)
         self.assertEqual(summary.failed, 0)
 
-    def test_leaving_replica_costs_no_program_and_no_retry(self):
-        """A replica leaves: what runs ends there, what waits moves."""
+    def test_leaving_replica_causes_no_retry_and_fails_no_program(self):
+        """Running calls complete on the leaving replica; waiting ones move."""
         summary = run(RunKey("first", 0.8, "ample", "leave"))
         self.assertEqual(summary.retries_per_request, 0.0)
         self.assertEqual(summary.failed, 0)
 
 
 class ExperimentTest(unittest.TestCase):
-    def test_all_experiment_files_fit_the_model(self):
+    def test_all_experiment_files_are_valid(self):
         for path in sorted(FOLDER.glob("*.json")):
             with self.subTest(path.name):
                 loaded = load_experiment(path).unwrap()
--- a/tools/load/tests/test_traces.py
+++ b/tools/load/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Tests of the way from log lines to causes."""
+"""Tests of finding the causes of refused requests in log lines."""
 
 import json
 import unittest
@@ -51,21 +51,21 @@
     def setUp(self):
         self.lines = list(read_lines(LOG))
 
-    def test_only_whole_lines_are_read(self):
+    def test_truncated_and_foreign_lines_are_skipped(self):
         self.assertEqual(len(self.lines), 7)
 
-    def test_a_refused_request_leads_to_what_its_shard_went_through(self):
+    def test_trace_of_refused_request_includes_state_changes_of_its_shard(self):
         kinds = [found.kind for found in trace(self.lines, "r1")]
         self.assertEqual(
             kinds,
             ["store_lost", "shard_alone", "ledger_unavailable", "request"],
         )
 
-    def test_a_program_shows_all_of_its_requests(self):
+    def test_trace_of_program_includes_all_its_requests(self):
         found = [x for x in trace(self.lines, "p") if x.kind == "request"]
         self.assertEqual(len(found), 2)
 
-    def test_a_plain_json_line_carries_its_own_time_and_host(self):
+    def test_time_and_host_of_plain_json_line_come_from_its_fields(self):
         text = json.dumps(
             {"message_type": "started", "timestamp": 5.5, "host": "h"}
         )
