--- a/tools/load/src/masticdale_load/calls.py
+++ b/tools/load/src/masticdale_load/calls.py
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallDone:
+class CompletedCall:
     """A successful call.
 
     Attributes:
@@ -112,20 +112,20 @@
         self._budget = RetryBudget(RetrySettings())
         self._loop = asyncio.get_running_loop()
 
-    async def run(self, call: ModelCall) -> Result[CallDone, Failure]:
+    async def run(self, call: ModelCall) -> Result[CompletedCall, Failure]:
         """Runs a call until it succeeds or is given up.
 
         Returns:
             Replica and service time, or the failure that ended the call.
         """
         queued_at = self._loop.time()
-        offers = 0
+        placements = 0
         failed_replicas: list[str] = []
-        self._counters.first_sends += 1
+        self._counters.calls += 1
         self._budget.record_first_attempt()
         while True:
-            offers += 1
-            probe = self._probe(call, f"{call.call_id}.{offers}", queued_at)
+            placements += 1
+            probe = self._probe(call, f"{call.call_id}.{placements}", queued_at)
             result = await self._attempt(call, probe, failed_replicas)
             if isinstance(result, Withdrawn):
                 continue
@@ -144,7 +144,7 @@
 
     async def _attempt(
         self, call: ModelCall, probe: Probe, failed_replicas: list[str]
-    ) -> Result[CallDone, Failure] | Withdrawn:
+    ) -> Result[CompletedCall, Failure] | Withdrawn:
         candidates = self._candidates(call, probe, failed_replicas)
         request = PlacementRequest(
             call.program.program_id,
@@ -162,12 +162,12 @@
         ticket = dataclasses.replace(
             probe.ticket, uncached_tokens=placement.uncached_tokens
         )
-        permission = await home.gate.wait(ticket, self._policy.reconsider_s)
-        if isinstance(permission, Withdrawn):
-            return permission
-        if isinstance(permission, Refused):
-            no_upstream = permission.failure.kind is ErrorKind.NO_UPSTREAM
-            return Withdrawn() if no_upstream else Failed(permission.failure)
+        admission = await home.gate.wait(ticket, self._policy.reconsider_s)
+        if isinstance(admission, Withdrawn):
+            return admission
+        if isinstance(admission, Refused):
+            no_upstream = admission.failure.kind is ErrorKind.NO_UPSTREAM
+            return Withdrawn() if no_upstream else Failed(admission.failure)
         self._counters.moves += placement.moved
         sent_probe = dataclasses.replace(probe, ticket=ticket)
         result = await self._run_on_engine(call, home, sent_probe)
@@ -177,8 +177,8 @@
 
     async def _run_on_engine(
         self, call: ModelCall, home: ReplicaHome, probe: Probe
-    ) -> Result[CallDone, Failure]:
-        began_at = self._loop.time()
+    ) -> Result[CompletedCall, Failure]:
+        started_at = self._loop.time()
         home.record_sent(probe.request)
         engine_call = EngineCall(
             cache_key(call.branch),
@@ -189,7 +189,7 @@
             probe.importable_tokens,
         )
         result = await home.engine.run(engine_call)
-        service_s = self._loop.time() - began_at
+        service_s = self._loop.time() - started_at
         home.finish(
             probe.ticket.ticket_id,
             TicketResult(
@@ -198,7 +198,7 @@
                 result.cached_tokens,
                 call.generated_tokens,
                 service_s,
-                max(0.0, result.first_token_at - began_at),
+                max(0.0, result.first_token_at - started_at),
             ),
         )
         if result.crashed:
@@ -206,7 +206,7 @@
         self._count(call, result)
         tokens = call.prompt_tokens + call.generated_tokens
         home.index.record_finished(call.branch, tokens, self._loop.time())
-        return Success(CallDone(home.replica, service_s))
+        return Success(CompletedCall(home.replica, service_s))
 
     def _count(self, call: ModelCall, result: EngineResult) -> None:
         wasted = call.computed_tokens - result.cached_tokens
--- a/tools/load/src/masticdale_load/gates.py
+++ b/tools/load/src/masticdale_load/gates.py
@@ -70,7 +70,7 @@
         for ticket in dropped.waiting:
             self._resolve(ticket, Withdrawn())
 
-    def _resolve(self, ticket: Ticket, permission: AdmissionResult) -> None:
+    def _resolve(self, ticket: Ticket, result: AdmissionResult) -> None:
         future = self._future_by_ticket_id.get(ticket.ticket_id)
         if future is not None and not future.done():
-            future.set_result(permission)
+            future.set_result(result)
--- a/tools/load/src/masticdale_load/measures.py
+++ b/tools/load/src/masticdale_load/measures.py
@@ -11,7 +11,7 @@
     """Counts of a whole run, warm-up included.
 
     Attributes:
-        first_sends: Number of calls.
+        calls: Number of calls.
         retries: Number of retried attempts.
         moves: Turns that did not run on their branch's last replica.
         prompt_tokens: Prompt tokens of successful calls.
@@ -19,7 +19,7 @@
         exported_tokens: Number of exported tokens.
     """
 
-    first_sends: int = 0
+    calls: int = 0
     retries: int = 0
     moves: int = 0
     prompt_tokens: int = 0
@@ -165,7 +165,7 @@
         counters.wasted_tokens,
         counters.wasted_tokens / max(1, counters.prompt_tokens),
         useful_s / available_s,
-        counters.retries / max(1, counters.first_sends),
+        counters.retries / max(1, counters.calls),
         counters.moves,
         refused,
         len(measured) - len(done) - refused,
--- a/tools/load/src/masticdale_load/pausing.py
+++ b/tools/load/src/masticdale_load/pausing.py
@@ -78,7 +78,7 @@
         self._model.observe(key, pause_s)
 
     def release_branch(self, branch: BranchKey) -> None:
-        """Removes the cached and exported prefixes of an ended program."""
+        """Removes a branch of an ended program from caches and exports."""
         self._exports.drop(cache_key(branch))
         for home in self._home_by_replica.values():
             home.release(branch)
--- a/tools/load/src/masticdale_load/programs.py
+++ b/tools/load/src/masticdale_load/programs.py
@@ -126,7 +126,7 @@
     async def _pause(
         self, progress: _Progress, turn: TurnPlan, paused: PausedBranch
     ) -> None:
-        began_at = self._loop.time()
+        started_at = self._loop.time()
         self._pauses.begin(paused)
         plan = progress.plan
         if turn.served:
@@ -141,7 +141,7 @@
             )
         else:
             await asyncio.sleep(turn.pause_s)
-        self._pauses.record_pause(paused, self._loop.time() - began_at)
+        self._pauses.record_pause(paused, self._loop.time() - started_at)
 
     def _call(
         self,
--- a/tools/load/src/masticdale_load/services.py
+++ b/tools/load/src/masticdale_load/services.py
@@ -56,8 +56,8 @@
         placed = place(request, self._candidates(), LeastInFlight())
         gate = self._gate_by_replica[placed.unwrap().replica]
         await asyncio.sleep(2 * self._hop_s)
-        permission = await gate.wait(self._ticket(call))
-        if not isinstance(permission, Granted):
+        admission = await gate.wait(self._ticket(call))
+        if not isinstance(admission, Granted):
             return
         await asyncio.sleep(call.duration_s)
         result = TicketResult(service_s=call.duration_s)
--- a/tools/load/src/masticdale_load/system_checks.py
+++ b/tools/load/src/masticdale_load/system_checks.py
@@ -83,10 +83,12 @@
             verdict.lost.append(f"{label}/{call.request_id}")
         elif (item.sent, item.answer) != (call.sent, call.answer):
             verdict.mixed.append(f"{label}/{call.request_id}")
-    acknowledged_ids = {one.request_id for one in acknowledged}
-    kept = [i for i in ids if i in acknowledged_ids]
-    if kept != [
-        one.request_id for one in acknowledged if one.request_id in item_by_id
+    acknowledged_ids = {call.request_id for call in acknowledged}
+    kept_ids = [i for i in ids if i in acknowledged_ids]
+    if kept_ids != [
+        call.request_id
+        for call in acknowledged
+        if call.request_id in item_by_id
     ]:
         verdict.disordered.append(label)
     _check_answers(ledger, history.items, label, verdict)
@@ -112,11 +114,13 @@
             verdict.outcome_unknown += reported == REPORTED_UNKNOWN
             if count > 1:
                 verdict.executed_twice.append(label)
-            is_misreported = (reported == REPORTED_DONE and count == 0) or (
+            is_contradicted = (reported == REPORTED_DONE and count == 0) or (
                 reported == REPORTED_NOT_RUN and count > 0
             )
-            if is_misreported:
-                verdict.untrue.append(f"{label}: told {reported}, ran {count}")
+            if is_contradicted:
+                verdict.untrue.append(
+                    f"{label}: reported {reported}, executed {count} times"
+                )
 
 
 def _check_answers(
--- a/tools/load/src/masticdale_load/system_faults.py
+++ b/tools/load/src/masticdale_load/system_faults.py
@@ -99,7 +99,7 @@
         self._cluster = cluster
         self._probe = probe
         self._random = random.Random(f"faults-{plan.seed}")
-        self._busy: set[str] = set()
+        self._faulty_hosts: set[str] = set()
         self._fault_tracker = FaultTracker()
         self._tasks: set[asyncio.Task[None]] = set()
         self._inject_by_kind: dict[FaultKind, Callable[[], Awaitable[None]]] = {
@@ -141,7 +141,7 @@
             await self._restart(host)
 
     def _pick_host(self) -> str | None:
-        hosts = sorted(set(self._cluster.daemon_by_name) - self._busy)
+        hosts = sorted(set(self._cluster.daemon_by_name) - self._faulty_hosts)
         # At most two hosts are down at once, and at least two are up.
         if len(hosts) < max(3, len(self._cluster.daemon_by_name) - 1):
             return None
@@ -151,28 +151,28 @@
         host = self._pick_host()
         if host is None:
             return
-        self._busy.add(host)
+        self._faulty_hosts.add(host)
         try:
             shards = await self._probe.shards_of(host)
             mark = self._fault_tracker.checkpoint()
             self._cluster.daemon_by_name[host].process.kill()
             seconds = await self._probe.measure(shards)
-            is_alone = self._fault_tracker.is_isolated(mark)
+            is_isolated = self._fault_tracker.is_isolated(mark)
             measurements = self.measurements
             samples = measurements.takeover_s
-            if not is_alone:
+            if not is_isolated:
                 samples = measurements.takeover_twofold_s
             samples.extend(seconds)
             with self._fault_tracker.track():
                 await self._start(host)
         finally:
-            self._busy.discard(host)
+            self._faulty_hosts.discard(host)
 
     async def _pause_host(self) -> None:
         host = self._pick_host()
         if host is None:
             return
-        self._busy.add(host)
+        self._faulty_hosts.add(host)
         process = self._cluster.daemon_by_name[host].process
         with self._fault_tracker.track():
             process.pause()
@@ -181,7 +181,7 @@
             finally:
                 process.resume()
                 await asyncio.sleep(self._plan.fault_s)
-                self._busy.discard(host)
+                self._faulty_hosts.discard(host)
 
     async def _restart_some_host(self) -> None:
         host = self._pick_host()
@@ -191,7 +191,7 @@
             await self._restart(host)
 
     async def _restart(self, host: str) -> None:
-        self._busy.add(host)
+        self._faulty_hosts.add(host)
         process = self._cluster.daemon_by_name[host].process
         started = time.monotonic()
         process.terminate()
@@ -207,7 +207,7 @@
             detail = f"{host}: exit code {process.exit_code}"
             self.measurements.failed_stops.append(detail)
         await self._start(host)
-        self._busy.discard(host)
+        self._faulty_hosts.discard(host)
 
     async def _start(self, host: str) -> None:
         self._cluster.restart_daemon(host)
