--- a/tests/test_system_platform.py
+++ b/tests/test_system_platform.py
@@ -54,7 +54,7 @@
         started = time.monotonic()
         url = self.cluster.daemon_by_name["host-1"].callers_url
         self.ledger_by_id[program].sent_ids.add(request_id)
-        outcome = await self.client.once(
+        outcome = await self.client.send_once(
             url, f"/{program}/calls", body, CallAnswerBody
         )
         self.assertIsInstance(outcome, Failed)
--- a/tests/test_system_services.py
+++ b/tests/test_system_services.py
@@ -53,7 +53,7 @@
         )
         url = self.cluster.daemon_by_name["host-1"].callers_url
         path = f"/{program}/calls"
-        outcome = await self.client.once(url, path, body, dict)
+        outcome = await self.client.send_once(url, path, body, dict)
         self.assertIsInstance(outcome, Failed)
         self.assertEqual(outcome.failure().kind, ErrorKind.UPSTREAM_FAILED)
         self.assertIsNotNone(outcome.failure().retry_after_ms)
--- a/tests/test_system_silence.py
+++ b/tests/test_system_silence.py
@@ -49,7 +49,7 @@
         ]
 
     async def run_on_relays(self, work):
-        await asyncio.to_thread(self.relays.do, work)
+        await asyncio.to_thread(self.relays.run_on_loop, work)
 
     async def send_turns_through_all_hosts(self, program, label):
         """Sends one turn through each host."""
@@ -64,7 +64,7 @@
         program = await self.create_program()
         await self.send_turns_through_all_hosts(program, "before")
         for relay in self.peer_relay_by_host.values():
-            await self.run_on_relays(relay.silence())
+            await self.run_on_relays(relay.stall_connections())
         await self.send_turns_through_all_hosts(program, "after")
         await self.check_history(program)
 
@@ -77,7 +77,7 @@
         turn = asyncio.create_task(self.send_turn(program, "first", entry))
         await self.wait_until_in_flight(program, self.client_for(owner))
         for relay in self.peer_relay_by_host.values():
-            await self.run_on_relays(relay.silence())
+            await self.run_on_relays(relay.stall_connections())
         async with asyncio.timeout(RECOVERY_TIMEOUT_S):
             await turn
         await self.check_history(program)
@@ -87,7 +87,7 @@
         # on a new connection.
         program = await self.create_program()
         for number in range(TURNS):
-            await self.run_on_relays(self.platform_relay.silence())
+            await self.run_on_relays(self.platform_relay.stall_connections())
             async with asyncio.timeout(RECOVERY_TIMEOUT_S):
                 await self.send_turn(program, f"turn-{number}")
         outcome = await self.send_unrepeatable_call(program, "filing")
@@ -103,7 +103,7 @@
         await self.send_turn(program, "first")
         owner = await self.owner_of(program)
         relay = self.peer_relay_by_host[owner]
-        await self.run_on_relays(relay.cut())
+        await self.run_on_relays(relay.partition())
         try:
             elsewhere = self.client_for(*self.other_hosts(owner))
             await self.send_turn(program, "second", elsewhere)
@@ -113,7 +113,7 @@
             )
             self.assertEqual(outcome.unwrap().status, "done")
         finally:
-            await self.run_on_relays(relay.mend())
+            await self.run_on_relays(relay.heal())
         await self.send_turn(program, "fourth")
         self.assertEqual(self.execution_count(program, "filing"), 1)
         view = await self.check_history(program)
--- a/tools/load/src/masticdale_load/calls.py
+++ b/tools/load/src/masticdale_load/calls.py
@@ -1,4 +1,4 @@
-"""One model call from placement to its end, retries included."""
+"""Model calls: placement, admission, execution and retries."""
 
 import asyncio
 import dataclasses
@@ -11,7 +11,7 @@
 from masticdale_load.engine import EngineCall, EngineResult
 from masticdale_load.experiments import PlacementKind, Policy
 from masticdale_load.exports import ExportStore
-from masticdale_load.gates import Moved
+from masticdale_load.gates import Withdrawn
 from masticdale_load.homes import Probe, ReplicaHome, cache_key
 from masticdale_load.measures import Counters
 from masticdale_load.workloads import ProgramPlan
@@ -43,17 +43,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelCall:
-    """One turn to be run.
+    """The model call of one turn.
 
     Attributes:
-        call_id: Its id.
-        program: Its program.
-        branch: Its branch.
+        call_id: Id of the call.
+        program: Program of the turn.
+        branch: Branch of the turn.
         prompt_tokens: Tokens of the whole prompt.
-        generated_tokens: Tokens it will generate; unknown to the decisions.
-        computed_tokens: Prompt tokens that were computed once before.
-        attained_s: Service that the program has had.
-        last_replica: Where the branch ran last; empty for a new one.
+        generated_tokens: Tokens to generate; placement does not see this.
+        computed_tokens: Prompt tokens that an earlier call computed.
+        attained_s: Service time that the program has received, in seconds.
+        last_replica: Replica of the branch's last call; empty for a new
+            branch.
     """
 
     call_id: str
@@ -67,12 +68,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallDone:
-    """A call that ended well.
+class CompletedCall:
+    """A successful call.
 
     Attributes:
-        replica: Where it ran.
-        service_s: Seconds from the grant to the end.
+        replica: Replica that ran it.
+        service_s: Seconds from admission to completion.
     """
 
     replica: str
@@ -80,7 +81,7 @@
 
 
 def create_placement(policy: Policy) -> PlacementPolicy:
-    """Returns the placement policy that an experiment names."""
+    """Returns the placement policy selected by ``policy.placement``."""
     if policy.placement is PlacementKind.ROUND_ROBIN:
         return RoundRobin()
     if policy.placement is PlacementKind.LEAST_IN_FLIGHT:
@@ -91,7 +92,7 @@
 
 
 class ModelCaller:
-    """Places calls, waits for permission, runs them and retries."""
+    """Places calls, waits for admission, runs them and retries failures."""
 
     def __init__(
         self,
@@ -111,25 +112,22 @@
         self._budget = RetryBudget(RetrySettings())
         self._loop = asyncio.get_running_loop()
 
-    async def run(self, call: ModelCall) -> Result[CallDone, Failure]:
-        """Runs a call to its end.
-
-        Args:
-            call: The call.
+    async def run(self, call: ModelCall) -> Result[CompletedCall, Failure]:
+        """Runs a call until it succeeds or is given up.
 
         Returns:
-            Where it ran, or why it was given up.
+            Replica and service time, or the failure that ended the call.
         """
         queued_at = self._loop.time()
-        offers = 0
+        placements = 0
         failed_replicas: list[str] = []
-        self._counters.first_sends += 1
+        self._counters.calls += 1
         self._budget.record_first_attempt()
         while True:
-            offers += 1
-            probe = self._probe(call, f"{call.call_id}.{offers}", queued_at)
+            placements += 1
+            probe = self._probe(call, f"{call.call_id}.{placements}", queued_at)
             result = await self._attempt(call, probe, failed_replicas)
-            if isinstance(result, Moved):
+            if isinstance(result, Withdrawn):
                 continue
             if isinstance(result, Success):
                 return result
@@ -146,7 +144,7 @@
 
     async def _attempt(
         self, call: ModelCall, probe: Probe, failed_replicas: list[str]
-    ) -> Result[CallDone, Failure] | Moved:
+    ) -> Result[CompletedCall, Failure] | Withdrawn:
         candidates = self._candidates(call, probe, failed_replicas)
         request = PlacementRequest(
             call.program.program_id,
@@ -159,29 +157,29 @@
             return Failed(placed.failure())
         placement = placed.unwrap()
         home = self._home_by_replica[placement.replica]
-        # One hop to ask the probes and one to hand the call over.
+        # One hop for the probes and one for the call.
         await asyncio.sleep(2 * self._hop_s)
         ticket = dataclasses.replace(
             probe.ticket, uncached_tokens=placement.uncached_tokens
         )
-        permission = await home.gate.wait(ticket, self._policy.reconsider_s)
-        if isinstance(permission, Moved):
-            return permission
-        if isinstance(permission, Refused):
-            gone = permission.failure.kind is ErrorKind.NO_UPSTREAM
-            return Moved() if gone else Failed(permission.failure)
+        admission = await home.gate.wait(ticket, self._policy.reconsider_s)
+        if isinstance(admission, Withdrawn):
+            return admission
+        if isinstance(admission, Refused):
+            no_upstream = admission.failure.kind is ErrorKind.NO_UPSTREAM
+            return Withdrawn() if no_upstream else Failed(admission.failure)
         self._counters.moves += placement.moved
-        asked = dataclasses.replace(probe, ticket=ticket)
-        result = await self._serve(call, home, asked)
+        sent_probe = dataclasses.replace(probe, ticket=ticket)
+        result = await self._run_on_engine(call, home, sent_probe)
         if not isinstance(result, Success):
             failed_replicas.append(home.replica)
         return result
 
-    async def _serve(
+    async def _run_on_engine(
         self, call: ModelCall, home: ReplicaHome, probe: Probe
-    ) -> Result[CallDone, Failure]:
-        began_at = self._loop.time()
-        home.sent(probe.request)
+    ) -> Result[CompletedCall, Failure]:
+        started_at = self._loop.time()
+        home.record_sent(probe.request)
         engine_call = EngineCall(
             cache_key(call.branch),
             call.program.kind,
@@ -191,7 +189,7 @@
             probe.importable_tokens,
         )
         result = await home.engine.run(engine_call)
-        service_s = self._loop.time() - began_at
+        service_s = self._loop.time() - started_at
         home.finish(
             probe.ticket.ticket_id,
             TicketResult(
@@ -200,7 +198,7 @@
                 result.cached_tokens,
                 call.generated_tokens,
                 service_s,
-                max(0.0, result.first_token_at - began_at),
+                max(0.0, result.first_token_at - started_at),
             ),
         )
         if result.crashed:
@@ -208,7 +206,7 @@
         self._count(call, result)
         tokens = call.prompt_tokens + call.generated_tokens
         home.index.record_finished(call.branch, tokens, self._loop.time())
-        return Success(CallDone(home.replica, service_s))
+        return Success(CompletedCall(home.replica, service_s))
 
     def _count(self, call: ModelCall, result: EngineResult) -> None:
         wasted = call.computed_tokens - result.cached_tokens
@@ -218,9 +216,9 @@
     def _candidates(
         self, call: ModelCall, probe: Probe, failed_replicas: list[str]
     ) -> list[Candidate]:
-        # A replica that just died looks idle and still seems to hold the
-        # prefix: without this every retry went back to it.
-        away = {
+        # A replica that just crashed looks idle and its index still lists the
+        # prefix. Without the exclusion every retry returns to it.
+        unavailable = {
             replica
             for replica, home in self._home_by_replica.items()
             if not home.usable or replica in failed_replicas
@@ -229,17 +227,17 @@
             return [
                 home.candidate(probe)
                 for replica, home in self._home_by_replica.items()
-                if replica not in away
+                if replica not in unavailable
             ]
         count = self._policy.probes
         if call.last_replica:
             count = self._policy.own_probes
-        excluded = {*away, call.last_replica}
+        excluded = {*unavailable, call.last_replica}
         key = probe.ticket.ticket_id
-        asked = choose_probes(key, self._locations, count, excluded)
-        if call.last_replica and call.last_replica not in away:
-            asked.append(call.last_replica)
-        return [self._home_by_replica[r].candidate(probe) for r in asked]
+        probed = choose_probes(key, self._locations, count, excluded)
+        if call.last_replica and call.last_replica not in unavailable:
+            probed.append(call.last_replica)
+        return [self._home_by_replica[r].candidate(probe) for r in probed]
 
     def _probe(
         self, call: ModelCall, ticket_id: str, queued_at: float
--- a/tools/load/src/masticdale_load/decisions.py
+++ b/tools/load/src/masticdale_load/decisions.py
@@ -1,4 +1,4 @@
-"""What the decisions cost: time of a placement and of queue operations."""
+"""Microbenchmarks of placement and queue operations."""
 
 import dataclasses
 import random
@@ -24,18 +24,18 @@
 _ROUNDS = 2_000
 _SEED = 6
 _QUEUE_SIZES = (100, 1_000, 10_000, 100_000)
-_FAR = 1e9
+_FAR_FUTURE_S = 1e9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """Cost of one operation.
+    """Duration of one operation.
 
     Attributes:
-        operation: What was timed.
-        size: Candidates, or waiting tickets.
-        median_us: Median microseconds.
-        p99_us: 99th percentile in microseconds.
+        operation: Name of the operation.
+        size: Number of candidates or waiting tickets.
+        median_us: Median duration in microseconds.
+        p99_us: 99th percentile of the duration in microseconds.
     """
 
     operation: str
@@ -45,7 +45,7 @@
 
 
 def measure_decisions() -> list[Cost]:
-    """Returns the costs of all decisions that are on a call's path."""
+    """Times the placement and queue operations that each call performs."""
     costs = [_time_place(), _time_probes()]
     for size in _QUEUE_SIZES:
         costs += _time_queue(size)
@@ -110,7 +110,7 @@
         f"p{number}",
         generator.randrange(3),
         float(number),
-        _FAR,
+        _FAR_FUTURE_S,
         generator.uniform(0, 300),
     )
 
@@ -120,7 +120,7 @@
     queue = create_replica_queue(
         "r",
         QueueSettings(
-            age_bound_s=_FAR,
+            age_bound_s=_FAR_FUTURE_S,
             max_waiting=size + 2 * _ROUNDS,
             in_flight=InFlightSettings(initial=1),
         ),
--- a/tools/load/src/masticdale_load/engine.py
+++ b/tools/load/src/masticdale_load/engine.py
@@ -1,7 +1,7 @@
-"""A fake model engine: continuous batching, shared prefill, prefix cache.
+"""Simulated model engine with continuous batching and a prefix cache.
 
-It stands at the engine's interface only. As the real ones it knows no
-priority, admits calls in order of arrival, and slows as its batch grows.
+Like real engines it ignores priorities, admits calls in order of arrival, and
+slows down as its batch grows.
 """
 
 import asyncio
@@ -17,16 +17,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """How fast an engine is.
+    """Capacity and speed of an engine.
 
     Attributes:
-        slots: Calls in its batch at most.
-        step_base_s: Seconds of one decode step before any call.
+        slots: Maximum batch size in calls.
+        step_base_s: Fixed duration of a decode step in seconds.
         step_per_call_s: Seconds that each call in the batch adds to a step.
-        prefill_tokens_per_s: Speed of prompts, computed one after another.
-        decode_share: Decode speed left while a prompt is computed.
-        restore_interval: A cached prefix is usable at multiples of this.
-        transfer_tokens_per_s: Speed of export and import; 0 if it can't.
+        prefill_tokens_per_s: Prefill speed; prompts run one at a time.
+        decode_share: Share of the decode speed left during a prefill.
+        restore_interval: Cached prefixes are usable in multiples of this
+            many tokens.
+        transfer_tokens_per_s: Speed of export and import; 0 if unsupported.
     """
 
     slots: int
@@ -38,22 +39,22 @@
     transfer_tokens_per_s: float
 
     def decode_tokens_per_s(self, batch: int) -> float:
-        """Returns one call's generation speed in a batch."""
+        """Returns the generation speed of each call in a batch."""
         return 1 / (self.step_base_s + self.step_per_call_s * batch)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineCall:
-    """One model call as the engine sees it.
+    """A model call as sent to the engine.
 
     Attributes:
         branch: Cache key of the branch.
-        template: Cache key of the shared first part.
-        template_tokens: Tokens of the shared first part.
+        template: Cache key of the template, the shared prompt prefix.
+        template_tokens: Tokens of the template.
         prompt_tokens: Tokens of the whole prompt.
-        generated_tokens: Tokens it will generate.
-        imported_tokens: Prompt tokens that can be imported; only those that
-            the engine does not hold are.
+        generated_tokens: Tokens to generate.
+        imported_tokens: Prompt tokens available for import; the engine
+            imports only those that are not cached.
     """
 
     branch: str
@@ -66,12 +67,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineResult:
-    """How a call ended.
+    """Result of a call.
 
     Attributes:
-        crashed: The engine died under it, or was down.
-        cached_tokens: Prompt tokens that were not computed.
-        first_token_at: When it began to generate.
+        crashed: Whether the engine crashed during the call or was down.
+        cached_tokens: Prompt tokens served from the cache.
+        first_token_at: Time when generation began, in seconds.
     """
 
     crashed: bool
@@ -80,7 +81,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Active:
+class _ActiveCall:
     call: EngineCall
     done: asyncio.Future[EngineResult]
     cached_tokens: int = 0
@@ -89,10 +90,10 @@
 
 
 class EngineModel:
-    """Runs calls in virtual time.
+    """Runs calls on the event loop's clock.
 
-    All calls that decode advance alike, so one counter of decoded tokens per
-    call serves the whole batch.
+    All decoding calls progress at the same rate, so one counter of decoded
+    tokens per call serves the whole batch.
     """
 
     def __init__(self, spec: EngineSpec, cache: PrefixCache) -> None:
@@ -101,46 +102,43 @@
         self.up = True
         self.speed = 1.0
         self._loop = asyncio.get_running_loop()
-        self._waiting: collections.deque[_Active] = collections.deque()
-        self._prefill: collections.deque[_Active] = collections.deque()
-        self._decode: list[tuple[float, int, _Active]] = []
+        self._waiting: collections.deque[_ActiveCall] = collections.deque()
+        self._prefill: collections.deque[_ActiveCall] = collections.deque()
+        self._decode: list[tuple[float, int, _ActiveCall]] = []
         self._counter = itertools.count()
-        self._decoded = 0.0
+        self._decoded_tokens = 0.0
         self._advanced_at = self._loop.time()
         self._timer: asyncio.TimerHandle | None = None
         self._link_free_at = 0.0
 
     @property
     def running(self) -> int:
-        """Calls in the batch."""
+        """Number of calls in the batch."""
         return len(self._prefill) + len(self._decode)
 
     @property
     def waiting(self) -> int:
-        """Calls admitted and not begun."""
+        """Number of calls waiting for a slot."""
         return len(self._waiting)
 
     async def run(self, call: EngineCall) -> EngineResult:
-        """Runs a call to its end.
-
-        Args:
-            call: The call.
+        """Runs a call to completion.
 
         Returns:
-            Its result; ``crashed`` when the engine is or goes down.
+            The result, with ``crashed`` set if the engine is down or crashes.
         """
         await self._import(call)
         if not self.up:
             return EngineResult(crashed=True)
         self._advance()
-        active = _Active(call, self._loop.create_future())
+        active = _ActiveCall(call, self._loop.create_future())
         self._waiting.append(active)
-        self._fill()
+        self._admit()
         self._schedule()
         return await active.done
 
     async def transfer(self, tokens: int) -> None:
-        """Exports or imports tokens over the engine's one link."""
+        """Exports or imports tokens; transfers share one link in turn."""
         now = self._loop.time()
         begin = max(now, self._link_free_at)
         rate = self.spec.transfer_tokens_per_s
@@ -148,7 +146,7 @@
         await asyncio.sleep(self._link_free_at - now)
 
     def crash(self) -> None:
-        """Ends every call and loses the cache."""
+        """Fails every call, clears the cache and stops the engine."""
         self._advance()
         active = [*self._waiting, *self._prefill, *(x[2] for x in self._decode)]
         self._waiting.clear()
@@ -161,20 +159,23 @@
             each.done.set_result(EngineResult(crashed=True))
 
     def restart(self) -> None:
-        """Comes back with an empty cache."""
+        """Starts the engine again with an empty cache."""
         self.up = True
 
     def set_speed(self, speed: float) -> None:
-        """Sets the share of its normal speed that the engine runs at."""
+        """Sets the speed as a share of the normal speed."""
         self._advance()
         self.speed = speed
         self._schedule()
 
     async def _import(self, call: EngineCall) -> None:
-        own = call.imported_tokens - call.template_tokens
-        if own <= 0:
+        branch_tokens = call.imported_tokens - call.template_tokens
+        if branch_tokens <= 0:
             return
-        wanted = {call.branch: own, call.template: call.template_tokens}
+        wanted = {
+            call.branch: branch_tokens,
+            call.template: call.template_tokens,
+        }
         missing = sum(
             max(0, tokens - self.cache.tokens(key))
             for key, tokens in wanted.items()
@@ -185,7 +186,7 @@
             self.cache.pin(key)
         await self.transfer(missing)
         for key, tokens in wanted.items():
-            self.cache.hold(key, tokens)
+            self.cache.store(key, tokens)
         for key in wanted:
             self.cache.unpin(key)
 
@@ -201,28 +202,28 @@
         passed = now - self._advanced_at
         self._advanced_at = now
         if self._decode:
-            self._decoded += passed * self._decode_rate()
+            self._decoded_tokens += passed * self._decode_rate()
         if self._prefill:
             self._prefill[0].prefill_left -= passed * self._prefill_rate()
 
-    def _fill(self) -> None:
+    def _admit(self) -> None:
         while self._waiting and self.running < self.spec.slots:
             active = self._waiting.popleft()
             self._begin(active)
             self._prefill.append(active)
 
-    def _begin(self, active: _Active) -> None:
+    def _begin(self, active: _ActiveCall) -> None:
         call, cache = active.call, self.cache
-        held = min(cache.tokens(call.template), call.template_tokens)
-        if held == call.template_tokens:
-            held += cache.tokens(call.branch)
-        held = min(held, call.prompt_tokens - 1)
-        active.cached_tokens = held - held % self.spec.restore_interval
+        cached = min(cache.tokens(call.template), call.template_tokens)
+        if cached == call.template_tokens:
+            cached += cache.tokens(call.branch)
+        cached = min(cached, call.prompt_tokens - 1)
+        active.cached_tokens = cached - cached % self.spec.restore_interval
         active.prefill_left = float(call.prompt_tokens - active.cached_tokens)
         for key in (call.template, call.branch):
             cache.pin(key)
-        cache.hold(call.branch, call.prompt_tokens - call.template_tokens)
-        cache.hold(call.template, call.template_tokens)
+        cache.store(call.branch, call.prompt_tokens - call.template_tokens)
+        cache.store(call.template, call.template_tokens)
 
     def _schedule(self) -> None:
         if self._timer is not None:
@@ -232,31 +233,34 @@
         if self._prefill:
             delays.append(self._prefill[0].prefill_left / self._prefill_rate())
         if self._decode:
-            left = self._decode[0][0] - self._decoded
+            left = self._decode[0][0] - self._decoded_tokens
             delays.append(left / self._decode_rate())
         if delays:
             delay = max(0.0, min(delays))
-            self._timer = self._loop.call_later(delay, self._step)
+            self._timer = self._loop.call_later(delay, self._on_timer)
 
-    def _step(self) -> None:
+    def _on_timer(self) -> None:
         self._advance()
         while self._prefill and self._prefill[0].prefill_left <= _EPSILON:
             self._start_decode(self._prefill.popleft())
-        while self._decode and self._decode[0][0] <= self._decoded + _EPSILON:
-            self._end(heapq.heappop(self._decode)[2])
-        self._fill()
+        while (
+            self._decode
+            and self._decode[0][0] <= self._decoded_tokens + _EPSILON
+        ):
+            self._finish(heapq.heappop(self._decode)[2])
+        self._admit()
         self._schedule()
 
-    def _start_decode(self, active: _Active) -> None:
-        finish_at = self._decoded + active.call.generated_tokens
+    def _start_decode(self, active: _ActiveCall) -> None:
+        finish_at = self._decoded_tokens + active.call.generated_tokens
         active.first_token_at = self._loop.time()
         entry = (finish_at, next(self._counter), active)
         heapq.heappush(self._decode, entry)
 
-    def _end(self, active: _Active) -> None:
+    def _finish(self, active: _ActiveCall) -> None:
         call = active.call
         tokens = call.prompt_tokens + call.generated_tokens
-        self.cache.hold(call.branch, tokens - call.template_tokens)
+        self.cache.store(call.branch, tokens - call.template_tokens)
         for key in (call.template, call.branch):
             self.cache.unpin(key)
         active.done.set_result(
--- a/tools/load/src/masticdale_load/main.py
+++ b/tools/load/src/masticdale_load/main.py
@@ -1,4 +1,4 @@
-"""Command ``mastic-load``: fault runs, policy experiments, decision costs."""
+"""Command ``mastic-load``: fault runs, policy experiments, benchmarks."""
 
 import pathlib
 import sys
@@ -9,13 +9,17 @@
 
 from masticdale_common import Failure
 from masticdale_load.decisions import format_costs, measure_decisions
+from masticdale_load.experiment_runs import (
+    Selection,
+    run_experiment,
+    select_runs,
+)
 from masticdale_load.experiments import load_experiment
-from masticdale_load.policies import Selection, run_experiment, select_runs
 from masticdale_load.reports import format_table
 from masticdale_load.system_reports import format_report
 from masticdale_load.system_runs import load_plan, run_system
 
-_MOST_PROCESSES = 4
+_MAX_PROCESSES = 4
 
 ValueT = TypeVar("ValueT")
 
@@ -35,11 +39,11 @@
 
 
 def system(plan: str, output: str) -> None:
-    """Runs a fault plan on real processes and checks every promise.
+    """Runs a fault plan on real processes and checks its invariants.
 
     Args:
-        plan: The plan file.
-        output: Where the JSON report goes.
+        plan: Path of the plan file.
+        output: Path of the JSON report to write.
     """
     report = run_system(_unwrap(load_plan(pathlib.Path(plan))))
     pathlib.Path(output).write_text(report.model_dump_json(indent=2))
@@ -56,19 +60,19 @@
     caches: str | tuple[str, ...] = "",
     faults: str | tuple[str, ...] = "none",
     seed: int | None = None,
-    processes: int = _MOST_PROCESSES,
+    processes: int = _MAX_PROCESSES,
 ) -> None:
-    """Runs an experiment and prints its table.
+    """Runs an experiment and prints its results as a table.
 
     Args:
-        experiment: The experiment file.
-        output: Where the JSON report goes.
-        policies: Names of policies to run, separated by commas; all if empty.
+        experiment: Path of the experiment file.
+        output: Path of the JSON report to write.
+        policies: Comma-separated names of policies to run; all if empty.
         loads: Loads to run; all if empty.
-        caches: Cache sizes to run; all if empty.
-        faults: Faults to run; all if empty.
-        seed: In place of the experiment's seed.
-        processes: How many runs at once, four at most.
+        caches: Names of cache sizes to run; all if empty.
+        faults: Names of faults to run; all if empty.
+        seed: Overrides the experiment's seed.
+        processes: Number of parallel runs, at most 4.
     """
     value = _unwrap(load_experiment(pathlib.Path(experiment)))
     chosen = loads if isinstance(loads, (str, tuple)) else str(loads)
@@ -81,14 +85,14 @@
     if seed is not None:
         value = value.model_copy(update={"seed": seed})
     keys = select_runs(value, selection)
-    report = run_experiment(value, keys, min(processes, _MOST_PROCESSES))
+    report = run_experiment(value, keys, min(processes, _MAX_PROCESSES))
     pathlib.Path(output).write_text(report.to_json())
     print(f"{report.experiment}, seed {report.seed}")
     print(format_table(report.runs))
 
 
 def decisions() -> None:
-    """Prints what placements and queue operations cost on this machine."""
+    """Prints the durations of placement and queue operations."""
     print(format_costs(measure_decisions()))
 
 
--- a/tools/load/src/masticdale_load/pausing.py
+++ b/tools/load/src/masticdale_load/pausing.py
@@ -1,4 +1,4 @@
-"""Acts on the pause model: keeps, exports or releases prefixes."""
+"""Keeps, exports or releases prefixes during tool pauses."""
 
 import asyncio
 import dataclasses
@@ -15,11 +15,11 @@
     """A branch that waits for a tool.
 
     Attributes:
-        branch: The branch.
-        kind: Kind of its program.
-        tool: The tool.
-        tokens: Its context.
-        replica: Where its prefix is.
+        branch: Key of the branch.
+        kind: Kind of the program.
+        tool: Name of the tool.
+        tokens: Length of the branch's context in tokens.
+        replica: Replica that caches the prefix.
     """
 
     branch: BranchKey
@@ -29,8 +29,8 @@
     replica: str
 
 
-class PauseKeeper:
-    """Decides at the begin of each pause what happens to the prefix."""
+class PauseManager:
+    """Applies the pause model's decision at the start of each pause."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._loop = asyncio.get_running_loop()
 
     def begin(self, paused: PausedBranch) -> None:
-        """Notes the begin of a pause."""
+        """Decides on the prefix at the start of a pause and acts on it."""
         if self._kind is PauseKind.KEEP:
             return
         home = self._home_by_replica[paused.replica]
@@ -65,35 +65,35 @@
             if self._kind is PauseKind.MODEL:
                 home.release(paused.branch)
             return
-        frees = decision.action is PauseAction.EXPORT
+        releases = decision.action is PauseAction.EXPORT
         if self._kind is PauseKind.COPY:
-            frees = False
-        task = asyncio.create_task(self._export(paused, home, frees))
+            releases = False
+        task = asyncio.create_task(self._export(paused, home, releases))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def returned(self, paused: PausedBranch, pause_s: float) -> None:
-        """Learns from the end of a pause."""
+    def record_pause(self, paused: PausedBranch, pause_s: float) -> None:
+        """Feeds the duration of a finished pause to the model."""
         key = PauseKey(paused.kind, paused.tool)
         self._model.observe(key, pause_s)
 
-    def end(self, branch: BranchKey) -> None:
-        """Frees whatever an ended program's branch holds."""
+    def release_branch(self, branch: BranchKey) -> None:
+        """Removes a branch of an ended program from caches and exports."""
         self._exports.drop(cache_key(branch))
         for home in self._home_by_replica.values():
             home.release(branch)
-            home.forget(branch.program_id)
+            home.remove_program(branch.program_id)
 
     async def _export(
-        self, paused: PausedBranch, home: ReplicaHome, frees: bool
+        self, paused: PausedBranch, home: ReplicaHome, releases: bool
     ) -> None:
         key = cache_key(paused.branch)
-        # Only what grew since the last export is transferred.
-        fresh = max(0, paused.tokens - self._exports.tokens(key))
-        await home.engine.transfer(fresh)
+        # Only tokens added since the last export are transferred.
+        new_tokens = max(0, paused.tokens - self._exports.tokens(key))
+        await home.engine.transfer(new_tokens)
         if home.engine.cache.tokens(key) <= 0:
             return
         self._exports.put(key, paused.tokens)
-        self._counters.exported_tokens += fresh
-        if frees:
+        self._counters.exported_tokens += new_tokens
+        if releases:
             home.release(paused.branch)
--- a/tools/load/src/masticdale_load/programs.py
+++ b/tools/load/src/masticdale_load/programs.py
@@ -1,4 +1,4 @@
-"""Runs one program: turns in order, sub-agents, pauses, release at the end."""
+"""Runs programs: turns, sub-agents, tool pauses and the final release."""
 
 import asyncio
 import dataclasses
@@ -10,7 +10,7 @@
 from masticdale_load.calls import ModelCall, ModelCaller
 from masticdale_load.engine import EngineSpec
 from masticdale_load.measures import ProgramRecord, Window
-from masticdale_load.pausing import PausedBranch, PauseKeeper
+from masticdale_load.pausing import PausedBranch, PauseManager
 from masticdale_load.services import ServiceCall, Services
 from masticdale_load.workloads import (
     BranchPlan,
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Progress:
-    """A program under way, shared by its branches."""
+    """State of a running program, shared by its branches."""
 
     plan: ProgramPlan
     attained_s: float = 0.0
@@ -45,13 +45,13 @@
 
 
 class ProgramRunner:
-    """Runs programs against the deployment."""
+    """Runs programs on the simulated deployment."""
 
     def __init__(
         self,
         caller: ModelCaller,
         services: Services,
-        pauses: PauseKeeper,
+        pauses: PauseManager,
         spec: EngineSpec,
         window: Window,
     ) -> None:
@@ -64,13 +64,13 @@
         self._loop = asyncio.get_running_loop()
 
     async def run(self, plan: ProgramPlan) -> ProgramRecord:
-        """Runs a program from its arrival to its end."""
+        """Waits for a program's arrival, runs it and returns its record."""
         unloaded = footprint(plan.root, plan.template_tokens, self._spec)
         await asyncio.sleep(plan.arrives_at - self._loop.time())
         progress = _Progress(plan)
         result = await self._run_branch(progress, plan.root)
         for number in range(progress.branches):
-            self._pauses.end(BranchKey(plan.program_id, str(number)))
+            self._pauses.release_branch(BranchKey(plan.program_id, str(number)))
         failure = ""
         if not isinstance(result, Success):
             failure = str(result.failure().kind)
@@ -126,7 +126,7 @@
     async def _pause(
         self, progress: _Progress, turn: TurnPlan, paused: PausedBranch
     ) -> None:
-        began_at = self._loop.time()
+        started_at = self._loop.time()
         self._pauses.begin(paused)
         plan = progress.plan
         if turn.served:
@@ -141,7 +141,7 @@
             )
         else:
             await asyncio.sleep(turn.pause_s)
-        self._pauses.returned(paused, self._loop.time() - began_at)
+        self._pauses.record_pause(paused, self._loop.time() - started_at)
 
     def _call(
         self,
@@ -152,14 +152,14 @@
         replica: str,
     ) -> ModelCall:
         plan = progress.plan
-        known = replica or plan.kind in self._computed_templates
+        is_prefix_computed = replica or plan.kind in self._computed_templates
         return ModelCall(
             progress.next_call_id(),
             plan,
             key,
             context + turn.new_tokens,
             turn.generated_tokens,
-            context if known else 0,
+            context if is_prefix_computed else 0,
             progress.attained_s,
             replica,
         )
--- a/tools/load/src/masticdale_load/services.py
+++ b/tools/load/src/masticdale_load/services.py
@@ -1,11 +1,11 @@
-"""Application replicas: plain services behind queues of their own."""
+"""Simulated application replicas, each behind its own queue."""
 
 import asyncio
 import dataclasses
 import math
 
 from masticdale_load.experiments import Deployment
-from masticdale_load.gates import Gate
+from masticdale_load.gates import AdmissionGate
 from masticdale_routing import (
     Candidate,
     Granted,
@@ -26,11 +26,11 @@
     """A tool call that an application replica serves.
 
     Attributes:
-        call_id: Its id.
-        program_id: Its program.
-        workspace: Its workspace.
-        priority: Its class.
-        duration_s: Seconds it takes.
+        call_id: Id of the call.
+        program_id: Id of the calling program.
+        workspace: Workspace of the program.
+        priority: Priority class; 0 is the highest.
+        duration_s: Service time in seconds.
     """
 
     call_id: str
@@ -41,21 +41,23 @@
 
 
 class Services:
-    """Sends tool calls to the application replica with the fewest."""
+    """Sends each tool call to the replica with the fewest in flight."""
 
-    def __init__(self, gate_by_replica: dict[str, Gate], hop_s: float) -> None:
+    def __init__(
+        self, gate_by_replica: dict[str, AdmissionGate], hop_s: float
+    ) -> None:
         self._gate_by_replica = gate_by_replica
         self._hop_s = hop_s
         self._loop = asyncio.get_running_loop()
 
     async def run(self, call: ServiceCall) -> None:
-        """Runs a call to its end."""
+        """Runs a call to completion; a refused call ends at once."""
         request = PlacementRequest(call.program_id, 0)
         placed = place(request, self._candidates(), LeastInFlight())
         gate = self._gate_by_replica[placed.unwrap().replica]
         await asyncio.sleep(2 * self._hop_s)
-        permission = await gate.wait(self._ticket(call))
-        if not isinstance(permission, Granted):
+        admission = await gate.wait(self._ticket(call))
+        if not isinstance(admission, Granted):
             return
         await asyncio.sleep(call.duration_s)
         result = TicketResult(service_s=call.duration_s)
@@ -86,7 +88,7 @@
 
 
 def create_services(deployment: Deployment) -> Services:
-    """Returns the application replicas of a deployment."""
+    """Returns the simulated application replicas of a deployment."""
     slots = deployment.application_slots
     queue_settings = QueueSettings(
         order=QueueOrder.FIRST_COME,
@@ -96,7 +98,7 @@
         f"application-{n}" for n in range(deployment.application_replicas)
     ]
     gate_by_replica = {
-        replica: Gate(create_replica_queue(replica, queue_settings))
+        replica: AdmissionGate(create_replica_queue(replica, queue_settings))
         for replica in replicas
     }
     return Services(gate_by_replica, deployment.hop_s)
--- a/tools/load/src/masticdale_load/system_checks.py
+++ b/tools/load/src/masticdale_load/system_checks.py
@@ -1,4 +1,4 @@
-"""Compares what callers were told with histories and executions."""
+"""Checks the answers that callers got against histories and executions."""
 
 import collections
 import dataclasses
@@ -9,26 +9,29 @@
 from masticdale_upstreams.testing import expected_answer
 from masticdaled.callers.models import HistoryItemBody
 
-TOLD_DONE = "done"
-TOLD_NOT_RUN = "not_run"
-TOLD_UNKNOWN = "unknown"
+REPORTED_DONE = "done"
+REPORTED_NOT_RUN = "not_run"
+REPORTED_UNKNOWN = "unknown"
 _TURN_KIND = "turn"
 
 
 @dataclasses.dataclass(slots=True)
 class Verdict:
-    """What the checks found; all lists but the counts are to stay empty.
+    """Result of the checks; any entry in a list is a violation.
 
     Attributes:
-        acknowledged: Acknowledged turns.
-        lost: Acknowledged turns that their history lacks.
-        duplicated: Requests that stand in a history more than once.
-        mixed: Answers that are not their prompt's, or not what was told.
+        acknowledged: Number of acknowledged turns.
+        lost: Acknowledged turns missing from their branch's history.
+        duplicated: Requests that occur more than once in a history.
+        mixed: Answers that belong to another prompt or differ from the
+            acknowledged answer.
         disordered: Branches whose history is not in the callers' order.
-        twice: Unrepeatable calls that were executed more than once.
-        untrue: Unrepeatable calls whose execution differs from what was told.
-        unknown: Unrepeatable calls told to have an unknown outcome.
-        executed: Unrepeatable calls that were executed.
+        executed_twice: Unrepeatable calls that were executed more than once.
+        untrue: Unrepeatable calls whose executions contradict the outcome
+            reported to the caller.
+        outcome_unknown: Number of unrepeatable calls that were reported with
+            an unknown outcome.
+        executed: Number of unrepeatable calls that were executed.
     """
 
     acknowledged: int = 0
@@ -36,21 +39,21 @@
     duplicated: list[str] = dataclasses.field(default_factory=list)
     mixed: list[str] = dataclasses.field(default_factory=list)
     disordered: list[str] = dataclasses.field(default_factory=list)
-    twice: list[str] = dataclasses.field(default_factory=list)
+    executed_twice: list[str] = dataclasses.field(default_factory=list)
     untrue: list[str] = dataclasses.field(default_factory=list)
-    unknown: int = 0
+    outcome_unknown: int = 0
     executed: int = 0
 
     @property
     def is_clean(self) -> bool:
-        """True where nothing was lost, duplicated, mixed or untrue."""
+        """Whether no check found a violation."""
         return not any(
             (
                 self.lost,
                 self.duplicated,
                 self.mixed,
                 self.disordered,
-                self.twice,
+                self.executed_twice,
                 self.untrue,
             )
         )
@@ -59,30 +62,34 @@
 def check_history(
     ledger: ProgramLedger, history: BranchHistory, verdict: Verdict
 ) -> None:
-    """Checks one branch's history and adds to the verdict.
+    """Checks the history of one branch.
 
     Args:
-        ledger: What the callers were told.
-        history: What the system kept.
-        verdict: Changed in place.
+        ledger: Requests and acknowledged answers of the program.
+        history: History that the system returned.
+        verdict: Updated in place.
     """
     label = f"{history.program_id}/{history.branch}"
     ids = [item.request_id for item in history.items]
     counts = collections.Counter(ids)
     verdict.duplicated += [f"{label}/{i}" for i, n in counts.items() if n > 1]
     verdict.mixed += [f"{label}/{i}" for i in counts.keys() - ledger.sent_ids]
-    told = ledger.acknowledged_by_branch.get(history.branch, [])
-    verdict.acknowledged += len(told)
+    acknowledged = ledger.acknowledged_by_branch.get(history.branch, [])
+    verdict.acknowledged += len(acknowledged)
     item_by_id = {item.request_id: item for item in history.items}
-    for one in told:
-        item = item_by_id.get(one.request_id)
+    for call in acknowledged:
+        item = item_by_id.get(call.request_id)
         if item is None:
-            verdict.lost.append(f"{label}/{one.request_id}")
-        elif (item.sent, item.answer) != (one.sent, one.answer):
-            verdict.mixed.append(f"{label}/{one.request_id}")
-    told_ids = {one.request_id for one in told}
-    kept = [i for i in ids if i in told_ids]
-    if kept != [one.request_id for one in told if one.request_id in item_by_id]:
+            verdict.lost.append(f"{label}/{call.request_id}")
+        elif (item.sent, item.answer) != (call.sent, call.answer):
+            verdict.mixed.append(f"{label}/{call.request_id}")
+    acknowledged_ids = {call.request_id for call in acknowledged}
+    kept_ids = [i for i in ids if i in acknowledged_ids]
+    if kept_ids != [
+        call.request_id
+        for call in acknowledged
+        if call.request_id in item_by_id
+    ]:
         verdict.disordered.append(label)
     _check_answers(ledger, history.items, label, verdict)
 
@@ -92,26 +99,28 @@
     count_by_key: collections.Counter[str],
     verdict: Verdict,
 ) -> None:
-    """Checks every unrepeatable call against what the services ran.
+    """Checks reported outcomes of unrepeatable calls against executions.
 
     Args:
-        ledgers: What the callers were told.
-        count_by_key: Executions over all services by idempotency key.
-        verdict: Changed in place.
+        ledgers: Reported outcomes of each program.
+        count_by_key: Executions at all services by idempotency key.
+        verdict: Updated in place.
     """
     for ledger in ledgers:
-        for request_id, told in ledger.finish_by_request_id.items():
+        for request_id, reported in ledger.outcome_by_request_id.items():
             label = f"{ledger.program_id}/{request_id}"
             count = count_by_key[idempotency_key(ledger.program_id, request_id)]
             verdict.executed += min(count, 1)
-            verdict.unknown += told == TOLD_UNKNOWN
+            verdict.outcome_unknown += reported == REPORTED_UNKNOWN
             if count > 1:
-                verdict.twice.append(label)
-            is_untrue = (told == TOLD_DONE and count == 0) or (
-                told == TOLD_NOT_RUN and count > 0
+                verdict.executed_twice.append(label)
+            is_contradicted = (reported == REPORTED_DONE and count == 0) or (
+                reported == REPORTED_NOT_RUN and count > 0
             )
-            if is_untrue:
-                verdict.untrue.append(f"{label}: told {told}, ran {count}")
+            if is_contradicted:
+                verdict.untrue.append(
+                    f"{label}: reported {reported}, executed {count} times"
+                )
 
 
 def _check_answers(
--- a/tools/load/src/masticdale_load/system_client.py
+++ b/tools/load/src/masticdale_load/system_client.py
@@ -1,4 +1,4 @@
-"""An honest caller: it sends again under the same request id, elsewhere."""
+"""HTTP client that retries at other hosts with the same request id."""
 
 import asyncio
 import collections
@@ -29,23 +29,23 @@
 BodyT = TypeVar("BodyT", bound=pydantic.BaseModel)
 _ERROR_BODY = pydantic.TypeAdapter(ErrorBody)
 _PATH = "/v1/programs"
-_RESEND_S = 0.1
+_RETRY_DELAY_S = 0.1
 _DATA_PREFIX = "data:"
 _EVENT_PREFIX = "event:"
-# Without a time to come back, and yet nothing says that the request must not
-# be sent again: its id makes that safe.
-_RESENT_KINDS = frozenset({ErrorKind.INTERNAL, ErrorKind.CANCELLED})
+# Error kinds that are retried even without ``retry_after_ms``. The request id
+# makes a retry safe.
+_RETRIED_KINDS = frozenset({ErrorKind.INTERNAL, ErrorKind.CANCELLED})
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
-    """What callers met on the way to their answers.
+class ClientStats:
+    """Counts of refused and failed attempts.
 
     Attributes:
-        count_by_refusal: Refusals by error kind.
+        count_by_refusal: Number of refusals by error kind.
         not_accepted: Connections that a closed listener refused.
-        broken: Connections that broke or went silent after the request.
-        garbled: Streams whose text is not the text of their last event.
+        broken: Connections that failed or timed out after the request.
+        mismatched_streams: Streams whose text differs from their last event.
     """
 
     count_by_refusal: collections.Counter[str] = dataclasses.field(
@@ -53,34 +53,34 @@
     )
     not_accepted: int = 0
     broken: int = 0
-    garbled: int = 0
+    mismatched_streams: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerSettings:
-    """How patient a caller is.
+    """Timeouts of a caller.
 
     Attributes:
-        timeout_s: Longest wait for one answer, or for news on a stream.
-        patience_s: Longest time over all tries of one request.
+        timeout_s: Timeout of one answer or of the next event of a stream.
+        total_timeout_s: Timeout over all attempts of one request.
     """
 
     timeout_s: float = 20.0
-    patience_s: float = 120.0
+    total_timeout_s: float = 120.0
 
 
 class SystemClient:
-    """A workspace's caller."""
+    """Client of the HTTP API with one workspace's key."""
 
     def __init__(
         self,
         balancer: Balancer,
         key: str,
-        tally: Tally,
+        stats: ClientStats,
         settings: CallerSettings | None = None,
     ) -> None:
         self._balancer = balancer
-        self._tally = tally
+        self._stats = stats
         self._settings = settings or CallerSettings()
         self._http = httpx.AsyncClient(
             headers={"authorization": f"Bearer {key}"},
@@ -96,66 +96,68 @@
     async def create(
         self, body: CreateProgramBody
     ) -> Result[ProgramBody, ErrorBody]:
-        """Begins a program."""
-        return await self._until_told("", body, ProgramBody)
+        """Creates a program."""
+        return await self._send_with_retries("", body, ProgramBody)
 
     async def turn(
         self, program_id: str, body: SendTurnBody
     ) -> Result[TurnAnswerBody, ErrorBody]:
-        """Sends a turn and waits for its whole answer."""
+        """Sends a turn and waits for the complete answer."""
         path = f"/{program_id}/turns"
-        return await self._until_told(path, body, TurnAnswerBody)
+        return await self._send_with_retries(path, body, TurnAnswerBody)
 
     async def call(
         self, program_id: str, body: CallServiceBody
     ) -> Result[CallAnswerBody, ErrorBody]:
-        """Calls a service."""
+        """Calls a service operation."""
         path = f"/{program_id}/calls"
-        return await self._until_told(path, body, CallAnswerBody)
+        return await self._send_with_retries(path, body, CallAnswerBody)
 
     async def branch(
         self, program_id: str, body: OpenBranchBody
     ) -> Result[ProgramBody, ErrorBody]:
-        """Opens a sub-agent's branch."""
+        """Opens a branch for a sub-agent."""
         path = f"/{program_id}/branches"
-        return await self._until_told(path, body, ProgramBody)
+        return await self._send_with_retries(path, body, ProgramBody)
 
     async def end(self, program_id: str) -> Result[ProgramBody, ErrorBody]:
         """Ends a program."""
         path = f"/{program_id}/end"
-        return await self._until_told(path, EndProgramBody(), ProgramBody)
+        return await self._send_with_retries(
+            path, EndProgramBody(), ProgramBody
+        )
 
     async def read(
         self, program_id: str, branch: str
     ) -> Result[ProgramBody, ErrorBody]:
-        """Reads status and a branch's history."""
+        """Reads a program's status and one branch's history."""
         path = f"/{program_id}?history={branch}"
-        return await self._until_told(path, None, ProgramBody)
+        return await self._send_with_retries(path, None, ProgramBody)
 
-    async def once(
+    async def send_once(
         self,
         url: str,
         path: str,
         body: pydantic.BaseModel | None,
         kind: type[BodyT],
     ) -> Result[BodyT, ErrorBody]:
-        """Sends a request once, to one host.
+        """Sends a request to one host without retries.
 
         Raises:
-            httpx.TransportError: The connection failed or fell silent.
+            httpx.TransportError: The connection failed or timed out.
         """
-        whole = f"{url}{_PATH}{path}"
+        full_url = f"{url}{_PATH}{path}"
         if body is None:
-            return _told(await self._http.get(whole), kind)
+            return _parse_response(await self._http.get(full_url), kind)
         data = body.model_dump(mode="json")
         if isinstance(body, SendTurnBody) and body.stream:
-            return await self._stream(whole, data, kind)
-        return _told(await self._http.post(whole, json=data), kind)
+            return await self._stream(full_url, data, kind)
+        return _parse_response(await self._http.post(full_url, json=data), kind)
 
-    async def _until_told(
+    async def _send_with_retries(
         self, path: str, body: pydantic.BaseModel | None, kind: type[BodyT]
     ) -> Result[BodyT, ErrorBody]:
-        deadline = time.monotonic() + self._settings.patience_s
+        deadline = time.monotonic() + self._settings.total_timeout_s
         refusal = ErrorBody(
             kind=ErrorKind.PEER_UNAVAILABLE.value,
             message="No host answered.",
@@ -166,23 +168,23 @@
         while time.monotonic() < deadline:
             url = self._balancer.next_url()
             try:
-                outcome = await self.once(url, path, body, kind)
+                outcome = await self.send_once(url, path, body, kind)
             except httpx.ConnectError:
-                self._tally.not_accepted += 1
-                await asyncio.sleep(_RESEND_S)
+                self._stats.not_accepted += 1
+                await asyncio.sleep(_RETRY_DELAY_S)
                 continue
             except httpx.TransportError:
-                self._tally.broken += 1
-                await asyncio.sleep(_RESEND_S)
+                self._stats.broken += 1
+                await asyncio.sleep(_RETRY_DELAY_S)
                 continue
             if isinstance(outcome, Success):
                 return outcome
             refusal = outcome.failure()
-            self._tally.count_by_refusal[refusal.kind] += 1
+            self._stats.count_by_refusal[refusal.kind] += 1
             wait_ms = refusal.retry_after_ms
-            if wait_ms is None and refusal.kind not in _RESENT_KINDS:
+            if wait_ms is None and refusal.kind not in _RETRIED_KINDS:
                 return outcome
-            await asyncio.sleep(max(_RESEND_S, (wait_ms or 0) / 1000))
+            await asyncio.sleep(max(_RETRY_DELAY_S, (wait_ms or 0) / 1000))
         return Failed(refusal)
 
     async def _stream(
@@ -193,7 +195,7 @@
         async with self._http.stream("POST", url, json=data) as response:
             if not response.is_success:
                 await response.aread()
-                return _told(response, kind)
+                return _parse_response(response, kind)
             async for line in response.aiter_lines():
                 if line.startswith(_EVENT_PREFIX):
                     event = line.removeprefix(_EVENT_PREFIX).strip()
@@ -203,18 +205,18 @@
                 if event == "error":
                     return Failed(_ERROR_BODY.validate_json(value))
                 if event == "done":
-                    self._check_text(text, value)
+                    self._compare_stream_text(text, value)
                     return Success(kind.model_validate_json(value))
                 part = str(json.loads(value)["text"])
                 text = part if event == "restart" else text + part
-        raise httpx.RemoteProtocolError("the stream has no last event")
+        raise httpx.RemoteProtocolError("stream ended without a final event")
 
-    def _check_text(self, text: str, done: str) -> None:
+    def _compare_stream_text(self, text: str, done: str) -> None:
         if json.loads(done)["text"] != text:
-            self._tally.garbled += 1
+            self._stats.mismatched_streams += 1
 
 
-def _told(
+def _parse_response(
     response: httpx.Response, kind: type[BodyT]
 ) -> Result[BodyT, ErrorBody]:
     if response.is_success:
--- a/tools/load/src/masticdale_load/system_runs.py
+++ b/tools/load/src/masticdale_load/system_runs.py
@@ -1,4 +1,4 @@
-"""Runs a plan: starts the system, drives callers and faults, checks all."""
+"""Fault runs: starts a system, runs callers and faults, checks the results."""
 
 import asyncio
 import collections
@@ -22,8 +22,8 @@
 )
 from masticdale_load.system_client import (
     CallerSettings,
+    ClientStats,
     SystemClient,
-    Tally,
 )
 from masticdale_load.system_declarations import (
     DEPLOYMENTS,
@@ -55,20 +55,20 @@
 _PREFILL_TOKENS_PER_S = 2_000_000
 _RELEASE_WAIT_S = 40.0
 _RELEASE_POLL_S = 0.5
-_READERS = 16
+_MAX_CONCURRENT_READS = 16
 _PROBE_TIMEOUT_S = 1.5
-_LIST_LAG_MS = 500
-_HALF = 0.5
-_WATCH_S = 0.2
+_DISCOVERY_LAG_MS = 500
+_RESTART_AT_SHARE = 0.5
+_PROGRESS_POLL_S = 0.2
 
 
 def load_plan(path: pathlib.Path) -> Result[SystemPlan, Failure]:
-    """Reads a plan; the error names the field."""
+    """Reads and validates a plan; the error names the invalid field."""
     return settings.load(path, SystemPlan)
 
 
 def cluster_plan(plan: SystemPlan) -> ClusterPlan:
-    """Returns the processes of a plan."""
+    """Returns the cluster that a plan describes."""
     engines = [n for d in DEPLOYMENTS for n in d.engines(plan.engines)]
     services = [n for d in DEPLOYMENTS for n in d.services(plan.services)]
     hosts = tuple(f"host-{n + 1}" for n in range(plan.hosts))
@@ -84,14 +84,14 @@
             for name in services
         },
         platform=PlatformSettings(
-            port=1, hosts=hosts, hosts_lag_ms=_LIST_LAG_MS
+            port=1, hosts=hosts, hosts_lag_ms=_DISCOVERY_LAG_MS
         ),
     )
 
 
 @contextlib.contextmanager
 def running_system(plan: SystemPlan) -> collections.abc.Iterator[LocalCluster]:
-    """Starts a plan's system with its configuration; stops it at the end."""
+    """Runs a plan's configured system for the duration of the block."""
     processes = cluster_plan(plan)
     cluster = start_cluster(processes)
     try:
@@ -108,31 +108,31 @@
 
 
 def run_system(plan: SystemPlan) -> SystemReport:
-    """Runs a plan from start to stop and returns its report."""
+    """Runs a plan on a new system and returns the report."""
     with running_system(plan) as cluster:
         return asyncio.run(_SystemRun(plan, cluster).run())
 
 
 class _SystemRun:
-    """One run on a system that has started."""
+    """One fault run on a running system."""
 
     def __init__(self, plan: SystemPlan, cluster: LocalCluster) -> None:
         self._plan = plan
         self._cluster = cluster
-        self._tally = Tally()
-        self._restart_tally = Tally()
+        self._client_stats = ClientStats()
+        self._restart_stats = ClientStats()
         self._progress = Progress()
         self._balancer = Balancer(
             {n: h.callers_url for n, h in cluster.daemon_by_name.items()}
         )
         self._client_by_key = {
-            d.key: SystemClient(self._balancer, d.key, self._tally)
+            d.key: SystemClient(self._balancer, d.key, self._client_stats)
             for d in DEPLOYMENTS
         }
         self._probe_client = SystemClient(
             self._balancer,
             DEPLOYMENTS[0].key,
-            Tally(),
+            ClientStats(),
             CallerSettings(timeout_s=_PROBE_TIMEOUT_S),
         )
         self._probe = TakeoverProbe(
@@ -142,27 +142,29 @@
         self._numbers = itertools.count()
 
     async def run(self) -> SystemReport:
-        """Drives, settles and checks."""
+        """Runs callers and faults, waits for recovery and checks results."""
         async with self._background(self._balancer.run()):
             await self._probe.prepare(DEPLOYMENTS[0].program, self._plan.seed)
             started = time.monotonic()
             async with self._background(self._faults.run()):
-                await asyncio.gather(self._drive(started), self._roll())
+                await asyncio.gather(
+                    self._run_callers(started), self._run_rolling_restart()
+                )
             seconds = time.monotonic() - started
-            await self._faults.settle()
+            await self._faults.wait_until_reverted()
             verdict = await self._check()
-            held = await self._wait_released()
+            memory_held = await self._wait_until_released()
         for client in (*self._client_by_key.values(), self._probe_client):
             await client.close()
         return create_report(
             self._plan,
             seconds,
             self._progress,
-            self._tally,
-            self._restart_tally,
-            self._faults.notes,
+            self._client_stats,
+            self._restart_stats,
+            self._faults.measurements,
             verdict,
-            held,
+            memory_held,
         )
 
     @contextlib.asynccontextmanager
@@ -176,12 +178,12 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
-    async def _drive(self, started: float) -> None:
+    async def _run_callers(self, started: float) -> None:
         workers = range(self._plan.programs_at_once)
-        await asyncio.gather(*(self._work(started) for _ in workers))
+        await asyncio.gather(*(self._run_caller(started) for _ in workers))
 
-    async def _work(self, started: float) -> None:
-        while self._is_under_way(started):
+    async def _run_caller(self, started: float) -> None:
+        while self._accepts_new_programs(started):
             number = next(self._numbers)
             deployment = DEPLOYMENTS[number % len(DEPLOYMENTS)]
             client = self._client_by_key[deployment.key]
@@ -190,29 +192,31 @@
             )
             await driver.run()
 
-    def _is_under_way(self, started: float) -> bool:
-        is_late = time.monotonic() - started > self._plan.most_s
-        return self._turns() < self._plan.turns and not is_late
+    def _accepts_new_programs(self, started: float) -> bool:
+        is_over_time = time.monotonic() - started > self._plan.most_s
+        return (
+            self._acknowledged_turns() < self._plan.turns and not is_over_time
+        )
 
-    def _turns(self) -> int:
+    def _acknowledged_turns(self) -> int:
         return len(self._progress.turn_seconds)
 
-    async def _roll(self) -> None:
+    async def _run_rolling_restart(self) -> None:
         if not self._plan.rolling_restart:
             return
-        while self._turns() < self._plan.turns * _HALF:
-            await asyncio.sleep(_WATCH_S)
-        before = copy.deepcopy(self._tally)
+        while self._acknowledged_turns() < self._plan.turns * _RESTART_AT_SHARE:
+            await asyncio.sleep(_PROGRESS_POLL_S)
+        before = copy.deepcopy(self._client_stats)
         await self._faults.restart_all()
-        self._restart_tally = Tally(
-            self._tally.count_by_refusal - before.count_by_refusal,
-            self._tally.not_accepted - before.not_accepted,
-            self._tally.broken - before.broken,
+        self._restart_stats = ClientStats(
+            self._client_stats.count_by_refusal - before.count_by_refusal,
+            self._client_stats.not_accepted - before.not_accepted,
+            self._client_stats.broken - before.broken,
         )
 
     async def _check(self) -> Verdict:
         verdict = Verdict()
-        limit = asyncio.Semaphore(_READERS)
+        limit = asyncio.Semaphore(_MAX_CONCURRENT_READS)
         await asyncio.gather(
             *(
                 self._check_program(ledger, verdict, limit)
@@ -247,16 +251,20 @@
         kinds = {d.short_program for d in DEPLOYMENTS}
         return view.program in kinds and view.turns_spent > TURN_LIMIT
 
-    async def _wait_released(self) -> list[str]:
-        """Waits until engines hold nothing for ended programs."""
+    async def _wait_until_released(self) -> list[str]:
+        """Waits until no engine keeps prefixes of ended programs.
+
+        Returns:
+            Engine and program ids of what is still there at the timeout.
+        """
         deadline = time.monotonic() + _RELEASE_WAIT_S
         while True:
-            held = await self._held_by_ended()
+            held = await self._ended_programs_in_engines()
             if not held or time.monotonic() > deadline:
                 return held
             await asyncio.sleep(_RELEASE_POLL_S)
 
-    async def _held_by_ended(self) -> list[str]:
+    async def _ended_programs_in_engines(self) -> list[str]:
         ended = {x.program_id for x in self._progress.ledgers if x.ended}
         held: list[str] = []
         async with httpx.AsyncClient(trust_env=False) as http:
