--- a/libs/programs/src/masticdale_programs/heads.py
+++ b/libs/programs/src/masticdale_programs/heads.py
@@ -21,7 +21,8 @@
         segments: Keys of the sealed segments, oldest first.
         tail: Records since the newest segment.
         copy_holders: Hosts that keep copies of the commits acknowledged
-            during an outage; both confirmed this epoch.
+            during an outage. All confirmed to this epoch's owner that their
+            copies are complete.
     """
 
     epoch: int
--- a/libs/programs/src/masticdale_programs/journal.py
+++ b/libs/programs/src/masticdale_programs/journal.py
@@ -3,7 +3,8 @@
 ``shards/{n}/head`` holds the owner's epoch and the newest records. When these
 exceed a size limit, they are sealed into an immutable
 ``shards/{n}/segments/...`` object that the head refers to. Every commit is a
-conditional update of the head, which fences former owners.
+conditional update of the head, which fences former owners. "The platform" is
+the platform's object store, on which every safeguard here relies.
 """
 
 import asyncio
--- a/libs/programs/src/masticdale_programs/takeovers.py
+++ b/libs/programs/src/masticdale_programs/takeovers.py
@@ -79,8 +79,9 @@
     taken = await _write_head(store, shard, head, version)
     if isinstance(taken, Failed):
         return taken
-    # The segments are read after the head is replaced, because an earlier
-    # owner may replace segments until then.
+    # The segments are read after the head is replaced. Until then an earlier
+    # owner may commit and add segments, so the replacement would fail and the
+    # reads would be wasted.
     loaded = await _load_segments(store, head)
     if isinstance(loaded, Failed):
         return loaded
