--- a/libs/programs/src/masticdale_programs/calls.py
+++ b/libs/programs/src/masticdale_programs/calls.py
@@ -46,8 +46,9 @@
         deadline: Monotonic time, in seconds, until which the caller waits.
 
     Returns:
-        The committed outcome. A failure of a kind with ``ran: no`` guarantees
-        that nothing was sent or that the service rejected the call unrun.
+        The committed outcome. An error kind which tells that the call was not
+        executed guarantees that nothing was sent or that the service rejected
+        the call.
     """
     kind = shard.kind_of(program)
     if operation.operation not in kind.operations:
@@ -138,9 +139,11 @@
 ) -> Result[None, Failure]:
     """Commits an intent, or rejects the call and voids the intent.
 
-    While the platform is down the commit does not complete. The caller is
-    then told that the call was not run, so the intent must not stay open: a
-    later record in the journal voids it.
+    With copies configured, the commit fails once a write to the platform has
+    failed, and waits while the platform is only slow; without, it always waits.
+    If it is still pending after ``commit_wait_s``, or may have been written,
+    the caller is told that the call was not executed. The intent may still be
+    committed, so a later record voids it.
     """
     commit = asyncio.ensure_future(shard.commit([intent], needs_platform=True))
     wait_s = shard.settings.commit_wait_s
--- a/libs/programs/src/masticdale_programs/executors.py
+++ b/libs/programs/src/masticdale_programs/executors.py
@@ -126,7 +126,8 @@
     async def call_service(self, call: ServiceCall) -> Result[str, Failure]:
         """Sends a service call once.
 
-        A failure of a kind with ``ran: no`` guarantees that it was not run.
+        An error kind which tells that the call was not executed guarantees
+        that it was not.
         """
         ...
 
--- a/libs/programs/src/masticdale_programs/turns.py
+++ b/libs/programs/src/masticdale_programs/turns.py
@@ -54,8 +54,8 @@
         deadline: Monotonic time, in seconds, until which the caller waits.
 
     Returns:
-        The committed answer, or the failure; after a failure nothing of the
-        turn is in the history.
+        The committed answer, or the failure. The record may be in the journal
+        after WRITE_UNKNOWN, or if the stream was finished with TIMED_OUT.
     """
     lock = shard.branch_lock(program, branch)
     acquired = await budgets.acquire_lock(lock, deadline)
@@ -133,7 +133,8 @@
         deadline: Monotonic time, in seconds, until which the caller waits.
 
     Returns:
-        The commit's outcome, never of a kind with ``ran: no``.
+        The commit's outcome, never an error kind which tells that the call was
+        not executed.
     """
     stream.cancellable = False
     stream.set_wait_reason("commit")
