--- a/libs/programs/src/masticdale_programs/commit_queue.py
+++ b/libs/programs/src/masticdale_programs/commit_queue.py
@@ -12,8 +12,8 @@
 from masticdale_programs.copies import CopyEntry
 from masticdale_programs.records import Record
 
-# Maximum size of one commit, in bytes. Together with the tail it stays below
-# the platform's object size limit.
+# Maximum size in bytes of a commit and of the commits in one head write.
+# Together with the tail it stays below the platform's object size limit.
 BATCH_LIMIT_BYTES = 600_000
 # Maximum backlog of one shard that waits for the platform, in bytes.
 BACKLOG_LIMIT_BYTES = 4_000_000
--- a/libs/programs/src/masticdale_programs/shards.py
+++ b/libs/programs/src/masticdale_programs/shards.py
@@ -61,8 +61,8 @@
         executor: Runs calls at upstreams.
         settings: Timeouts and intervals.
         state: The shard's programs.
-        voiding_intents: Calls rejected as not run whose intents may still be
-            committed and are then voided.
+        voiding_intents: Requests reported as not executed whose intent may
+            still be committed; a record that voids it follows.
     """
 
     def __init__(
@@ -383,7 +383,7 @@
         await self._terminator.release_memory(program)
 
     async def sweep(self) -> None:
-        """Runs the periodic maintenance; call it every second.
+        """Runs the maintenance. Call it periodically.
 
         Evicts answers, cancels unread calls, ends and removes programs, and
         checks the copy holders and the platform.
--- a/libs/programs/src/masticdale_programs/state.py
+++ b/libs/programs/src/masticdale_programs/state.py
@@ -113,7 +113,7 @@
 
     @property
     def budget(self) -> Budget:
-        """The budget in force."""
+        """The budget at the program's creation."""
         return self.kind.budget
 
 
--- a/libs/programs/src/masticdale_programs/types.py
+++ b/libs/programs/src/masticdale_programs/types.py
@@ -68,8 +68,8 @@
         executor: Runs calls at upstreams.
         settings: Timeouts and intervals.
         state: The shard's programs.
-        voiding_intents: Calls rejected as not run whose intents may still be
-            committed and are then voided.
+        voiding_intents: Requests reported as not executed whose intent may
+            still be committed; a record that voids it follows.
     """
 
     executor: Executor
