--- a/libs/peers/src/masticdale_peers/gossip.py
+++ b/libs/peers/src/masticdale_peers/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip about other hosts, sent once to each neighbour."""
+"""Gossip about other hosts, queued for each neighbour and resent."""
 
 import dataclasses
 import itertools
--- a/libs/peers/src/masticdale_peers/messages.py
+++ b/libs/peers/src/masticdale_peers/messages.py
@@ -45,7 +45,7 @@
         incarnation: Id of its process; later ones sort higher.
         revision: Configuration revision in force there.
         leaving: Whether it is handing off its work.
-        quarantine_version: Version of its list of quarantined requests.
+        quarantine_version: Unused.
         news: Gossip updates about other hosts.
         version: Increases with each change within an incarnation.
     """
@@ -166,7 +166,7 @@
         workspace: Workspace of the caller.
         priority: Priority; smaller values are served first.
         attained_s: Service time the program has had, in seconds.
-        waited_ms: Time since the call was first queued on any replica.
+        waited_ms: Time since the ticket was first offered, in milliseconds.
         deadline_ms: Time left, in milliseconds.
         prompt_tokens: Length of the prompt.
         uncached_tokens: Prompt tokens that the replica must compute.
@@ -196,7 +196,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TicketReply:
-    """A grant with its fencing token, or the expected wait."""
+    """A grant, the expected wait, or a failure.
+
+    Attributes:
+        granted: Whether the call may be sent.
+        expected_wait_ms: Expected wait, in milliseconds.
+        fencing: Unused.
+        failure: Why the ticket was refused; None otherwise.
+    """
 
     granted: bool = False
     expected_wait_ms: int = 0
@@ -270,10 +277,10 @@
     Attributes:
         shard: Number of the shard.
         epoch: Epoch of the shard's owner.
-        sequence: Sequence number of the last record.
+        sequence: Number of the newest commit sent; without commits, of the
+            one before. Not read.
         records: The encoded records.
-        drained: Whether the platform has stored all records up to
-            ``sequence``.
+        drained: Unused.
     """
 
     shard: int
@@ -301,7 +308,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SealReply:
-    """The batches kept for the shard, starting at ``first_sequence``."""
+    """The batches kept for the shard.
+
+    Attributes:
+        batches: The encoded batches.
+        first_sequence: Number of the commit before the first entry; not read.
+        failure: Why the shard was not sealed; None otherwise.
+    """
 
     batches: tuple[bytes, ...] = ()
     first_sequence: int = 0
