--- a/apps/masticdaled/src/masticdaled/shards/orphans.py
+++ b/apps/masticdaled/src/masticdaled/shards/orphans.py
@@ -18,8 +18,8 @@
 class OrphanSweeper:
     """Releases programs held at replicas that ended or are unknown.
 
-    The record of a program lists the releases due, but no record covers memory
-    that is held by a call which an owner sent just before it died.
+    A program's record lists the replicas whose memory must be released, but no
+    record covers memory held by a call which an owner sent just before it died.
     """
 
     def __init__(
--- a/apps/masticdaled/src/masticdaled/shards/owners.py
+++ b/apps/masticdaled/src/masticdaled/shards/owners.py
@@ -306,8 +306,9 @@
     async def _reason_not_to_open(self, number: int) -> Failure | None:
         """Returns why this host should not take over a shard now, or None.
 
-        A takeover from a live owner is safe, since that owner's next commit
-        fails, but it repeats every call that the owner has in flight.
+        A takeover from a live owner loses no commit, since that owner is
+        fenced. But it repeats the calls that the owner has in flight, and the
+        owner may serve stale reads until its lease ends.
         """
         if self._stopping:
             return self._not_owner_failure(number)
--- a/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
+++ b/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
@@ -16,16 +16,17 @@
 from masticdale_common import ErrorKind, logs
 from masticdale_programs import Shard
 
-# Shorter than the earliest time at which a silent host is considered dead:
-# about 1.9 s, its lease of 2.5 s less one heartbeat.
+# Shorter than the earliest time at which a silent host is considered dead.
+# Otherwise this host could serve stale reads after a takeover.
 _VALID_S = 1.5
 _RENEW_AFTER_S = 0.75
 # Longest wait of a call for a check during a known outage of the platform.
 _MAX_OUTAGE_WAIT_S = 0.5
-# Longest wait of a call otherwise; exceeds the platform client's timeout.
+# Longest wait of a call otherwise; exceeds the platform client's timeout, so
+# that a slow check can complete.
 _MAX_WAIT_S = 3.0
 # How long a failed check counts as an outage; exceeds the time that the next
-# check takes to fail.
+# check takes to fail. Otherwise calls in an outage would wait the longer limit.
 _OUTAGE_S = 3.0
 
 
@@ -95,11 +96,11 @@
         return now < self._failed_at + _OUTAGE_S
 
     async def _check_again(self, shard: Shard) -> None:
-        """Waits for a check that starts from now on.
+        """Waits for a check that is recent enough.
 
-        A check already in progress is not enough. If it began before this host
-        was paused, it may predate a takeover, and the host would answer with
-        stale state.
+        A check already in progress is accepted only if it has just started. An
+        older one, from before this host was paused, may predate a takeover,
+        and the host would answer with stale state.
         """
         earlier = self._check_by_shard.get(shard.number)
         if earlier is not None and not earlier.done():
