--- a/apps/masticdaled/src/masticdaled/operators/listener.py
+++ b/apps/masticdaled/src/masticdaled/operators/listener.py
@@ -64,8 +64,7 @@
 )
 from masticdaled.operators.models import OperatorContext
 
-# A stored revision has at most 1 MB, so a change of over twice that size
-# cannot be stored.
+# Maximum size of a request body in bytes.
 MAX_BODY_BYTES = 2_000_000
 MAX_PAGE = 1000
 DEFAULT_PAGE = 100
--- a/apps/masticdaled/src/masticdaled/operators/models.py
+++ b/apps/masticdaled/src/masticdaled/operators/models.py
@@ -105,8 +105,5 @@
         ...
 
     async def drain_upstream(self, name: str) -> Result[DrainReport, Failure]:
-        """Starts draining ahead of the revision that says so, and reports.
-
-        Sent again, it reports how far the upstream is.
-        """
+        """Reports if an upstream is declared draining and what it holds."""
         ...
--- a/apps/masticdaled/src/masticdaled/operators/testing.py
+++ b/apps/masticdaled/src/masticdaled/operators/testing.py
@@ -56,7 +56,8 @@
 
     Attributes:
         store: The platform's object store; can inject faults.
-        lagging: Hosts besides this one, with the revision each reports.
+        revision_by_host: Hosts besides this one, with the revision each
+            reports.
     """
 
     store: MemoryStore = dataclasses.field(default_factory=MemoryStore)
