--- a/apps/masticdaled/src/masticdaled/execution/runs.py
+++ b/apps/masticdaled/src/masticdaled/execution/runs.py
@@ -12,11 +12,12 @@
 
     Attributes:
         call: The call.
-        run_id: Identifies the current attempt to the digest's home.
+        run_id: Id of the current attempt; renewed for each attempt.
         prompt_tokens: Estimated tokens of the prompt.
         failed_replicas: Replicas to avoid: an attempt failed there, or
             placement found them unusable.
-        attempts: How often the call was sent.
+        attempts: Number of attempts sent, without those that reached no
+            upstream.
         reply_by_replica: The last probe reply for each probed replica.
         exclusive: Whether nothing else may be in flight at its replica.
         asked_hosts: Digest homes asked for admission in this attempt.
--- a/apps/masticdaled/src/masticdaled/execution/tool_pauses.py
+++ b/apps/masticdaled/src/masticdaled/execution/tool_pauses.py
@@ -27,8 +27,8 @@
 
 _MAX_BRANCHES = 20_000
 _ANY_TOOL = ""
-# The cost of a kept prefix to other prefixes is left out. With it, the model
-# gives up prefixes of programs that do return.
+# Weight of the cost that a kept prefix causes by displacing other prefixes; 0
+# leaves that cost out.
 _REUSE_SHARE = 0.0
 
 
--- a/apps/masticdaled/src/masticdaled/replicas/homes.py
+++ b/apps/masticdaled/src/masticdaled/replicas/homes.py
@@ -209,7 +209,7 @@
             self._notify_granted(home)
 
     async def tick(self) -> None:
-        """Starts a health check of every replica; call it twice a second."""
+        """Starts a health check of every replica. Call it periodically."""
         self._open_homes()
         for replica, home in self._home_by_replica.items():
             running = self._check_task_by_replica.get(replica)
