--- a/libs/config/src/masticdale_config/checks.py
+++ b/libs/config/src/masticdale_config/checks.py
@@ -219,7 +219,7 @@
     workspace: RenderedWorkspace, config: RenderedConfig
 ) -> list[FieldProblem]:
     # A key shared by two workspaces would give a caller access to the answers
-    # of another brand.
+    # of another workspace.
     path = f"{Kind.WORKSPACE}/{workspace.name}.spec.caller_keys"
     found = []
     for index, digest in enumerate(workspace.caller_name_by_digest):
--- a/libs/config/src/masticdale_config/kinds.py
+++ b/libs/config/src/masticdale_config/kinds.py
@@ -194,7 +194,7 @@
 
 
 class WorkspaceSpec(_InputModel):
-    """A workspace: one brand with its own callers.
+    """A workspace with its own callers.
 
     Attributes:
         template: Name of its template.
