--- a/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
+++ b/apps/masticdaled/src/masticdaled/shards/ownership_checks.py
@@ -98,9 +98,9 @@
     async def _check_again(self, shard: Shard) -> None:
         """Waits for a check that is recent enough.
 
-        A check already in progress is accepted only if it has just started. An
-        older one, from before this host was paused, may predate a takeover,
-        and the host would answer with stale state.
+        A check already in progress is accepted only if it started within
+        ``_VALID_S``. An older one, from before this host was paused, may
+        predate a takeover, and the host would answer with stale state.
         """
         earlier = self._check_by_shard.get(shard.number)
         if earlier is not None and not earlier.done():
