--- a/tools/load/src/masticdale_load/policies.py
+++ b/tools/load/src/masticdale_load/experiment_runs.py
@@ -1,4 +1,4 @@
-"""Runs all combinations of an experiment in a few processes."""
+"""Runs the combinations of an experiment in a process pool."""
 
 import concurrent.futures
 import dataclasses
@@ -6,18 +6,18 @@
 from collections.abc import Iterable
 
 from masticdale_load.experiments import Experiment
-from masticdale_load.fleet import RunKey, run_once
 from masticdale_load.reports import Report, Run
+from masticdale_load.simulation import RunKey, run_once
 from masticdale_load.workloads import measure_demand
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Selection:
-    """Which combinations to run; an empty set stands for all.
+    """Selects combinations to run; an empty set selects all.
 
     Attributes:
         policies: Names of policies.
-        loads: Loads.
+        loads: Loads as a share of capacity.
         caches: Names of cache sizes.
         faults: Names of faults.
     """
@@ -29,14 +29,14 @@
 
 
 def select_runs(experiment: Experiment, selection: Selection) -> list[RunKey]:
-    """Returns the runs of an experiment that are selected."""
+    """Returns the keys of the selected runs."""
     return [
         RunKey(policy, load, cache, fault)
         for policy, load, cache, fault in itertools.product(
-            _keep(experiment.policy_by_name, selection.policies),
-            [x for x in experiment.loads if _fits(x, selection.loads)],
-            _keep(experiment.fill_by_cache, selection.caches),
-            _keep(experiment.fault_by_name, selection.faults),
+            _select_names(experiment.policy_by_name, selection.policies),
+            [x for x in experiment.loads if _is_selected(x, selection.loads)],
+            _select_names(experiment.fill_by_cache, selection.caches),
+            _select_names(experiment.fault_by_name, selection.faults),
         )
     ]
 
@@ -44,12 +44,12 @@
 def run_experiment(
     experiment: Experiment, keys: list[RunKey], processes: int
 ) -> Report:
-    """Runs an experiment.
+    """Simulates the runs of an experiment in parallel.
 
     Args:
         experiment: The experiment.
-        keys: Its runs.
-        processes: How many run at once.
+        keys: Runs to simulate.
+        processes: Number of worker processes.
     """
     demand = measure_demand(experiment)
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
@@ -63,9 +63,9 @@
     return Report(experiment.name, experiment.seed, runs)
 
 
-def _keep(names: Iterable[str], wanted: frozenset[str]) -> list[str]:
+def _select_names(names: Iterable[str], wanted: frozenset[str]) -> list[str]:
     return [name for name in names if not wanted or name in wanted]
 
 
-def _fits(load: float, wanted: frozenset[float]) -> bool:
+def _is_selected(load: float, wanted: frozenset[float]) -> bool:
     return not wanted or load in wanted
--- a/tools/load/src/masticdale_load/gates.py
+++ b/tools/load/src/masticdale_load/gates.py
@@ -1,4 +1,4 @@
-"""Waiting at a replica's queue: the queue's answers as awaitable results."""
+"""Awaitable admission to a replica's queue."""
 
 import asyncio
 import dataclasses
@@ -14,59 +14,63 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Moved:
-    """The queue gave a waiting call back, to be placed elsewhere."""
+class Withdrawn:
+    """A waiting call left the queue and is to be placed again."""
 
 
-Permission = Granted | Refused | Moved
+AdmissionResult = Granted | Refused | Withdrawn
 
 
-class Gate:
-    """Lets calls wait at one queue."""
+class AdmissionGate:
+    """Lets calls wait for admission to one queue."""
 
     def __init__(self, queue: ReplicaQueue) -> None:
         self.queue = queue
-        self._permission_by_id: dict[str, asyncio.Future[Permission]] = {}
+        self._future_by_ticket_id: dict[
+            str, asyncio.Future[AdmissionResult]
+        ] = {}
         self._loop = asyncio.get_running_loop()
 
-    async def wait(self, ticket: Ticket, patience_s: float = 0) -> Permission:
-        """Waits until a ticket may run, is refused or is given back.
+    async def wait(
+        self, ticket: Ticket, timeout_s: float = 0
+    ) -> AdmissionResult:
+        """Waits until a ticket is granted, refused or withdrawn.
 
         Args:
-            ticket: The call.
-            patience_s: Give it back after so long; 0 for never.
+            ticket: Ticket of the call.
+            timeout_s: Withdraw it after this many seconds; 0 for never.
         """
         offer = self.queue.offer(ticket, self._loop.time())
         if isinstance(offer, (Granted, Refused)):
             return offer
-        permission: asyncio.Future[Permission] = self._loop.create_future()
-        self._permission_by_id[ticket.ticket_id] = permission
+        future: asyncio.Future[AdmissionResult] = self._loop.create_future()
+        self._future_by_ticket_id[ticket.ticket_id] = future
         try:
-            async with asyncio.timeout(patience_s or None):
-                return await permission
+            async with asyncio.timeout(timeout_s or None):
+                return await future
         except TimeoutError:
             self.queue.withdraw(ticket.ticket_id, self._loop.time())
-            return Moved()
+            return Withdrawn()
         finally:
-            del self._permission_by_id[ticket.ticket_id]
+            del self._future_by_ticket_id[ticket.ticket_id]
 
     def finish(self, ticket_id: str, result: TicketResult) -> None:
-        """Ends a granted call and grants the next."""
+        """Reports the end of a granted call and admits the next."""
         self.queue.finish(ticket_id, result, self._loop.time())
-        self.pump()
+        self.dispatch_granted()
 
-    def pump(self) -> None:
-        """Tells granted calls that they may run."""
+    def dispatch_granted(self) -> None:
+        """Wakes the calls that the queue has granted."""
         for ticket in self.queue.take_granted(self._loop.time()):
-            self._permit(ticket, Granted())
+            self._resolve(ticket, Granted())
 
     def close(self, failure: Failure) -> None:
-        """Refuses new calls and gives waiting ones back."""
+        """Refuses new calls with a failure and withdraws waiting ones."""
         dropped = self.queue.close(failure, self._loop.time())
         for ticket in dropped.waiting:
-            self._permit(ticket, Moved())
+            self._resolve(ticket, Withdrawn())
 
-    def _permit(self, ticket: Ticket, permission: Permission) -> None:
-        waiting = self._permission_by_id.get(ticket.ticket_id)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(permission)
+    def _resolve(self, ticket: Ticket, result: AdmissionResult) -> None:
+        future = self._future_by_ticket_id.get(ticket.ticket_id)
+        if future is not None and not future.done():
+            future.set_result(result)
--- a/tools/load/src/masticdale_load/system_relays.py
+++ b/tools/load/src/masticdale_load/system_relays.py
@@ -1,4 +1,4 @@
-"""TCP relays between processes: connections that fall silent, or are cut."""
+"""TCP relays that simulate stalled connections and network partitions."""
 
 import asyncio
 import concurrent.futures
@@ -9,55 +9,55 @@
 
 _IP = "127.0.0.1"
 _CHUNK_BYTES = 65_536
-_START_TIMEOUT_S = 5.0
+_TIMEOUT_S = 5.0
 ResultT = TypeVar("ResultT")
 
 
 class Relay:
-    """One listener that passes bytes on to one address.
+    """Forwards connections from a listening port to a target port.
 
-    ``silence`` leaves open connections open for good without passing
-    anything on, as a middle box does that has lost track of them; new ones
-    work. While ``cut``, new ones fall silent, too.
+    ``stall_connections`` keeps the open connections open but forwards no more
+    data on them, like a middlebox that lost their state; new connections
+    work. After ``partition`` new connections stall, too.
     """
 
     def __init__(self, target_port: int) -> None:
         self._target_port = target_port
-        self._passing: set[asyncio.Task[None]] = set()
+        self._forwarding: set[asyncio.Task[None]] = set()
         self._writers: list[asyncio.StreamWriter] = []
-        self._is_cut = False
+        self._is_partitioned = False
         self._server: asyncio.Server | None = None
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The listening port."""
         assert self._server is not None
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts to listen on a free port."""
         self._server = await asyncio.start_server(self._accept, _IP, 0)
 
-    async def silence(self) -> None:
-        """Makes every open connection silent."""
-        passing = list(self._passing)
-        for task in passing:
+    async def stall_connections(self) -> None:
+        """Stops forwarding on all open connections, without closing them."""
+        forwarding = list(self._forwarding)
+        for task in forwarding:
             task.cancel()
-        await asyncio.gather(*passing, return_exceptions=True)
+        await asyncio.gather(*forwarding, return_exceptions=True)
 
-    async def cut(self) -> None:
-        """Makes every open and every new connection silent."""
-        self._is_cut = True
-        await self.silence()
+    async def partition(self) -> None:
+        """Stalls all open and all new connections."""
+        self._is_partitioned = True
+        await self.stall_connections()
 
-    async def mend(self) -> None:
-        """Lets new connections work again."""
-        self._is_cut = False
+    async def heal(self) -> None:
+        """Forwards new connections again."""
+        self._is_partitioned = False
 
     async def close(self) -> None:
-        """Closes everything."""
-        await self.silence()
+        """Closes the listener and all connections."""
+        await self.stall_connections()
         for writer in self._writers:
             writer.close()
         if self._server is not None:
@@ -67,7 +67,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.append(writer)
-        if self._is_cut:
+        if self._is_partitioned:
             return
         try:
             far_reader, far_writer = await asyncio.open_connection(
@@ -78,9 +78,9 @@
             return
         self._writers.append(far_writer)
         for source, sink in ((reader, far_writer), (far_reader, writer)):
-            task = asyncio.create_task(_pass_on(source, sink))
-            self._passing.add(task)
-            task.add_done_callback(self._passing.discard)
+            task = asyncio.create_task(_forward(source, sink))
+            self._forwarding.add(task)
+            task.add_done_callback(self._forwarding.discard)
 
 
 class RelayThread:
@@ -95,24 +95,24 @@
         self._thread.start()
 
     def relay_to(self, port: int) -> Relay:
-        """Starts a relay to a port of this machine."""
+        """Starts a relay to a local port."""
         relay = Relay(port)
-        self.do(relay.start())
+        self.run_on_loop(relay.start())
         self._relays.append(relay)
         return relay
 
-    def do(self, work: Coroutine[Any, Any, ResultT]) -> ResultT:
-        """Runs a relay's method on its loop and waits for it."""
+    def run_on_loop(self, work: Coroutine[Any, Any, ResultT]) -> ResultT:
+        """Runs a coroutine on the relays' loop and waits for its result."""
         future: concurrent.futures.Future[ResultT]
         future = asyncio.run_coroutine_threadsafe(work, self._loop)
-        return future.result(_START_TIMEOUT_S)
+        return future.result(_TIMEOUT_S)
 
     def close(self) -> None:
-        """Closes every relay and the loop."""
+        """Closes all relays and stops the thread."""
         for relay in self._relays:
-            self.do(relay.close())
+            self.run_on_loop(relay.close())
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(_START_TIMEOUT_S)
+        self._thread.join(_TIMEOUT_S)
         self._loop.close()
 
 
@@ -126,7 +126,7 @@
         thread.close()
 
 
-async def _pass_on(
+async def _forward(
     source: asyncio.StreamReader, sink: asyncio.StreamWriter
 ) -> None:
     try:
--- a/tools/load/src/masticdale_load/traces.py
+++ b/tools/load/src/masticdale_load/traces.py
@@ -1,7 +1,7 @@
-"""Command ``mastic-trace``: from log lines to what callers waited for.
+"""Command ``mastic-trace``: finds the causes of refused requests in logs.
 
-Reads JSON lines of any number of hosts, also behind a time and a host's name
-as the users' bench prints them. The lines say what was decided and by what.
+Reads the JSON log lines of any number of hosts. A time and a host name may
+precede each line, as in the output of the users' benchmark.
 """
 
 import collections
@@ -14,8 +14,8 @@
 
 import fire
 
-# Lines that change what a host believes; see docs/OPERATIONS.md.
-_BELIEFS = (
+# Log lines that report a state change of a host; see docs/OPERATIONS.md.
+_STATE_CHANGES = (
     "started",
     "stopping",
     "stopped",
@@ -35,22 +35,28 @@
     "copy_sealed",
     "copy_not_sealed",
 )
-# Fields that say nothing to the reader of one line.
-_NOISE = ("timestamp", "task_uuid", "task_level", "message_type", "host")
-# Beliefs from this long before a refused request may be its cause, in seconds:
-# as long as a host asks for a turn, and as long again.
-_CAUSES_S = 2.4
+# Fields omitted from printed lines.
+_HIDDEN_FIELDS = (
+    "timestamp",
+    "task_uuid",
+    "task_level",
+    "message_type",
+    "host",
+)
+# State changes up to this many seconds before a refused request may be its
+# cause: twice as long as a host asks for a turn.
+_CAUSE_WINDOW_S = 2.4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """One log line.
 
     Attributes:
-        at: Seconds; of the bench's clock where that stands before the line.
-        host: The host that wrote it.
-        kind: What it tells of.
-        fields: The rest.
+        at: Time in seconds; the benchmark's time if it precedes the line.
+        host: Host that wrote the line.
+        kind: Name of the line (``message_type``).
+        fields: All fields of the line.
     """
 
     at: float
@@ -59,39 +65,42 @@
     fields: dict[str, Any]
 
     def __str__(self) -> str:
-        shown = {k: v for k, v in self.fields.items() if k not in _NOISE}
+        shown = {
+            k: v for k, v in self.fields.items() if k not in _HIDDEN_FIELDS
+        }
         return f"{self.at:10.3f} {self.host} {self.kind} {json.dumps(shown)}"
 
 
-def read_lines(texts: Iterable[str]) -> Iterator[Line]:
-    """Yields the log lines among any text."""
+def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
+    """Yields the log lines in a text and skips everything else."""
     for text in texts:
-        before, brace, rest = text.partition("{")
+        prefix, brace, rest = text.partition("{")
         if not brace or "message_type" not in rest:
             continue
         try:
             fields = json.loads(brace + rest)
         except ValueError:
-            # The last line of a process that was killed.
+            # A killed process may leave a truncated last line.
             continue
-        words = before.split()
+        words = prefix.split()
         at = float(words[0]) if words else float(fields.get("timestamp", 0))
         host = words[1] if len(words) > 1 else str(fields.get("host", ""))
-        yield Line(at, host, str(fields["message_type"]), fields)
+        yield LogLine(at, host, str(fields["message_type"]), fields)
 
 
-def follow(lines: list[Line], wanted: str) -> list[Line]:
+def trace(lines: list[LogLine], wanted: str) -> list[LogLine]:
     """Returns the lines of one request or program and their likely causes.
 
     Args:
         lines: All lines, in any order.
-        wanted: A request's or a program's id.
+        wanted: Id of a request or program.
 
     Returns:
-        Its own lines, and for each request that was not answered what hosts
-        came to believe shortly before, of its shard where one is named.
+        The lines with this id and the state changes shortly before each
+        refused request, sorted by time. State changes of other shards are
+        left out.
     """
-    own = [
+    own_lines = [
         line
         for line in lines
         if wanted
@@ -99,24 +108,26 @@
     ]
     refused = [
         line
-        for line in own
+        for line in own_lines
         if line.kind == "request" and line.fields.get("outcome") != "answered"
     ]
-    shards = {line.fields["shard"] for line in own if "shard" in line.fields}
+    shards = {
+        line.fields["shard"] for line in own_lines if "shard" in line.fields
+    }
     causes = [
         line
         for line in lines
-        if line.kind in _BELIEFS
+        if line.kind in _STATE_CHANGES
         and line.fields.get("shard") in (None, *shards)
-        and any(0 <= r.at - line.at <= _CAUSES_S for r in refused)
+        and any(0 <= r.at - line.at <= _CAUSE_WINDOW_S for r in refused)
     ]
-    return sorted((*own, *causes), key=lambda line: line.at)
+    return sorted((*own_lines, *causes), key=lambda line: line.at)
 
 
 def count_refusals(
-    lines: Iterable[Line], window_s: float
+    lines: Iterable[LogLine], window_s: float
 ) -> list[tuple[float, str, int]]:
-    """Returns refused requests by window and reason, the windows in order."""
+    """Counts refused requests by time window and reason, sorted by time."""
     counts: collections.Counter[tuple[float, str]] = collections.Counter()
     for line in lines:
         outcome = line.fields.get("outcome")
@@ -130,8 +141,8 @@
     return [(at, why, n) for (at, why), n in sorted(counts.items())]
 
 
-def _load(logs: tuple[str, ...]) -> list[Line]:
-    found: list[Line] = []
+def _load(logs: tuple[str, ...]) -> list[LogLine]:
+    found: list[LogLine] = []
     for name in logs:
         with pathlib.Path(name).open(errors="replace") as file:
             found.extend(read_lines(file))
@@ -139,27 +150,27 @@
 
 
 class Commands:
-    """From log lines to what callers waited for."""
+    """Finds the causes of refused requests in logs."""
 
     def id(self, wanted: str, *logs: str) -> None:
-        """Prints the lines of a request or program, and their causes.
+        """Prints the lines of a request or program and their likely causes.
 
         Args:
-            wanted: The request's or program's id.
-            logs: Files with the lines of all hosts.
+            wanted: Id of the request or program.
+            logs: Paths of the log files of all hosts.
         """
-        lines = follow(_load(logs), str(wanted))
+        lines = trace(_load(logs), str(wanted))
         if not lines:
-            print(f"no line names {wanted}", file=sys.stderr)
+            print(f"no log line has the id {wanted}", file=sys.stderr)
             sys.exit(1)
         print("\n".join(str(line) for line in lines))
 
     def refusals(self, *logs: str, window: float = 2.0) -> None:
-        """Counts refused requests by time and reason.
+        """Counts refused requests by time window and reason.
 
         Args:
-            logs: Files with the lines of all hosts.
-            window: Length of one window in seconds.
+            logs: Paths of the log files of all hosts.
+            window: Length of a time window in seconds.
         """
         for at, why, number in count_refusals(_load(logs), window):
             print(f"{at:8.1f} {number:6d}  {why}")
--- a/tools/load/src/masticdale_load/workloads.py
+++ b/tools/load/src/masticdale_load/workloads.py
@@ -1,4 +1,4 @@
-"""Programs drawn from a seed: turns, pauses, sub-agents, arrival times."""
+"""Seeded generation of programs: turns, pauses, sub-agents and arrivals."""
 
 import dataclasses
 import random
@@ -9,8 +9,8 @@
 
 _REFERENCE_LOAD = 0.8
 _SAMPLE_PROGRAMS = 20_000
-_MOST_CONTEXT_TOKENS = 150_000
-_MOST_SUB_AGENTS = 3
+_MAX_CONTEXT_TOKENS = 150_000
+_MAX_SUB_AGENTS = 3
 _SUB_AGENT_TURNS = 4
 
 
@@ -19,11 +19,11 @@
     """One turn and the tool pause after it.
 
     Attributes:
-        new_tokens: Tokens it adds to the prompt.
-        generated_tokens: Tokens it generates.
-        sub_agents: Branches that run before the pause, side by side.
+        new_tokens: Tokens that the turn adds to the prompt.
+        generated_tokens: Tokens that the turn generates.
+        sub_agents: Branches that run concurrently before the pause.
         tool: Name of the tool.
-        pause_s: Seconds the tool takes.
+        pause_s: Duration of the tool call in seconds.
         served: Whether an application replica serves the tool.
     """
 
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BranchPlan:
-    """The turns of one branch, each after the one before.
+    """The turns of one branch, run in order.
 
     Attributes:
         turns: The turns; no pause follows the last.
@@ -48,16 +48,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProgramPlan:
-    """A whole program.
+    """One program.
 
     Attributes:
-        program_id: Its id.
-        kind: Name of its kind.
-        workspace: Its workspace.
-        priority: Its class.
-        template_tokens: Tokens of its template.
-        arrives_at: When its first turn is asked for.
-        root: Its main branch.
+        program_id: Id of the program.
+        kind: Name of the program kind.
+        workspace: Workspace that runs it.
+        priority: Priority class; 0 is the highest.
+        template_tokens: Tokens of the template.
+        arrives_at: Arrival time of the first turn, in seconds.
+        root: Main branch.
     """
 
     program_id: str
@@ -70,25 +70,27 @@
 
 
 def turn_work_s(turn: TurnPlan, spec: EngineSpec) -> float:
-    """Returns a turn's work in seconds of a fully used replica.
+    """Returns a turn's work in seconds of a fully utilized replica.
 
     Args:
         turn: The turn; its sub-agents are not counted.
-        spec: The engine.
+        spec: Capacity and speed of the engine.
     """
-    full = spec.decode_tokens_per_s(spec.slots) * spec.slots
+    full_batch_rate = spec.decode_tokens_per_s(spec.slots) * spec.slots
     prefill_s = turn.new_tokens / spec.prefill_tokens_per_s
-    return turn.generated_tokens / full + prefill_s * (1 - spec.decode_share)
+    return turn.generated_tokens / full_batch_rate + prefill_s * (
+        1 - spec.decode_share
+    )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Footprint:
-    """What a branch takes when nothing else runs.
+    """Resources that a branch needs on an otherwise idle deployment.
 
     Attributes:
-        path_s: Seconds of its critical path.
-        demand_s: Seconds of a fully used replica.
-        token_s: Context tokens times the seconds they are needed.
+        path_s: Length of the critical path in seconds.
+        demand_s: Work in seconds of a fully utilized replica.
+        token_s: Integral of the context tokens over time, in token-seconds.
     """
 
     path_s: float = 0.0
@@ -99,23 +101,23 @@
 def footprint(
     branch: BranchPlan, template_tokens: int, spec: EngineSpec
 ) -> Footprint:
-    """Returns what a branch takes when each prefix stays cached.
+    """Returns the footprint of a branch when every prefix stays cached.
 
     Args:
         branch: The branch.
-        template_tokens: Tokens of its template, cached beforehand.
-        spec: The engine.
+        template_tokens: Tokens of the template, cached beforehand.
+        spec: Capacity and speed of the engine.
     """
     path_s = demand_s = token_s = 0.0
     context = template_tokens
     last = len(branch.turns) - 1
-    alone = spec.decode_tokens_per_s(1)
+    single_call_rate = spec.decode_tokens_per_s(1)
     for index, turn in enumerate(branch.turns):
         prefill_s = turn.new_tokens / spec.prefill_tokens_per_s
         children = [
             footprint(child, template_tokens, spec) for child in turn.sub_agents
         ]
-        step_s = prefill_s + turn.generated_tokens / alone
+        step_s = prefill_s + turn.generated_tokens / single_call_rate
         step_s += max((c.path_s for c in children), default=0.0)
         step_s += turn.pause_s if index < last else 0.0
         context += turn.new_tokens + turn.generated_tokens
@@ -128,7 +130,7 @@
 
 
 class ProgramGenerator:
-    """Draws programs of an experiment."""
+    """Draws random programs of an experiment."""
 
     def __init__(self, experiment: Experiment) -> None:
         self._kinds = experiment.kinds
@@ -139,7 +141,7 @@
         """Returns the next program.
 
         Args:
-            arrives_at: When it arrives.
+            arrives_at: Arrival time in seconds.
         """
         shares = [kind.share for kind in self._kinds]
         kind = self._random.choices(self._kinds, shares)[0]
@@ -157,7 +159,11 @@
         )
 
     def gap_s(self, rate: float) -> float:
-        """Returns the seconds to the next arrival."""
+        """Draws the seconds to the next arrival of a Poisson process.
+
+        Args:
+            rate: Programs per second.
+        """
         return self._random.expovariate(rate)
 
     def _turn_count(self, kind: ProgramKind) -> int:
@@ -175,7 +181,7 @@
         for _ in range(turn_count):
             turn = self._turn(kind, sub_agent_share)
             context += turn.new_tokens + turn.generated_tokens
-            if context > _MOST_CONTEXT_TOKENS:
+            if context > _MAX_CONTEXT_TOKENS:
                 break
             turns.append(turn)
         return BranchPlan(tuple(turns))
@@ -186,7 +192,7 @@
         )[0]
         sub_agents: tuple[BranchPlan, ...] = ()
         if self._random.random() < sub_agent_share:
-            count = self._random.randint(1, _MOST_SUB_AGENTS)
+            count = self._random.randint(1, _MAX_SUB_AGENTS)
             sub_agents = tuple(self._sub_agent(kind) for _ in range(count))
         return TurnPlan(
             self._length(kind.mean_new_tokens),
@@ -214,8 +220,8 @@
     """Mean demand of an experiment's programs.
 
     Attributes:
-        rate_at_capacity: Programs per second that use all replicas fully.
-        fill_tokens: Context tokens of the programs under way at 80% load.
+        rate_at_capacity: Programs per second that saturate all replicas.
+        fill_tokens: Context tokens of the running programs at 80% load.
     """
 
     rate_at_capacity: float
@@ -223,19 +229,19 @@
 
 
 def measure_demand(experiment: Experiment) -> Demand:
-    """Returns the demand, from a sample drawn with the experiment's seed."""
+    """Estimates the mean demand from a sample with the experiment's seed."""
     spec = experiment.engine.spec()
     generator = ProgramGenerator(experiment)
     plans = [generator.draw(0.0) for _ in range(_SAMPLE_PROGRAMS)]
-    prints = [footprint(p.root, p.template_tokens, spec) for p in plans]
-    demand_s = sum(p.demand_s for p in prints) / len(prints)
-    token_s = sum(p.token_s for p in prints) / len(prints)
+    footprints = [footprint(p.root, p.template_tokens, spec) for p in plans]
+    demand_s = sum(p.demand_s for p in footprints) / len(footprints)
+    token_s = sum(p.token_s for p in footprints) / len(footprints)
     rate = experiment.deployment.model_replicas / demand_s
     return Demand(rate, rate * _REFERENCE_LOAD * token_s)
 
 
 def draw_programs(experiment: Experiment, rate: float) -> Sequence[ProgramPlan]:
-    """Returns all programs of a run; the same for every policy.
+    """Returns all programs of a run; they are the same for every policy.
 
     Args:
         experiment: The experiment.
